--- a/src/dunlinknot/cluster/bookings.cpp
+++ b/src/dunlinknot/cluster/bookings.cpp
@@ -9,14 +9,14 @@
 
 namespace dunlinknot::cluster {
 
-void Cluster::add_booking(Host& h, Booking b) {
+void Cluster::add_booking(Machine& h, Booking b) {
   if (b.ahead) {
     ++h.ahead;
   } else {
     h.used += b.need;
     if (b.team >= 0) usage_[static_cast<size_t>(b.team)].used += b.need;
   }
-  b.record_group_size = wire::host_group_size(b.task.job, b.team_name, b.need);
+  b.record_group_size = wire::machine_group_size(b.task.job, b.team_name, b.need);
   if (Job* j = job(b.task.job)) count_for_job(*j, b);
   auto& holders = holders_[b.task.job];
   if (std::find(holders.begin(), holders.end(), &h) == holders.end()) holders.push_back(&h);
@@ -31,13 +31,13 @@
   if (b.gang) j.gang_attempt = std::max(j.gang_attempt, b.attempt);
 }
 
-const std::vector<Host*>& Cluster::holders(const std::string& job) const {
-  static const std::vector<Host*> none;
+const std::vector<Machine*>& Cluster::holders(const std::string& job) const {
+  static const std::vector<Machine*> none;
   const auto it = holders_.find(job);
   return it == holders_.end() ? none : it->second;
 }
 
-Effects Cluster::end_booking(Host& h, size_t i, Instant now, bool gang_goes_on) {
+Effects Cluster::end_booking(Machine& h, size_t i, Instant now, bool gang_goes_on) {
   Effects effects;
   const Booking b = std::move(h.bookings[i]);
   h.bookings.erase(h.bookings.begin() + static_cast<ptrdiff_t>(i));
@@ -74,7 +74,7 @@
 // A gang that lost a task will not go on: the rest is stopped at once rather than left to find out,
 // so that the next attempt need not wait for it. A gang told to save is left to its saving.
 void Cluster::break_gang(const std::string& id, uint64_t attempt, Instant now, Effects& effects) {
-  for (Host* h : std::vector(holders(id))) {
+  for (Machine* h : std::vector(holders(id))) {
     for (size_t i = h->bookings.size(); i-- > 0;) {
       if (i >= h->bookings.size()) continue;
       Booking& b = h->bookings[i];
@@ -93,7 +93,7 @@
 PlacementConstraints Cluster::count_bookings(const Job& j, Predicate&& which) const {
   PlacementConstraints constraints(j.spec());
   if (!constraints.zone_bound()) return constraints;
-  for (const Host* h : holders(j.spec().id)) {
+  for (const Machine* h : holders(j.spec().id)) {
     const auto counts = [&](const Booking& b) { return b.task.job == j.spec().id && which(b); };
     const auto tasks = std::count_if(h->bookings.begin(), h->bookings.end(), counts);
     constraints.add(h->zone, static_cast<uint32_t>(tasks));
@@ -111,7 +111,7 @@
 
 // Safety 4: a job's bookings never break its constraints, so neither do its tasks, which are only
 // where it has bookings.
-bool Cluster::may_book(const Host& h, Job& j, uint32_t index) {
+bool Cluster::may_book(const Machine& h, Job& j, uint32_t index) {
   const bool allowed =
       kind_allowed(j.spec(), h.type, h.zone, h.spot) && constraints_of(j).tasks_allowed(h.zone) > 0;
   if (allowed) return true;
@@ -122,13 +122,13 @@
   return false;
 }
 
-Booking* Cluster::book(Host& h, Job& j, uint32_t index, uint64_t attempt, Instant now) {
+Booking* Cluster::book(Machine& h, Job& j, uint32_t index, uint64_t attempt, Instant now) {
   if (!may_book(h, j, index)) return nullptr;
   add_booking(h, booking_of(h, j, index, attempt, now));
   return &h.bookings.back();
 }
 
-Booking* Cluster::book_ahead(Host& h, Job& j, uint32_t index, uint64_t attempt, Turn turn,
+Booking* Cluster::book_ahead(Machine& h, Job& j, uint32_t index, uint64_t attempt, Turn turn,
                              Instant now) {
   if (!may_book(h, j, index)) return nullptr;
   Booking b = booking_of(h, j, index, attempt, now);
@@ -138,7 +138,8 @@
   return &h.bookings.back();
 }
 
-Booking Cluster::booking_of(Host& h, const Job& j, uint32_t index, uint64_t attempt, Instant now) {
+Booking Cluster::booking_of(Machine& h, const Job& j, uint32_t index, uint64_t attempt,
+                            Instant now) {
   Booking b;
   b.task = TaskRef{j.spec().id, index};
   b.attempt = attempt;
@@ -157,8 +158,8 @@
 }
 
 bool Cluster::take_back_ahead(const std::string& id, Instant now) {
-  Host* most = nullptr;
-  for (Host* h : holders(id)) {
+  Machine* most = nullptr;
+  for (Machine* h : holders(id)) {
     const bool any =
         find_where(h->bookings, [&](const Booking& b) { return b.ahead && b.task.job == id; });
     if (any && (!most || h->ahead > most->ahead)) most = h;
@@ -173,22 +174,22 @@
   return false;
 }
 
-void Cluster::set_held(const std::map<std::string, Resources>& by_host,
+void Cluster::set_held(const std::map<std::string, Resources>& by_machine,
                        std::vector<Resources> by_team) {
-  for (Host* h : held_hosts_) h->held = Resources{};
-  held_hosts_.clear();
-  for (const auto& [id, room] : by_host) {
-    Host* h = host(id);
+  for (Machine* h : held_machines_) h->held = Resources{};
+  held_machines_.clear();
+  for (const auto& [id, room] : by_machine) {
+    Machine* h = find_machine(id);
     if (!h) continue;
     h->held = room;
-    held_hosts_.push_back(h);
+    held_machines_.push_back(h);
   }
   saved_ = std::move(by_team);
 }
 
 // The room that a task leaves is taken at once by one that waits for it on the machine: its booking
 // stands already, so its `run` goes out with the answer to the very report that told of the room.
-void Cluster::promote_ahead(Host& h, Instant now) {
+void Cluster::promote_ahead(Machine& h, Instant now) {
   if (h.ahead == 0) return;
   std::vector<Booking*> waiting;
   for (Booking& b : h.bookings) {
@@ -223,7 +224,7 @@
   }
 }
 
-void Cluster::note_image(Host& h, const Job& j) {
+void Cluster::note_image(Machine& h, const Job& j) {
   const std::string& image = j.spec().image;
   std::erase_if(h.images, [&](const auto& i) { return i.name == image; });
   h.images.push_back({image, j.spec().image_gb});
@@ -235,17 +236,17 @@
   }
 }
 
-void Cluster::stop(Host& h, Booking& b, StopReason reason, Seconds grace, Instant now) {
+void Cluster::stop(Machine& h, Booking& b, StopReason reason, Seconds grace, Instant now) {
   if (b.stopping() && b.grace <= grace) return;  // never milder than it was told before
   b.stop = reason;
   b.grace = grace;
   b.stop_at = now;
-  if (std::find(stop_hosts_.begin(), stop_hosts_.end(), h.id) == stop_hosts_.end()) {
-    stop_hosts_.push_back(h.id);
+  if (std::find(stop_machines_.begin(), stop_machines_.end(), h.id) == stop_machines_.end()) {
+    stop_machines_.push_back(h.id);
   }
 }
 
-Effects Cluster::preempt(Host& h, const TaskRef& task, uint64_t attempt, Instant now) {
+Effects Cluster::preempt(Machine& h, const TaskRef& task, uint64_t attempt, Instant now) {
   Effects effects;
   Booking* b = h.find(task, attempt);
   if (!b || b->stopping()) return effects;
@@ -263,7 +264,7 @@
 template <class Predicate>
 Effects Cluster::end_unsent(const std::string& id, Instant now, Predicate&& which) {
   Effects effects;
-  for (Host* h : std::vector(holders(id))) {
+  for (Machine* h : std::vector(holders(id))) {
     for (size_t i = h->bookings.size(); i-- > 0;) {
       if (i >= h->bookings.size()) continue;  // the end of one may end others
       const Booking& b = h->bookings[i];
@@ -275,10 +276,10 @@
 
 Effects Cluster::drop_unsent(const std::string& id, Instant now) {
   return end_unsent(id, now,
-                    [](const Host&, const Booking& b) { return b.phase == Phase::planned; });
+                    [](const Machine&, const Booking& b) { return b.phase == Phase::planned; });
 }
 
-Effects Cluster::drop_planned(Host& h, Instant now) {
+Effects Cluster::drop_planned(Machine& h, Instant now) {
   Effects effects;
   for (size_t i = h.bookings.size(); i-- > 0;) {
     if (i >= h.bookings.size()) continue;  // the end of one may end others
@@ -295,7 +296,7 @@
   if (j.spec().gang) {
     Effects effects;
     std::set<uint64_t> attempts;
-    for (const Host* h : holders(id)) {
+    for (const Machine* h : holders(id)) {
       for (const Booking& b : h->bookings) {
         if (b.task.job == id) attempts.insert(b.attempt);
       }
@@ -304,7 +305,7 @@
     return effects;
   }
   PlacementConstraints constraints = constraints_of_sent(j);
-  return end_unsent(id, now, [&](const Host& h, const Booking& b) {
+  return end_unsent(id, now, [&](const Machine& h, const Booking& b) {
     if (b.task == orphan || constraints.tasks_allowed(h.zone) == 0) return true;
     constraints.add(h.zone, 1);
     return false;
@@ -313,8 +314,8 @@
 
 std::vector<StopCall> Cluster::take_stop_calls() {
   std::vector<StopCall> calls;
-  for (const auto& id : stop_hosts_) {
-    Host* h = host(id);
+  for (const auto& id : stop_machines_) {
+    Machine* h = find_machine(id);
     if (!h || h->address.empty() || !h->heard || h->lost) continue;
     StopCall call{h->id, h->address, h->session, {}};
     for (const Booking& b : h->bookings) {
@@ -324,12 +325,12 @@
     }
     if (!call.commands.empty()) calls.push_back(std::move(call));
   }
-  stop_hosts_.clear();
+  stop_machines_.clear();
   return calls;
 }
 
 void Cluster::stop_gang(const std::string& id, uint64_t attempt, Seconds grace, Instant now) {
-  for (Host* h : holders(id)) {
+  for (Machine* h : holders(id)) {
     for (Booking& b : h->bookings) {
       if (b.task.job == id && b.attempt == attempt && !b.stopping()) {
         stop(*h, b, StopReason::recall, grace, now);
@@ -340,7 +341,7 @@
 
 size_t Cluster::booking_count() const {
   size_t n = 0;
-  for (const auto& [id, h] : hosts_) n += h->bookings.size();
+  for (const auto& [id, h] : machines_) n += h->bookings.size();
   return n;
 }
 
--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -25,11 +25,11 @@
 
 }  // namespace
 
-bool Host::has_image(std::string_view image) const {
+bool Machine::has_image(std::string_view image) const {
   return std::any_of(images.begin(), images.end(), [&](const auto& i) { return i.name == image; });
 }
 
-Booking* Host::find(const TaskRef& task, uint64_t attempt) {
+Booking* Machine::find(const TaskRef& task, uint64_t attempt) {
   return find_where(bookings,
                     [&](const Booking& b) { return b.attempt == attempt && b.task == task; });
 }
@@ -48,17 +48,17 @@
   attempts_ = 0;
   term_since_ = now;
   jobs_.clear();
-  hosts_.clear();
+  machines_.clear();
   holders_.clear();
   expected_.clear();  // the jobs still open are loaded anew
-  urgent_hosts_.clear();
-  dirty_hosts_.clear();
+  urgent_machines_.clear();
+  dirty_machines_.clear();
   runnable_.clear();
-  held_hosts_.clear();
+  held_machines_.clear();
   saved_.clear();
   gone_.clear();
   returning_.clear();
-  stop_hosts_.clear();
+  stop_machines_.clear();
   dead_records_.clear();
   held_back_jobs_.clear();
   replica_restarts_ = {};
@@ -117,7 +117,7 @@
 // Bookings of a job that became known after them, such as an orphan's: its tasks are not free to be
 // placed again.
 void Cluster::count_earlier_bookings(Job& j) {
-  for (const Host* h : holders(j.spec().id)) {
+  for (const Machine* h : holders(j.spec().id)) {
     for (const Booking& b : h->bookings) {
       if (b.task.job == j.spec().id) count_for_job(j, b);
     }
@@ -133,9 +133,9 @@
 
 // Safety 1: a new leader books everything that any former leader booked. What of it really runs is
 // for the workers to say, under our token.
-void Cluster::load_host(const std::string& id, const wire::HostRecord& record, uint64_t stamp,
-                        Instant now) {
-  Host& h = learn_host(id, record.type, record.zone, record.spot, now);
+void Cluster::load_machine(const std::string& id, const wire::MachineRecord& record, uint64_t stamp,
+                           Instant now) {
+  Machine& h = register_machine(id, record.type, record.zone, record.spot, now);
   h.address = record.address;
   h.stamp = stamp;
   h.stored.clear();
@@ -182,7 +182,7 @@
   // Safety 3: nothing of a closed job starts, and all of a cancelled one is stopped everywhere.
   // Bookings whose `run` never went out under us are simply undone; the others stay booked until
   // they are gone.
-  for (Host* h : std::vector(holders(id))) {
+  for (Machine* h : std::vector(holders(id))) {
     for (size_t i = h->bookings.size(); i-- > 0;) {
       Booking& b = h->bookings[i];
       if (b.task.job != id) continue;
@@ -199,7 +199,7 @@
 
 void Cluster::set_catalog(std::vector<MachineType> types) {
   catalog_ = std::move(types);
-  for (auto& [id, h] : hosts_) {
+  for (auto& [id, h] : machines_) {
     if (const MachineType* t = type(h->type)) {
       h->size = t->size;
       h->cache_gb = t->cache_gb;
@@ -212,16 +212,16 @@
   return find_where(catalog_, [&](const MachineType& t) { return t.name == name; });
 }
 
-Host* Cluster::host(const std::string& id) {
-  const auto it = hosts_.find(id);
-  return it == hosts_.end() ? nullptr : it->second.get();
+Machine* Cluster::find_machine(const std::string& id) {
+  const auto it = machines_.find(id);
+  return it == machines_.end() ? nullptr : it->second.get();
 }
 
-Host& Cluster::learn_host(const std::string& id, std::string_view type_name, std::string_view zone,
-                          bool spot, Instant now) {
-  auto& slot = hosts_[id];
+Machine& Cluster::register_machine(const std::string& id, std::string_view type_name,
+                                   std::string_view zone, bool spot, Instant now) {
+  auto& slot = machines_[id];
   if (slot) return *slot;
-  slot = std::make_unique<Host>();
+  slot = std::make_unique<Machine>();
   slot->id = id;
   slot->type = type_name;
   slot->zone = zone;
@@ -239,40 +239,40 @@
 
 void Cluster::mark_returning(const std::string& id) {
   returning_.insert(id);
-  if (Host* h = host(id)) h->deleting = true;
+  if (Machine* h = find_machine(id)) h->deleting = true;
 }
 
-Effects Cluster::remove_host(const std::string& id, Instant now) {
+Effects Cluster::remove_machine(const std::string& id, Instant now) {
   Effects effects;
-  const auto it = hosts_.find(id);
-  if (it == hosts_.end()) {
+  const auto it = machines_.find(id);
+  if (it == machines_.end()) {
     gone_[id] = now;
     return effects;
   }
-  Host& h = *it->second;
+  Machine& h = *it->second;
   while (!h.bookings.empty()) effects |= end_booking(h, h.bookings.size() - 1, now);
-  if (h.stamp != 0 || !h.stamp_known) dead_records_.emplace_back(wire::host_key(id), h.stamp);
-  std::erase(held_hosts_, &h);  // found on reading: it was written to after it was gone
-  hosts_.erase(it);
+  if (h.stamp != 0 || !h.stamp_known) dead_records_.emplace_back(wire::machine_key(id), h.stamp);
+  std::erase(held_machines_, &h);  // found on reading: it was written to after it was gone
+  machines_.erase(it);
   std::erase_if(gone_, [&](const auto& g) { return now - g.second > kRememberGone; });
   gone_[id] = now;
   effects.schedule = true;
   return effects;
 }
 
-Instant Cluster::silent_until(const Host& h) const {
+Instant Cluster::silent_until(const Machine& h) const {
   // Safety 1: a worker that never bore our token may still be answered by the leader before us,
   // until that one's window is over.
   return h.ours ? h.last_answered : std::max(h.last_answered, term_since_ + blind_);
 }
 
-Instant Cluster::lease_over(const Host& h) const {
+Instant Cluster::lease_over(const Machine& h) const {
   return silent_until(h) + lease_;
 }
 
 Effects Cluster::expire(Instant now) {
   Effects effects;
-  for (auto& [id, h] : hosts_) {
+  for (auto& [id, h] : machines_) {
     if (h->lost) continue;
     if (!h->heard && h->bookings.empty()) continue;  // nothing of ours was ever there
     if (now < lease_over(*h)) continue;
@@ -288,7 +288,7 @@
 Effects Cluster::tick(Instant now) {
   Effects effects;
   const Nanos silent = to_nanos(platform_.report * 2 + Seconds(1));
-  for (auto& [id, h] : hosts_) {
+  for (auto& [id, h] : machines_) {
     // What waits on a machine that nothing is heard of, or that will not get it, goes elsewhere.
     // Found on days of our own with machines that fail their tasks: a drained one gets no `run`, so
     // what was booked there and not sent yet stayed for good, and its job with it.
@@ -316,7 +316,7 @@
     }
   }
   effects |= release_held_back(now);
-  if (!stop_hosts_.empty()) effects.stops = true;
+  if (!stop_machines_.empty()) effects.stops = true;
   return effects;
 }
 
@@ -324,7 +324,7 @@
 // report of it are sure to get there and back. One that runs on a drained machine stays: a machine
 // that fails what it starts does no harm to what runs (cellarline-qld-next, day `troubles`:
 // stopping them there cost more served time than the loss of machines).
-void Cluster::move_replicas(Host& h, Instant now) {
+void Cluster::move_replicas(Machine& h, Instant now) {
   if (!h.recall_at || *h.recall_at - now > to_nanos(platform_.report * 2)) return;
   for (Booking& b : h.bookings) {
     if (!b.service || b.stopping() || b.unsent()) continue;
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -80,7 +80,7 @@
   double gb = 0;
 };
 
-struct Host {
+struct Machine {
   std::string id;
   std::string address;
   std::string type;
@@ -157,12 +157,12 @@
 // What an event made necessary; the caller wakes the parts concerned.
 struct Effects {
   bool schedule = false;
-  bool store_hosts = false;
+  bool store_machines = false;
   bool store_done = false;
   bool stops = false;  // stop calls should go out at once
   bool runs = false;   // some machine may be sent a `run`
   void operator|=(const Effects& o) {
-    schedule |= o.schedule, store_hosts |= o.store_hosts, store_done |= o.store_done;
+    schedule |= o.schedule, store_machines |= o.store_machines, store_done |= o.store_done;
     stops |= o.stops, runs |= o.runs;
   }
 };
@@ -175,7 +175,7 @@
 };
 
 struct StopCall {
-  std::string host;
+  std::string machine;
   std::string address;
   uint64_t session = 0;
   std::vector<Command> commands;
@@ -189,8 +189,8 @@
   void begin_term(uint64_t epoch, Instant now);
   void load_job(wire::JobRecord record, uint64_t stamp, Instant now);
   void load_done(const std::string& job, uint32_t chunk, wire::View value, uint64_t stamp);
-  void load_host(const std::string& id, const wire::HostRecord& record, uint64_t stamp,
-                 Instant now);
+  void load_machine(const std::string& id, const wire::MachineRecord& record, uint64_t stamp,
+                    Instant now);
   uint64_t epoch() const { return epoch_; }
   Instant term_since() const { return term_since_; }
   uint64_t next_attempt();
@@ -213,15 +213,15 @@
   void set_catalog(std::vector<MachineType> types);
   const std::vector<MachineType>& catalog() const { return catalog_; }
   const MachineType* type(std::string_view name) const;
-  std::map<std::string, std::unique_ptr<Host>>& hosts() { return hosts_; }
-  const std::map<std::string, std::unique_ptr<Host>>& hosts() const { return hosts_; }
-  Host* host(const std::string& id);
-  Host& learn_host(const std::string& id, std::string_view type, std::string_view zone, bool spot,
-                   Instant now);
+  std::map<std::string, std::unique_ptr<Machine>>& machines() { return machines_; }
+  const std::map<std::string, std::unique_ptr<Machine>>& machines() const { return machines_; }
+  Machine* find_machine(const std::string& id);
+  Machine& register_machine(const std::string& id, std::string_view type, std::string_view zone,
+                            bool spot, Instant now);
   // The machine is to be returned, also when nothing is known of it yet: it gets no work.
   void mark_returning(const std::string& id);
   // The cloud confirmed that the machine is gone, or its lease is over and it is not listed.
-  Effects remove_host(const std::string& id, Instant now);
+  Effects remove_machine(const std::string& id, Instant now);
 
   // --- workers
   ReportResponse on_report(const WorkerReport& report, Instant now, bool may_start,
@@ -237,11 +237,11 @@
   // A report that came as the answer to a direct call: news, but no proof of what is not in it.
   Effects on_direct_report(const WorkerReport& report, Instant now);
   // Machines that our answers do not reach. When they are many it is our answers that are late.
-  std::vector<std::string> unreachable_hosts() const;
+  std::vector<std::string> unreachable_machines() const;
   // Ends the bookings of workers whose lease is certainly over.
   Effects expire(Instant now);
   // When the lease of this machine's worker is certainly over, as far as is known now.
-  Instant lease_over(const Host& h) const;
+  Instant lease_over(const Machine& h) const;
 
   // --- decisions
   // Where further tasks of the job may go, given all its bookings.
@@ -249,17 +249,17 @@
   // Null when the job's constraints do not allow the task there: it is pending again. Whoever plans
   // a booking has asked `constraints_of` before, so that is a fault of the plan: it is logged and
   // counted.
-  Booking* book(Host& host, Job& job, uint32_t index, uint64_t attempt, Instant now);
-  Booking* book_ahead(Host& host, Job& job, uint32_t index, uint64_t attempt, Turn turn,
+  Booking* book(Machine& machine, Job& job, uint32_t index, uint64_t attempt, Instant now);
+  Booking* book_ahead(Machine& machine, Job& job, uint32_t index, uint64_t attempt, Turn turn,
                       Instant now);
   uint64_t refused_bookings() const { return refused_bookings_; }
   // Takes one of the job's tasks that wait on some machine back, so that it can go elsewhere.
   bool take_back_ahead(const std::string& job, Instant now);
   // What ahead tasks must leave free: on machines, and of teams' limits.
-  void set_held(const std::map<std::string, Resources>& by_host, std::vector<Resources> by_team);
-  void stop(Host& host, Booking& booking, StopReason reason, Seconds grace, Instant now);
+  void set_held(const std::map<std::string, Resources>& by_machine, std::vector<Resources> by_team);
+  void stop(Machine& machine, Booking& booking, StopReason reason, Seconds grace, Instant now);
   // Gives a booking up for another: undone at once if its `run` never went out, else stopped.
-  Effects preempt(Host& host, const TaskRef& task, uint64_t attempt, Instant now);
+  Effects preempt(Machine& machine, const TaskRef& task, uint64_t attempt, Instant now);
   Effects drop_unsent(const std::string& job, Instant now);  // planned bookings of a job are undone
   std::vector<StopCall> take_stop_calls();
   Effects tick(Instant now);  // recalls that are due, stops that hang
@@ -267,18 +267,19 @@
   const ReplicaRestarts& replica_restarts() const { return replica_restarts_; }
 
   // --- the record of a machine in the state service
-  wire::HostRecord record_of(const Host& h) const;
+  wire::MachineRecord record_of(const Machine& h) const;
   // The machines whose records want writing: those with bookings of services and gangs first, then
   // first come first served.
-  void mark_dirty(Host& h, bool urgent = false);
+  void mark_dirty(Machine& h, bool urgent = false);
   // Takes the next one out of the queue; null when there is none.
-  Host* next_dirty_host();
+  Machine* next_dirty_machine();
   // Puts one that was taken out back to the front.
-  void return_dirty_host(Host& h);
-  size_t dirty_host_count() const { return urgent_hosts_.size() + dirty_hosts_.size(); }
-  void host_stored(Host& h, const wire::HostRecord& as_written, uint64_t stamp, Effects& effects);
+  void return_dirty_machine(Machine& h);
+  size_t dirty_machine_count() const { return urgent_machines_.size() + dirty_machines_.size(); }
+  void machine_stored(Machine& h, const wire::MachineRecord& as_written, uint64_t stamp,
+                      Effects& effects);
   // An upper bound of its record's size in JSON.
-  size_t record_size(const Host& h) const;
+  size_t record_size(const Machine& h) const;
   // Bookings are planned up to this size; what is above it is for orphans.
   size_t record_limit() const { return record_limit_; }
   // What a job adds to a record at most: once, and with each of its tasks.
@@ -289,10 +290,10 @@
   RecordCost record_cost(const Job& j) const;
 
   // Undoes the bookings on the machine that are not written down yet.
-  Effects drop_planned(Host& h, Instant now);
+  Effects drop_planned(Machine& h, Instant now);
 
   // The machines that hold bookings of a job, open or closed, in no particular order.
-  const std::vector<Host*>& holders(const std::string& job) const;
+  const std::vector<Machine*>& holders(const std::string& job) const;
 
   // Records of machines that are gone, to be deleted: key and stamp.
   std::vector<std::pair<std::string, uint64_t>> take_dead_records() {
@@ -306,43 +307,43 @@
   template <class Predicate>
   PlacementConstraints count_bookings(const Job& j, Predicate&& which) const;
   PlacementConstraints constraints_of_sent(const Job& j) const;
-  bool may_book(const Host& h, Job& j, uint32_t index);
-  Booking booking_of(Host& h, const Job& j, uint32_t index, uint64_t attempt, Instant now);
-  void add_booking(Host& h, Booking b);
+  bool may_book(const Machine& h, Job& j, uint32_t index);
+  Booking booking_of(Machine& h, const Job& j, uint32_t index, uint64_t attempt, Instant now);
+  void add_booking(Machine& h, Booking b);
   static void count_for_job(Job& j, const Booking& b);
   void count_earlier_bookings(Job& j);
   // Ends booking i of h. Returns what follows from it.
-  Effects end_booking(Host& h, size_t i, Instant now, bool gang_goes_on = false);
+  Effects end_booking(Machine& h, size_t i, Instant now, bool gang_goes_on = false);
   // Ends the job's unsent bookings of which `which` is true.
   template <class Predicate>
   Effects end_unsent(const std::string& job, Instant now, Predicate&& which);
-  Effects on_exit(Host& h, const TaskReport& r, Instant now);
-  void take_running(Booking& booking, Job* j, const Host& h, Instant now);
+  Effects on_exit(Machine& h, const TaskReport& r, Instant now);
+  void take_running(Booking& booking, Job* j, const Machine& h, Instant now);
   void hold_back_replica(Job& j, uint32_t index, bool soon, Instant now);
   Effects release_held_back(Instant now);
-  void count_restart(const Booking& b, const Host& h);
-  void move_replicas(Host& h, Instant now);
+  void count_restart(const Booking& b, const Machine& h);
+  void move_replicas(Machine& h, Instant now);
   void break_gang(const std::string& job, uint64_t attempt, Instant now, Effects& effects);
   void stop_gang(const std::string& job, uint64_t attempt, Seconds grace, Instant now);
-  void on_error(Host& h, Job* job, Instant now);
-  void suspect(Host& h, Instant now);
-  void clear_suspicion(Host& h, Instant now) const;
-  void promote_ahead(Host& h, Instant now);
+  void on_error(Machine& h, Job* job, Instant now);
+  void suspect(Machine& h, Instant now);
+  void clear_suspicion(Machine& h, Instant now) const;
+  void promote_ahead(Machine& h, Instant now);
   bool sendable(const Booking& b) const;
-  bool fresh(Host& h, const WorkerReport& b) const;
-  void take_report(Host& h, const WorkerReport& b, Instant now, bool complete, Effects& effects);
-  void take_host_state(Host& h, const WorkerReport& b, Instant now, bool complete,
+  bool fresh(Machine& h, const WorkerReport& b) const;
+  void take_report(Machine& h, const WorkerReport& b, Instant now, bool complete, Effects& effects);
+  void take_machine_state(Machine& h, const WorkerReport& b, Instant now, bool complete,
+                          Effects& effects);
+  Effects end_bookings_before(Machine& h, uint64_t session, Instant now);
+  Booking& book_orphan(Machine& h, const TaskReport& task, const Job* j, Instant now,
                        Effects& effects);
-  Effects end_bookings_before(Host& h, uint64_t session, Instant now);
-  Booking& book_orphan(Host& h, const TaskReport& task, const Job* j, Instant now,
-                       Effects& effects);
-  bool welcome(const Host& h, const Job& j, uint32_t index) const;
+  bool welcome(const Machine& h, const Job& j, uint32_t index) const;
   Effects make_way_for(const Job& j, const TaskRef& orphan, Instant now);
-  bool take_task(Host& h, const TaskReport& t, Instant now, Effects& effects);
-  bool end_unlisted(Host& h, const WorkerReport& b, Instant now, Effects& effects);
-  void note_image(Host& h, const Job& job);
+  bool take_task(Machine& h, const TaskReport& t, Instant now, Effects& effects);
+  bool end_unlisted(Machine& h, const WorkerReport& b, Instant now, Effects& effects);
+  void note_image(Machine& h, const Job& job);
   int team_index(std::string_view name) const;
-  Instant silent_until(const Host& h) const;
+  Instant silent_until(const Machine& h) const;
 
   const settings::Platform& platform_;
   const settings::Operator& op_;
@@ -355,25 +356,25 @@
   size_t record_limit_;
   std::vector<MachineType> catalog_;
   std::map<std::string, std::unique_ptr<Job>> jobs_;
-  std::map<std::string, std::unique_ptr<Host>> hosts_;
+  std::map<std::string, std::unique_ptr<Machine>> machines_;
   // By job: the machines with bookings of it, so that nothing need walk all machines to find them.
-  std::unordered_map<std::string, std::vector<Host*>> holders_;
+  std::unordered_map<std::string, std::vector<Machine*>> holders_;
   std::vector<TeamUsage> usage_;
   Resources beside_gpu_;
   std::map<std::string, Expected> expected_;  // by class
   std::set<std::string> returning_;           // by the decision of a former leader
   std::map<std::string, Instant> gone_;  // machines removed of late: late reports are not believed
   std::vector<std::pair<std::string, uint64_t>> dead_records_;
-  std::deque<std::string> urgent_hosts_;
-  std::deque<std::string> dirty_hosts_;
+  std::deque<std::string> urgent_machines_;
+  std::deque<std::string> dirty_machines_;
   std::vector<std::string> runnable_;
   bool work_waits_ = false;
   uint64_t refused_bookings_ = 0;
   std::set<std::string> held_back_jobs_;  // with tasks that wait before they are placed again
   ReplicaRestarts replica_restarts_;
-  std::vector<Host*> held_hosts_;
-  std::vector<Resources> saved_;         // of teams' limits, for gangs that wait for them
-  std::vector<std::string> stop_hosts_;  // hosts with stops that were not called out yet
+  std::vector<Machine*> held_machines_;
+  std::vector<Resources> saved_;            // of teams' limits, for gangs that wait for them
+  std::vector<std::string> stop_machines_;  // machines with stops that were not called out yet
 };
 
 }  // namespace dunlinknot::cluster
--- a/src/dunlinknot/cluster/failures.cpp
+++ b/src/dunlinknot/cluster/failures.cpp
@@ -19,7 +19,7 @@
 
 // A report's arrival is no proof that answers get through. Runs that are sent again and again, and
 // sessions that end while we answer, tell: such a machine would swallow work for ever.
-void Cluster::suspect(Host& h, Instant now) {
+void Cluster::suspect(Machine& h, Instant now) {
   if (h.suspicions == 0 || now - h.last_suspicion > lease_ * 2) {
     h.suspicions = 0;
     h.first_suspicion = now;
@@ -33,17 +33,17 @@
 // A session that outlives a lease since the last sign shows that our answers renew it. Found by
 // random scenarios: machines that had been deaf for a while got no `run` that they could obey, were
 // too many to be deleted, and the only job that fitted them waited for good.
-void Cluster::clear_suspicion(Host& h, Instant now) const {
+void Cluster::clear_suspicion(Machine& h, Instant now) const {
   if (!h.unreachable || now - std::max(h.session_since, h.last_suspicion) < lease_) return;
   h.suspicions = 0;
   h.unreachable = false;
   spdlog::info("machine {}: our answers reach it again", h.id);
 }
 
-std::vector<std::string> Cluster::unreachable_hosts() const {
+std::vector<std::string> Cluster::unreachable_machines() const {
   std::vector<std::string> out;
   size_t heard = 0;
-  for (const auto& [id, h] : hosts_) {
+  for (const auto& [id, h] : machines_) {
     if (!h->heard || h->lost) continue;
     ++heard;
     if (h->unreachable) out.push_back(id);
@@ -67,7 +67,7 @@
 }
 
 // The end of a replica's booking while its service is open: it has to run again.
-void Cluster::count_restart(const Booking& b, const Host& h) {
+void Cluster::count_restart(const Booking& b, const Machine& h) {
   if (b.unsent()) return;
   uint64_t& count = b.stop == StopReason::preempted ? replica_restarts_.preempted
                     : b.stopping()                  ? replica_restarts_.moved
@@ -78,7 +78,7 @@
 
 // Safety 6: a machine that fails what other machines complete is drained; a job that fails on
 // every machine backs off.
-void Cluster::on_error(Host& h, Job* j, Instant now) {
+void Cluster::on_error(Machine& h, Job* j, Instant now) {
   ++h.error_streak;
   if (!j) return;
   if (j->failed_on.size() < kMaxFailedOn) j->failed_on.insert(h.id);
--- a/src/dunlinknot/cluster/job.cpp
+++ b/src/dunlinknot/cluster/job.cpp
@@ -12,7 +12,7 @@
       submitted_(submitted),
       known_since_(known_since),
       team_(team),
-      record_group_size_(wire::host_group_size(spec_.id, spec_.team, spec_.need)),
+      record_group_size_(wire::machine_group_size(spec_.id, spec_.team, spec_.need)),
       done_(spec_.tasks),
       durable_(spec_.tasks),
       storable_in_chunk_(storable_in_chunk) {}
--- a/src/dunlinknot/cluster/leader_context.hpp
+++ b/src/dunlinknot/cluster/leader_context.hpp
@@ -21,7 +21,7 @@
         op(o),
         leader_state(p, o),
         schedule(l),
-        store_hosts(l),
+        store_machines(l),
         store_done(l),
         stops(l),
         runs(l),
@@ -31,7 +31,7 @@
   const settings::Platform& platform;
   const settings::Operator& op;
   Shared<LeaderState> leader_state;
-  Signal schedule, store_hosts, store_done, stops, runs, rentals;
+  Signal schedule, store_machines, store_done, stops, runs, rentals;
 
   // Each term has a number; a part that was started for one ends with it.
   uint64_t term = 0;
@@ -42,7 +42,7 @@
 
   void follow_up(const Effects& n) {
     if (n.schedule) schedule.notify();
-    if (n.store_hosts) store_hosts.notify();
+    if (n.store_machines) store_machines.notify();
     if (n.store_done) store_done.notify();
     if (n.stops) stops.notify();
     if (n.runs) runs.notify();
--- a/src/dunlinknot/cluster/ledger.cpp
+++ b/src/dunlinknot/cluster/ledger.cpp
@@ -72,18 +72,18 @@
     if (!open) garbage_.emplace_back(i.key, i.stamp);
   };
   if (!co_await list_all(term, std::string(wire::kDonePrefix), done, rest)) co_return false;
-  const Visit host = [this](const state::Item& i) {
-    const std::string id(wire::after_prefix(i.key, wire::kHostPrefix));
-    const auto record = wire::read_host(i.value);
+  const Visit machine = [this](const state::Item& i) {
+    const std::string id(wire::after_prefix(i.key, wire::kMachinePrefix));
+    const auto record = wire::read_machine_record(i.value);
     const Instant now = context_.loop.now();
     if (!record) {
       spdlog::error("the record {} cannot be read and is left alone", i.key);
       return;
     }
     context_.leader_state.with(
-        [&](LeaderState& p) { p.cluster.load_host(id, *record, i.stamp, now); });
+        [&](LeaderState& p) { p.cluster.load_machine(id, *record, i.stamp, now); });
   };
-  if (!co_await list_all(term, std::string(wire::kHostPrefix), host, rest)) co_return false;
+  if (!co_await list_all(term, std::string(wire::kMachinePrefix), machine, rest)) co_return false;
   jobs_revision_ = jobs.revision;
   hooks_.caught_up(jobs.sent);
   co_return true;
--- a/src/dunlinknot/cluster/ledger.hpp
+++ b/src/dunlinknot/cluster/ledger.hpp
@@ -28,7 +28,7 @@
 
   // Reads everything a new leader needs; false when the term ended meanwhile.
   Task<bool> load(uint64_t term);
-  Task<void> store_hosts(uint64_t term);
+  Task<void> store_machines(uint64_t term);
   Task<void> store_done(uint64_t term);
   Task<void> watch_jobs(uint64_t term);
   void cancelled(const std::string& id);  // another node says so; the watch will too
@@ -38,13 +38,13 @@
  private:
   static constexpr Millis kCommitTime{1200};  // for one call of the state service
   static constexpr Millis kRetry{120};        // after a call that was refused or got no answer
-  struct HostWrite {
+  struct MachineWrite {
     std::string id;
     uint64_t stamp = 0;
-    wire::HostRecord record;
+    wire::MachineRecord record;
   };
-  struct HostBatch {  // one transaction over the records of machines
-    std::vector<HostWrite> hosts;
+  struct MachineBatch {  // one transaction over the records of machines
+    std::vector<MachineWrite> machines;
     std::set<std::string> jobs;  // with new bookings there: their records are guarded
     size_t bytes = 0;
     state::Txn txn;
@@ -70,15 +70,15 @@
     Instant sent{};
   };
   Task<bool> list_all(uint64_t term, std::string prefix, Visit visit, Reading& reading);
-  Task<void> refresh_hosts(uint64_t term);
+  Task<void> refresh_machines(uint64_t term);
   static constexpr size_t kMostOps = 16;
   size_t max_ops() const { return std::min(state_.limits().txn_ops(), kMostOps); }
-  size_t guards_left(const HostBatch& batch) const;
-  bool add_host(HostBatch& batch, Cluster& cluster, Host& h) const;
-  HostBatch collect_hosts(Cluster& cluster, bool trailing) const;
-  Effects take_hosts_result(Cluster& cluster, const HostBatch& batch, const state::TxnResult& r,
-                            std::vector<std::string>& recheck);
-  Task<bool> store_some_hosts(uint64_t term, bool trailing);
+  size_t guards_left(const MachineBatch& batch) const;
+  bool add_machine_record(MachineBatch& batch, Cluster& cluster, Machine& h) const;
+  MachineBatch collect_machines(Cluster& cluster, bool trailing) const;
+  Effects take_machines_result(Cluster& cluster, const MachineBatch& batch,
+                               const state::TxnResult& r, std::vector<std::string>& recheck);
+  Task<bool> store_some_machines(uint64_t term, bool trailing);
   Task<bool> delete_some_records(uint64_t term);
   void add_end(ProgressBatch& batch, const Job& j) const;
   void add_chunks(ProgressBatch& batch, const Job& j) const;
--- a/src/dunlinknot/cluster/ledger_hosts.cpp
+++ b/src/dunlinknot/cluster/ledger_machines.cpp
@@ -19,14 +19,14 @@
 
 }  // namespace
 
-Task<void> Ledger::store_hosts(uint64_t term) {
+Task<void> Ledger::store_machines(uint64_t term) {
   Instant next_trailing = context_.loop.now() + kTrailing;
   while (context_.in_term(term)) {
-    (void)co_await context_.store_hosts.wait_until(next_trailing);
+    (void)co_await context_.store_machines.wait_until(next_trailing);
     const bool trailing = context_.loop.now() >= next_trailing;
     if (trailing) next_trailing = context_.loop.now() + kTrailing;
     for (bool more = true; more && context_.in_term(term);)
-      more = co_await store_some_hosts(term, trailing);
+      more = co_await store_some_machines(term, trailing);
     if (trailing) {
       for (bool more = true; more && context_.in_term(term);)
         more = co_await delete_some_records(term);
@@ -35,17 +35,17 @@
 }
 
 // Machines whose record may have been changed by a transaction with an unknown outcome.
-Task<void> Ledger::refresh_hosts(uint64_t term) {
+Task<void> Ledger::refresh_machines(uint64_t term) {
   stamps_unknown_ = false;
   std::vector<std::string> ids = context_.leader_state.with([](LeaderState& p) {
     std::vector<std::string> out;
-    for (const auto& [id, h] : p.cluster.hosts()) {
+    for (const auto& [id, h] : p.cluster.machines()) {
       if (!h->stamp_known) out.push_back(id);
     }
     return out;
   });
   for (const auto& id : ids) {
-    state::GetResult got = co_await state_.get(wire::host_key(id), kCommitTime);
+    state::GetResult got = co_await state_.get(wire::machine_key(id), kCommitTime);
     if (!context_.in_term(term)) co_return;
     if (got.outcome != Outcome::ok) {
       stamps_unknown_ = true;
@@ -53,12 +53,12 @@
     }
     Effects effects;
     context_.leader_state.with([&](LeaderState& p) {
-      Host* h = p.cluster.host(id);
+      Machine* h = p.cluster.find_machine(id);
       if (!h) return;
       // What the record says is what is durable, whichever attempt wrote it.
-      const auto record = got.found ? wire::read_host(got.item.value) : std::nullopt;
-      p.cluster.host_stored(*h, record.value_or(wire::HostRecord{}), got.found ? got.item.stamp : 0,
-                            effects);
+      const auto record = got.found ? wire::read_machine_record(got.item.value) : std::nullopt;
+      p.cluster.machine_stored(*h, record.value_or(wire::MachineRecord{}),
+                               got.found ? got.item.stamp : 0, effects);
     });
     context_.follow_up(effects);
   }
@@ -77,7 +77,7 @@
 namespace {
 
 // Takes the new bookings of all but these jobs out of a record.
-void leave_out_new_bookings(wire::HostRecord& record, const Host& h,
+void leave_out_new_bookings(wire::MachineRecord& record, const Machine& h,
                             const std::set<std::string>& but_of) {
   for (const Booking& b : h.bookings) {
     if (b.phase != Phase::planned || but_of.contains(b.task.job)) continue;
@@ -92,14 +92,14 @@
 }  // namespace
 
 // How many more guards the transaction takes, beside that on a machine's record.
-size_t Ledger::guards_left(const HostBatch& batch) const {
+size_t Ledger::guards_left(const MachineBatch& batch) const {
   const size_t most = max_ops() * kGuardsPerWrite;
   const size_t taken = batch.txn.guards.size() + batch.jobs.size() + 1;
   return most > taken ? most - taken : 0;
 }
 
 // Adds the machine's record to the transaction; false when it does not fit into it any more.
-bool Ledger::add_host(HostBatch& batch, Cluster& cluster, Host& h) const {
+bool Ledger::add_machine_record(MachineBatch& batch, Cluster& cluster, Machine& h) const {
   // A record that another version stored large has to shrink first, as what is booked there ends.
   // What was to be added goes elsewhere. The larger record that stands books too much, never too
   // little (safety 1).
@@ -115,57 +115,57 @@
   }
   for (const std::string& id : batch.jobs) fresh.erase(id);
   const size_t room = guards_left(batch);
-  if (fresh.size() > room && !batch.hosts.empty()) return false;
-  HostWrite write{h.id, h.stamp, cluster.record_of(h)};
+  if (fresh.size() > room && !batch.machines.empty()) return false;
+  MachineWrite write{h.id, h.stamp, cluster.record_of(h)};
   if (fresh.size() > room) {
     // More jobs than one transaction guards: the rest follows with the next one.
     while (fresh.size() > room) fresh.erase(std::prev(fresh.end()));
     leave_out_new_bookings(write.record, h, fresh);
   }
   std::string value;
-  if (!write.record.groups.empty()) value = wire::write_host(write.record);
+  if (!write.record.groups.empty()) value = wire::write_machine_record(write.record);
   if (value.empty() && write.stamp == 0) {
     h.dirty = h.trailing = false;
     return true;
   }
   batch.jobs.insert(fresh.begin(), fresh.end());
   batch.bytes += value.size() * 2;
-  batch.txn.guards.push_back({wire::host_key(h.id), write.stamp});
-  batch.txn.writes.push_back({wire::host_key(h.id), std::move(value), 0});
+  batch.txn.guards.push_back({wire::machine_key(h.id), write.stamp});
+  batch.txn.writes.push_back({wire::machine_key(h.id), std::move(value), 0});
   h.storing = true;
-  batch.hosts.push_back(std::move(write));
+  batch.machines.push_back(std::move(write));
   return true;
 }
 
 // The records that wait to be written, as many as one transaction takes; with `trailing`, also
 // those that only shrank.
-Ledger::HostBatch Ledger::collect_hosts(Cluster& cluster, bool trailing) const {
-  HostBatch batch;
+Ledger::MachineBatch Ledger::collect_machines(Cluster& cluster, bool trailing) const {
+  MachineBatch batch;
   batch.txn.guards.push_back(epoch_guard());
   const auto full = [&] {
-    return batch.hosts.size() >= max_ops() || batch.bytes > kTxnBytes || guards_left(batch) == 0;
+    return batch.machines.size() >= max_ops() || batch.bytes > kTxnBytes || guards_left(batch) == 0;
   };
-  std::vector<Host*> unwritable;  // what stands in their records is being found out
-  std::vector<Host*> too_many_jobs;
+  std::vector<Machine*> unwritable;  // what stands in their records is being found out
+  std::vector<Machine*> too_many_jobs;
   while (!full() && unwritable.size() + too_many_jobs.size() < kMostPassedOver) {
-    Host* h = cluster.next_dirty_host();
+    Machine* h = cluster.next_dirty_machine();
     if (!h) break;
     if (!h->stamp_known || h->storing) {
       unwritable.push_back(h);
-    } else if (!add_host(batch, cluster, *h)) {
+    } else if (!add_machine_record(batch, cluster, *h)) {
       too_many_jobs.push_back(h);
     }
   }
-  for (Host* h : unwritable) cluster.mark_dirty(*h);
+  for (Machine* h : unwritable) cluster.mark_dirty(*h);
   while (!too_many_jobs.empty()) {
-    cluster.return_dirty_host(*too_many_jobs.back());
+    cluster.return_dirty_machine(*too_many_jobs.back());
     too_many_jobs.pop_back();
   }
-  if (trailing && cluster.dirty_host_count() == 0) {
-    for (auto& [id, h] : cluster.hosts()) {
+  if (trailing && cluster.dirty_machine_count() == 0) {
+    for (auto& [id, h] : cluster.machines()) {
       if (full()) break;
       const bool shrank = h->trailing && !h->dirty && h->stamp_known && !h->storing;
-      if (shrank && !add_host(batch, cluster, *h)) break;
+      if (shrank && !add_machine_record(batch, cluster, *h)) break;
     }
   }
   for (const auto& id : batch.jobs) {
@@ -176,21 +176,21 @@
 
 // What the transaction's result says of the records and jobs that it was about. Adds the jobs whose
 // record was not what the leader took it for to `recheck`.
-Effects Ledger::take_hosts_result(Cluster& cluster, const HostBatch& batch,
-                                  const state::TxnResult& r, std::vector<std::string>& recheck) {
+Effects Ledger::take_machines_result(Cluster& cluster, const MachineBatch& batch,
+                                     const state::TxnResult& r, std::vector<std::string>& recheck) {
   Effects effects;
-  for (const auto& w : batch.hosts) {
-    Host* h = cluster.host(w.id);
+  for (const auto& w : batch.machines) {
+    Machine* h = cluster.find_machine(w.id);
     if (!h) {
       if (r.applied && !w.record.groups.empty()) {
-        garbage_.emplace_back(wire::host_key(w.id), r.revision);
+        garbage_.emplace_back(wire::machine_key(w.id), r.revision);
       }
       continue;
     }
     h->storing = false;
     if (r.applied) {
-      cluster.host_stored(*h, w.record, w.record.groups.empty() ? 0 : r.revision, effects);
-    } else if (r.outcome == Outcome::unknown || r.guard_failed(wire::host_key(w.id))) {
+      cluster.machine_stored(*h, w.record, w.record.groups.empty() ? 0 : r.revision, effects);
+    } else if (r.outcome == Outcome::unknown || r.guard_failed(wire::machine_key(w.id))) {
       h->stamp_known = false;
       stamps_unknown_ = true;
     }
@@ -205,27 +205,27 @@
 }
 
 // Returns whether there may be more to do at once.
-Task<bool> Ledger::store_some_hosts(uint64_t term, bool trailing) {
+Task<bool> Ledger::store_some_machines(uint64_t term, bool trailing) {
   if (stamps_unknown_) {
-    co_await refresh_hosts(term);
+    co_await refresh_machines(term);
     if (!context_.in_term(term)) co_return false;
   }
   const size_t waiting =
-      context_.leader_state.with([](LeaderState& p) { return p.cluster.dirty_host_count(); });
+      context_.leader_state.with([](LeaderState& p) { return p.cluster.dirty_machine_count(); });
   if (waiting == 0 && !trailing) co_return false;
   // Records that only shrank are rewritten with what is left over: an entry too many costs a new
   // leader a moment, a booking that waits costs a machine.
   if (waiting == 0 && state_.write_level() < state_.write_burst() * kSlackLevel) co_return false;
   co_await await_budget(term, static_cast<double>(std::min(waiting, max_ops())));
   if (!context_.in_term(term)) co_return false;
-  HostBatch batch = context_.leader_state.with(
-      [&](LeaderState& p) { return collect_hosts(p.cluster, trailing); });
-  if (batch.hosts.empty()) co_return false;
+  MachineBatch batch = context_.leader_state.with(
+      [&](LeaderState& p) { return collect_machines(p.cluster, trailing); });
+  if (batch.machines.empty()) co_return false;
   const state::TxnResult r = co_await state_.commit(std::move(batch.txn), kCommitTime);
   if (!context_.in_term(term)) co_return false;
   std::vector<std::string> recheck;
   const Effects effects = context_.leader_state.with(
-      [&](LeaderState& p) { return take_hosts_result(p.cluster, batch, r, recheck); });
+      [&](LeaderState& p) { return take_machines_result(p.cluster, batch, r, recheck); });
   if (r.guard_failed(wire::kEpochKey)) {
     hooks_.deposed("a transaction met a later epoch");
     co_return false;
--- a/src/dunlinknot/cluster/records.cpp
+++ b/src/dunlinknot/cluster/records.cpp
@@ -7,21 +7,21 @@
 
 namespace dunlinknot::cluster {
 
-void Cluster::mark_dirty(Host& h, bool urgent) {
+void Cluster::mark_dirty(Machine& h, bool urgent) {
   h.dirty = true;
   if (h.urgent || (h.queued && !urgent)) return;
   // One that waits already may become urgent: its other place in the queue is passed over later.
   (urgent ? h.urgent : h.queued) = true;
-  (urgent ? urgent_hosts_ : dirty_hosts_).push_back(h.id);
+  (urgent ? urgent_machines_ : dirty_machines_).push_back(h.id);
 }
 
-Host* Cluster::next_dirty_host() {
-  while (dirty_host_count() > 0) {
-    const bool urgent = !urgent_hosts_.empty();
-    auto& queue = urgent ? urgent_hosts_ : dirty_hosts_;
+Machine* Cluster::next_dirty_machine() {
+  while (dirty_machine_count() > 0) {
+    const bool urgent = !urgent_machines_.empty();
+    auto& queue = urgent ? urgent_machines_ : dirty_machines_;
     const std::string id = std::move(queue.front());
     queue.pop_front();
-    Host* h = host(id);
+    Machine* h = find_machine(id);
     if (!h) continue;
     (urgent ? h->urgent : h->queued) = false;
     if (h->dirty) return h;
@@ -29,18 +29,18 @@
   return nullptr;
 }
 
-void Cluster::return_dirty_host(Host& h) {
+void Cluster::return_dirty_machine(Machine& h) {
   const bool urgent = std::any_of(h.bookings.begin(), h.bookings.end(), [](const Booking& b) {
     return b.phase == Phase::planned && (b.gang || b.service);
   });
   bool& waits = urgent ? h.urgent : h.queued;
   if (waits) return;
   waits = true;
-  (urgent ? urgent_hosts_ : dirty_hosts_).push_front(h.id);
+  (urgent ? urgent_machines_ : dirty_machines_).push_front(h.id);
 }
 
-wire::HostRecord Cluster::record_of(const Host& h) const {
-  wire::HostRecord r;
+wire::MachineRecord Cluster::record_of(const Machine& h) const {
+  wire::MachineRecord r;
   r.type = h.type;
   r.zone = h.zone;
   r.address = h.address;
@@ -56,11 +56,11 @@
   return r;
 }
 
-size_t Cluster::record_size(const Host& h) const {
-  size_t size = wire::host_record_size(h.type, h.zone, h.address);
+size_t Cluster::record_size(const Machine& h) const {
+  size_t size = wire::machine_record_size(h.type, h.zone, h.address);
   std::vector<std::string_view> jobs;
   for (const Booking& b : h.bookings) {
-    size += wire::host_task_size(b.task.index, b.attempt);
+    size += wire::machine_task_size(b.task.index, b.attempt);
     if (std::find(jobs.begin(), jobs.end(), b.task.job) != jobs.end()) continue;
     jobs.push_back(b.task.job);
     size += b.record_group_size;
@@ -71,11 +71,11 @@
 Cluster::RecordCost Cluster::record_cost(const Job& j) const {
   constexpr uint64_t kMostAttempts = (uint64_t{1} << 24) - 1;  // of one epoch, see next_attempt
   return {j.record_group_size(),
-          wire::host_task_size(j.spec().tasks, epoch_ << 24 | kMostAttempts)};
+          wire::machine_task_size(j.spec().tasks, epoch_ << 24 | kMostAttempts)};
 }
 
-void Cluster::host_stored(Host& h, const wire::HostRecord& written, uint64_t stamp,
-                          Effects& effects) {
+void Cluster::machine_stored(Machine& h, const wire::MachineRecord& written, uint64_t stamp,
+                             Effects& effects) {
   h.stamp = stamp;
   h.stamp_known = true;
   h.stored.clear();
@@ -94,7 +94,7 @@
         h.stored, [&](const auto& s) { return s.second == b.attempt && s.first == b.task; });
     if (!there) {
       mark_dirty(h, b.gang || b.service);
-      effects.store_hosts = true;
+      effects.store_machines = true;
       continue;
     }
     b.phase = Phase::durable;
@@ -107,7 +107,7 @@
     Job* j = job(b.task.job);
     if (!j || j->gang_attempt != b.attempt) continue;
     uint32_t standing = 0;
-    for (const Host* other : holders(b.task.job)) {
+    for (const Machine* other : holders(b.task.job)) {
       for (const Booking& k : other->bookings) {
         if (k.task.job == b.task.job && k.attempt == b.attempt && k.phase != Phase::planned) {
           ++standing;
@@ -116,7 +116,7 @@
     }
     j->gang_go = standing == j->spec().tasks;
     if (!j->gang_go) continue;
-    for (const Host* other : holders(b.task.job)) runnable_.push_back(other->id);
+    for (const Machine* other : holders(b.task.job)) runnable_.push_back(other->id);
   }
 }
 
--- a/src/dunlinknot/cluster/reports.cpp
+++ b/src/dunlinknot/cluster/reports.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-bool Cluster::fresh(Host& h, const WorkerReport& b) const {
+bool Cluster::fresh(Machine& h, const WorkerReport& b) const {
   if (!h.heard) return true;
   return std::pair(b.session, b.seq) > std::pair(h.session, h.seq);
 }
@@ -44,7 +44,7 @@
     answer.kind = ReportResponse::Kind::stale;
     return answer;
   }
-  Host& h = learn_host(b.machine, b.type, b.zone, b.spot, now);
+  Machine& h = register_machine(b.machine, b.type, b.zone, b.spot, now);
   if (h.lost && b.session <= h.session) {
     answer.kind = ReportResponse::Kind::stale;
     return answer;
@@ -86,14 +86,14 @@
 
 ReportResponse Cluster::orders(const WorkerReport& b, Instant now, bool may_start) {
   ReportResponse answer;
-  Host* known = host(b.machine);
+  Machine* known = find_machine(b.machine);
   if (!known || known->lost ||
       std::pair(known->report_session, known->report_seq) != std::pair(b.session, b.seq)) {
     // Gone meanwhile, or its worker gave this answer up and reported anew.
     answer.kind = ReportResponse::Kind::stale;
     return answer;
   }
-  Host& h = *known;
+  Machine& h = *known;
 
   // The response. Stops first: what renews a lease carries every stop that is due (safety 2), and
   // the room they make is there for what starts.
@@ -128,15 +128,15 @@
 
 Effects Cluster::on_direct_report(const WorkerReport& b, Instant now) {
   Effects effects;
-  Host* h = host(b.machine);
+  Machine* h = find_machine(b.machine);
   if (!h || b.token > epoch_ || !fresh(*h, b) || h->lost) return effects;
   take_report(*h, b, now, false, effects);
   return effects;
 }
 
 // What the worker tells of itself; its tasks are read by the caller.
-void Cluster::take_host_state(Host& h, const WorkerReport& b, Instant now, bool complete,
-                              Effects& effects) {
+void Cluster::take_machine_state(Machine& h, const WorkerReport& b, Instant now, bool complete,
+                                 Effects& effects) {
   if (!h.heard || b.session != h.session) h.session_since = now;
   if (!h.heard) {
     h.idle_since = now;
@@ -160,7 +160,7 @@
 }
 
 // The worker killed all it had when its lease ran out; a `run` from before is dropped there.
-Effects Cluster::end_bookings_before(Host& h, uint64_t session, Instant now) {
+Effects Cluster::end_bookings_before(Machine& h, uint64_t session, Instant now) {
   Effects effects;
   h.images.clear();
   for (size_t i = h.bookings.size(); i-- > 0;) {
@@ -175,14 +175,14 @@
 
 // Whether a task that is on the machine without a booking may stay: a task of an array that waits
 // for a place, where it may be beside the job's other tasks. What was not sent gives way to it.
-bool Cluster::welcome(const Host& h, const Job& j, uint32_t index) const {
+bool Cluster::welcome(const Machine& h, const Job& j, uint32_t index) const {
   if (j.spec().gang || j.is_done(index) || j.is_live(index)) return false;
   if (!kind_allowed(j.spec(), h.type, h.zone, h.spot)) return false;
   return constraints_of_sent(j).tasks_allowed(h.zone) > 0;
 }
 
 // On the machine without a booking: counted from now on, and stopped unless it is welcome.
-Booking& Cluster::book_orphan(Host& h, const TaskReport& task, const Job* j, Instant now,
+Booking& Cluster::book_orphan(Machine& h, const TaskReport& task, const Job* j, Instant now,
                               Effects& effects) {
   Booking orphan;
   orphan.task = task.task;
@@ -210,13 +210,13 @@
 }
 
 // A task that is on the machine. Returns whether that shows that a `run` of ours got there.
-bool Cluster::take_task(Host& h, const TaskReport& t, Instant now, Effects& effects) {
+bool Cluster::take_task(Machine& h, const TaskReport& t, Instant now, Effects& effects) {
   Job* j = job(t.task.job);
   if (j && t.task.index >= j->spec().tasks) j = nullptr;
   Booking* booking = h.find(t.task, t.attempt);
   if (!booking) {
     booking = &book_orphan(h, t, j, now, effects);
-    effects.store_hosts = true;
+    effects.store_machines = true;
   }
   if (!j && !booking->stopping()) stop(h, *booking, StopReason::cancelled, Seconds(0), now);
   const bool obeyed = booking->phase == Phase::sent;
@@ -242,7 +242,7 @@
 // the report bears our token (an older leader's `run` is refused from now on) and was sent after
 // the response that carried ours (one report is in flight at a time, late responses are dropped).
 // Returns whether the response with some `run` was lost.
-bool Cluster::end_unlisted(Host& h, const WorkerReport& b, Instant now, Effects& effects) {
+bool Cluster::end_unlisted(Machine& h, const WorkerReport& b, Instant now, Effects& effects) {
   bool missed_us = false;
   for (size_t i = h.bookings.size(); i-- > 0;) {
     if (i >= h.bookings.size()) continue;
@@ -263,14 +263,14 @@
   return missed_us;
 }
 
-void Cluster::take_report(Host& h, const WorkerReport& b, Instant now, bool complete,
+void Cluster::take_report(Machine& h, const WorkerReport& b, Instant now, bool complete,
                           Effects& effects) {
   const bool new_session = h.heard && b.session > h.session;
   // Its lease ran out although we answered it in time: either our answers do not get there, or it
   // was started anew.
   bool missed_us = complete && new_session && h.ours && now - h.last_answered < lease_ / 2;
   bool obeyed = false;
-  take_host_state(h, b, now, complete, effects);
+  take_machine_state(h, b, now, complete, effects);
   if (new_session) {
     effects.schedule = true;
     effects |= end_bookings_before(h, b.session, now);
@@ -291,11 +291,11 @@
   } else if (complete) {
     clear_suspicion(h, now);
   }
-  if (!stop_hosts_.empty()) effects.stops = true;
+  if (!stop_machines_.empty()) effects.stops = true;
 }
 
 // A replica that goes on running shows that its service can, and that its machine is sound.
-void Cluster::take_running(Booking& booking, Job* j, const Host& h, Instant now) {
+void Cluster::take_running(Booking& booking, Job* j, const Machine& h, Instant now) {
   if (!j || j->proven || !ran_for(booking, kProvenRun, now)) return;
   spdlog::debug("service {} runs on {}", booking.task.job, h.id);
   j->proven = true;
@@ -303,7 +303,7 @@
   j->backoff = Nanos(0);
 }
 
-Effects Cluster::on_exit(Host& h, const TaskReport& r, Instant now) {
+Effects Cluster::on_exit(Machine& h, const TaskReport& r, Instant now) {
   Effects effects;
   Job* j = job(r.task.job);
   if (j && r.task.index >= j->spec().tasks) j = nullptr;
--- a/src/dunlinknot/fleet/fleet.cpp
+++ b/src/dunlinknot/fleet/fleet.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-using cluster::Host;
 using cluster::LeaderState;
+using cluster::Machine;
 
 constexpr auto kListEvery = std::chrono::seconds(3);
 constexpr double kListShare = 0.5;  // of the cloud's requests, for listing many machines
@@ -97,8 +97,8 @@
   context_.leader_state.with([&](LeaderState& p) {
     for (const auto& m : machines) {
       if (p.cluster.is_gone(m.id)) continue;  // the list lags
-      const bool known = p.cluster.host(m.id) != nullptr;
-      Host& h = p.cluster.learn_host(m.id, m.type, m.zone, m.spot, now);
+      const bool known = p.cluster.find_machine(m.id) != nullptr;
+      Machine& h = p.cluster.register_machine(m.id, m.type, m.zone, m.spot, now);
       if (!known) {
         // Not rented under this term, or by a request whose answer was lost: used like any other.
         h.known_since = now - to_nanos(m.age);
@@ -126,9 +126,9 @@
   const Nanos silent = to_nanos(context_.platform.report * kReportSpread + kReportSlack);
   context_.leader_state.with([&](LeaderState& p) {
     // Deleting a machine that does not hear us is the quick fence: its tasks go elsewhere at once.
-    for (const auto& id : p.cluster.unreachable_hosts())
+    for (const auto& id : p.cluster.unreachable_machines())
       out.emplace_back(id, "our answers do not reach it");
-    for (const auto& [id, h] : p.cluster.hosts()) {
+    for (const auto& [id, h] : p.cluster.machines()) {
       if (h->deleting || h->unreachable) continue;
       if (!h->heard) {
         // Some take several times as long; some never come up and cost until they are deleted.
--- a/src/dunlinknot/fleet/rentals.cpp
+++ b/src/dunlinknot/fleet/rentals.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-using cluster::Host;
 using cluster::LeaderState;
+using cluster::Machine;
 using duties::Duty;
 using http::Outcome;
 
@@ -173,7 +173,7 @@
     for (const auto& id : machines) {
       // A repeated answer may name machines that are gone by now.
       if (p.cluster.is_gone(id)) continue;
-      p.cluster.learn_host(id, offer.type, offer.zone, offer.spot, now);
+      p.cluster.register_machine(id, offer.type, offer.zone, offer.spot, now);
     }
   });
   if (duties_) {
@@ -213,7 +213,7 @@
   context_.leader_state.with([&](LeaderState& p) {
     const auto seen = [&](const std::string& id) {
       if (p.cluster.is_gone(id)) return true;
-      const Host* h = p.cluster.host(id);
+      const Machine* h = p.cluster.find_machine(id);
       return !h || h->heard || (h->listed && now - h->known_since > lag);
     };
     for (auto& [request, machines] : unseen_) {
--- a/src/dunlinknot/fleet/returns.cpp
+++ b/src/dunlinknot/fleet/returns.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 using cluster::Effects;
-using cluster::Host;
 using cluster::LeaderState;
+using cluster::Machine;
 using duties::Duty;
 using http::Outcome;
 
@@ -47,7 +47,7 @@
 
 void Returns::decide(const std::string& machine, std::string_view why) {
   const bool first = context_.leader_state.with([&](LeaderState& p) {
-    Host* h = p.cluster.host(machine);
+    Machine* h = p.cluster.find_machine(machine);
     if (!h || h->deleting) return false;
     h->deleting = true;
     return true;
@@ -67,7 +67,7 @@
   std::vector<std::string> ready;
   context_.leader_state.with([&](LeaderState& p) {
     for (const std::string& machine : resumed_) {
-      const Host* h = p.cluster.host(machine);
+      const Machine* h = p.cluster.find_machine(machine);
       if (!h || h->bookings.empty()) ready.push_back(machine);
     }
   });
@@ -126,8 +126,9 @@
   Effects effects;
   context_.leader_state.with([&](LeaderState& p) {
     for (const auto& id : machines) {
-      if (const Host* h = p.cluster.host(id)) rentals_.end_refusal({h->type, h->zone, h->spot});
-      effects |= p.cluster.remove_host(id, context_.loop.now());
+      if (const Machine* h = p.cluster.find_machine(id))
+        rentals_.end_refusal({h->type, h->zone, h->spot});
+      effects |= p.cluster.remove_machine(id, context_.loop.now());
     }
   });
   context_.follow_up(effects);
--- a/src/dunlinknot/node/cluster_report.cpp
+++ b/src/dunlinknot/node/cluster_report.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 using cluster::Booking;
-using cluster::Host;
+using cluster::Machine;
 using cluster::Phase;
 
-bool is_up(const Host& h) {
+bool is_up(const Machine& h) {
   return h.heard && !h.lost;
 }
 
@@ -36,9 +36,9 @@
 
 ClusterTotals total(const cluster::Cluster& cluster) {
   ClusterTotals totals;
-  totals.machines = cluster.hosts().size();
-  totals.records_to_write = cluster.dirty_host_count();
-  for (const auto& [id, h] : cluster.hosts()) {
+  totals.machines = cluster.machines().size();
+  totals.records_to_write = cluster.dirty_machine_count();
+  for (const auto& [id, h] : cluster.machines()) {
     if (!is_up(*h)) continue;
     ++totals.machines_up;
     totals.size += h->size;
@@ -56,7 +56,7 @@
 
 std::map<std::string, MachineTypeTotals> totals_by_type(const cluster::Cluster& cluster) {
   std::map<std::string, MachineTypeTotals> types;
-  for (const auto& [id, h] : cluster.hosts()) {
+  for (const auto& [id, h] : cluster.machines()) {
     if (!is_up(*h)) continue;
     MachineTypeTotals& t = types[h->type];
     ++t.machines;
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -278,7 +278,7 @@
   context_.loaded = false;
   ++context_.term;
   // Whoever waits for a signal wakes up, sees that its term is over and ends.
-  for (Signal* s : {&context_.schedule, &context_.store_hosts, &context_.store_done,
+  for (Signal* s : {&context_.schedule, &context_.store_machines, &context_.store_done,
                     &context_.stops, &context_.runs, &context_.rentals}) {
     s->notify();
   }
@@ -290,14 +290,15 @@
   const bool duties_taken = co_await fleet_.take_duties(term);
   if (!duties_taken) co_return;
   context_.loaded = true;
-  const auto [jobs, hosts, bookings] = context_.leader_state.with([](LeaderState& p) {
-    return std::tuple(p.cluster.jobs().size(), p.cluster.hosts().size(), p.cluster.booking_count());
+  const auto [jobs, machines, bookings] = context_.leader_state.with([](LeaderState& p) {
+    return std::tuple(p.cluster.jobs().size(), p.cluster.machines().size(),
+                      p.cluster.booking_count());
   });
   spdlog::info(
       "take-over of epoch {} done in {} ms: {} open jobs, {} machines with bookings, {} bookings",
-      context_.epoch, to_millis(loop_.now() - started).count(), jobs, hosts, bookings);
+      context_.epoch, to_millis(loop_.now() - started).count(), jobs, machines, bookings);
   loop_.spawn(ledger_.watch_jobs(term));
-  loop_.spawn(ledger_.store_hosts(term));
+  loop_.spawn(ledger_.store_machines(term));
   loop_.spawn(ledger_.store_done(term));
   loop_.spawn(workers_.call_stops(term));
   loop_.spawn(workers_.release_responses(term));
@@ -345,7 +346,7 @@
   const scheduler::Plan plan = context_.leader_state.with([&](LeaderState& p) {
     p.nominations.settle(p.cluster);
     scheduler::Market market = fleet_.market(now);
-    market.machines = p.cluster.hosts().size();
+    market.machines = p.cluster.machines().size();
     scheduler::Plan decided =
         scheduler::plan(p.cluster, p.nominations, market, platform_, op_, loop_.wall(), now);
     effects = scheduler::apply(decided, p, now);
--- a/src/dunlinknot/preemption/fit.cpp
+++ b/src/dunlinknot/preemption/fit.cpp
@@ -36,14 +36,14 @@
   return most;
 }
 
-Room::Room(const cluster::Host& host, const Nominations& nominations, const Resources& size)
-    : host_(&host), free_(size - host.used) {
-  if (const auto* list = nominations.victims_on(host.id)) {
-    for (const auto& b : host.bookings) {
+Room::Room(const cluster::Machine& machine, const Nominations& nominations, const Resources& size)
+    : machine_(&machine), free_(size - machine.used) {
+  if (const auto* list = nominations.victims_on(machine.id)) {
+    for (const auto& b : machine.bookings) {
       if (on_list(list, b)) victims_ += b.need;
     }
   }
-  for (const uint64_t id : nominations.on(host.id)) {
+  for (const uint64_t id : nominations.on(machine.id)) {
     const Nomination& n = nominations.all().at(id);
     holds_.push_back({id, n.room, n.priority});
   }
@@ -95,7 +95,7 @@
 std::optional<Candidate> simulate(const Room& room, const Nominations& nominations,
                                   const cluster::Cluster& cluster, const Resources& need,
                                   uint64_t except, const Eligibility& who, Instant now) {
-  const cluster::Host& h = room.host();
+  const cluster::Machine& h = room.machine();
   const auto* list = nominations.victims_on(h.id);
   struct Item {
     size_t index;
--- a/src/dunlinknot/preemption/fit.hpp
+++ b/src/dunlinknot/preemption/fit.hpp
@@ -14,9 +14,9 @@
 // The room on one machine as a round goes on: bookings made in the round are taken off `free`.
 class Room {
  public:
-  Room(const cluster::Host& host, const Nominations& nominations, const Resources& size);
+  Room(const cluster::Machine& machine, const Nominations& nominations, const Resources& size);
 
-  const cluster::Host& host() const { return *host_; }
+  const cluster::Machine& machine() const { return *machine_; }
   const Resources& free() const { return free_; }
   // The task's own nominations may be set aside: `except` names one of them (0: none).
   bool fits(const Resources& need, Priority priority, uint64_t except = 0,
@@ -43,7 +43,7 @@
     Resources room;
     Priority priority;
   };
-  const cluster::Host* host_;
+  const cluster::Machine* machine_;
   Resources free_;
   Resources victims_;  // booked, on the machine's victim list
   std::vector<Hold> holds_;
--- a/src/dunlinknot/preemption/nominations.cpp
+++ b/src/dunlinknot/preemption/nominations.cpp
@@ -24,24 +24,24 @@
 }
 }  // namespace
 
-uint64_t Nominations::add(std::string job, std::string host, Resources room, Priority priority,
+uint64_t Nominations::add(std::string job, std::string machine, Resources room, Priority priority,
                           const std::vector<Victim>& victims) {
-  auto& list = victims_[host];
+  auto& list = victims_[machine];
   for (const auto& v : victims) {
     if (std::find(list.begin(), list.end(), v) == list.end()) list.push_back(v);
   }
-  if (list.empty()) victims_.erase(host);
+  if (list.empty()) victims_.erase(machine);
   const uint64_t id = next_++;
-  by_host_[host].push_back(id);
+  by_machine_[machine].push_back(id);
   by_job_[job].push_back(id);
-  nominations_[id] = Nomination{id, std::move(job), std::move(host), room, priority};
+  nominations_[id] = Nomination{id, std::move(job), std::move(machine), room, priority};
   return id;
 }
 
 void Nominations::end(uint64_t id, End why) {
   const auto it = nominations_.find(id);
   if (it == nominations_.end()) return;
-  spdlog::debug("nomination {} of {} on {} ends: {}", id, it->second.job, it->second.host,
+  spdlog::debug("nomination {} of {} on {} ends: {}", id, it->second.job, it->second.machine,
                 text(why));
   ++ended_[static_cast<size_t>(why)];
   const auto drop = [id](auto& index, const std::string& key) {
@@ -49,7 +49,7 @@
     std::erase(at->second, id);
     if (at->second.empty()) index.erase(at);
   };
-  drop(by_host_, it->second.host);
+  drop(by_machine_, it->second.machine);
   drop(by_job_, it->second.job);
   nominations_.erase(it);
 }
@@ -58,20 +58,20 @@
   for (const uint64_t id : of(job)) end(id, End::cancelled);
 }
 
-void Nominations::stop_failed(const std::string& host, const std::vector<Victim>& victims) {
-  const auto it = victims_.find(host);
+void Nominations::stop_failed(const std::string& machine, const std::vector<Victim>& victims) {
+  const auto it = victims_.find(machine);
   if (it == victims_.end()) return;
   bool any = false;
   for (const auto& v : victims) any |= std::erase(it->second, v) > 0;
   if (it->second.empty()) victims_.erase(it);
   if (!any) return;
-  for (const uint64_t id : std::vector(on(host))) end(id, End::stop_failed);
+  for (const uint64_t id : std::vector(on(machine))) end(id, End::stop_failed);
 }
 
 void Nominations::settle(const cluster::Cluster& cluster) {
   for (auto it = victims_.begin(); it != victims_.end();) {
-    const auto h = cluster.hosts().find(it->first);
-    if (h == cluster.hosts().end()) {
+    const auto h = cluster.machines().find(it->first);
+    if (h == cluster.machines().end()) {
       it = victims_.erase(it);
       continue;
     }
@@ -82,7 +82,7 @@
 
 void Nominations::clear() {
   nominations_.clear();
-  by_host_.clear();
+  by_machine_.clear();
   by_job_.clear();
   victims_.clear();
 }
@@ -92,14 +92,14 @@
   return it == by_job_.end() ? std::vector<uint64_t>{} : it->second;
 }
 
-const std::vector<uint64_t>& Nominations::on(const std::string& host) const {
+const std::vector<uint64_t>& Nominations::on(const std::string& machine) const {
   static const std::vector<uint64_t> none;
-  const auto it = by_host_.find(host);
-  return it == by_host_.end() ? none : it->second;
+  const auto it = by_machine_.find(machine);
+  return it == by_machine_.end() ? none : it->second;
 }
 
-const std::vector<Victim>* Nominations::victims_on(const std::string& host) const {
-  const auto it = victims_.find(host);
+const std::vector<Victim>* Nominations::victims_on(const std::string& machine) const {
+  const auto it = victims_.find(machine);
   return it == victims_.end() ? nullptr : &it->second;
 }
 
--- a/src/dunlinknot/preemption/nominations.hpp
+++ b/src/dunlinknot/preemption/nominations.hpp
@@ -17,7 +17,7 @@
 struct Nomination {
   uint64_t id = 0;
   std::string job;
-  std::string host;
+  std::string machine;
   Resources room;
   Priority priority = Priority::low;
 };
@@ -33,22 +33,22 @@
 
 class Nominations {
  public:
-  uint64_t add(std::string job, std::string host, Resources room, Priority priority,
+  uint64_t add(std::string job, std::string machine, Resources room, Priority priority,
                const std::vector<Victim>& victims);
   void end(uint64_t id, End why);
   void job_closed(const std::string& job);
   // The stop call for these victims failed: the nominations on that machine are cleared and the
   // victims taken off the list, so that preemption can be tried again.
-  void stop_failed(const std::string& host, const std::vector<Victim>& victims);
+  void stop_failed(const std::string& machine, const std::vector<Victim>& victims);
   // Takes victims that are no longer booked off the lists.
   void settle(const cluster::Cluster& cluster);
   void clear();  // a take-over starts with none
 
   const std::map<uint64_t, Nomination>& all() const { return nominations_; }
   std::vector<uint64_t> of(const std::string& job) const;
-  const std::vector<uint64_t>& on(const std::string& host) const;
-  const std::vector<Victim>* victims_on(const std::string& host) const;
-  bool settling(const std::string& host) const { return victims_on(host) != nullptr; }
+  const std::vector<uint64_t>& on(const std::string& machine) const;
+  const std::vector<Victim>* victims_on(const std::string& machine) const;
+  bool settling(const std::string& machine) const { return victims_on(machine) != nullptr; }
   // How many nominations were made, and ended so, since this process began.
   uint64_t made() const { return next_ - 1; }
   uint64_t ended(End why) const { return ended_[static_cast<size_t>(why)]; }
@@ -57,7 +57,7 @@
   uint64_t next_ = 1;
   std::array<uint64_t, kEnds> ended_{};
   std::map<uint64_t, Nomination> nominations_;
-  std::map<std::string, std::vector<uint64_t>> by_host_;
+  std::map<std::string, std::vector<uint64_t>> by_machine_;
   std::map<std::string, std::vector<uint64_t>> by_job_;
   std::map<std::string, std::vector<Victim>> victims_;
 };
--- a/src/dunlinknot/scheduler/apply.cpp
+++ b/src/dunlinknot/scheduler/apply.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 using cluster::Effects;
-using cluster::Host;
 using cluster::Job;
 using cluster::LeaderState;
+using cluster::Machine;
 
 void book_tasks(const Placement& placement, LeaderState& state, Instant now, Effects& effects) {
   cluster::Cluster& cluster = state.cluster;
@@ -17,14 +17,14 @@
     state.nominations.end(id, preemption::End::placed);
   }
   Job& job = *cluster.job(placement.job);
-  Host& host = *cluster.host(placement.host);
-  spdlog::debug("placing {} tasks of {} on {} ({})", placement.count, placement.job, host.id,
-                host.type);
+  Machine& machine = *cluster.find_machine(placement.machine);
+  spdlog::debug("placing {} tasks of {} on {} ({})", placement.count, placement.job, machine.id,
+                machine.type);
   for (uint32_t i = 0; i < placement.count; ++i) {
     auto index = job.take_pending();
     if (!index && cluster.take_back_ahead(placement.job, now)) index = job.take_pending();
-    if (!index || !cluster.book(host, job, *index, cluster.next_attempt(), now)) return;
-    effects.store_hosts = true;
+    if (!index || !cluster.book(machine, job, *index, cluster.next_attempt(), now)) return;
+    effects.store_machines = true;
   }
 }
 
@@ -35,42 +35,42 @@
   const uint64_t attempt = cluster.next_attempt();
   job.gang_go = false;
   for (const auto& [id, count] : gang.on) {
-    Host& host = *cluster.host(id);
-    spdlog::debug("placing {} tasks of gang {} on {} ({})", count, gang.job, id, host.type);
+    Machine& machine = *cluster.find_machine(id);
+    spdlog::debug("placing {} tasks of gang {} on {} ({})", count, gang.job, id, machine.type);
     for (uint32_t i = 0; i < count; ++i) {
       const auto index = job.take_pending();
-      if (!index || !cluster.book(host, job, *index, attempt, now)) {
+      if (!index || !cluster.book(machine, job, *index, attempt, now)) {
         effects |= cluster.drop_unsent(gang.job, now);
         return;
       }
     }
   }
-  effects.store_hosts = true;
+  effects.store_machines = true;
 }
 
 void book_ahead(const Ahead& ahead, LeaderState& state, Instant now, Effects& effects) {
   cluster::Cluster& cluster = state.cluster;
   Job& job = *cluster.job(ahead.job);
-  Host& host = *cluster.host(ahead.host);
+  Machine& machine = *cluster.find_machine(ahead.machine);
   for (uint32_t i = 0; i < ahead.count; ++i) {
     const auto index = job.take_pending();
     if (!index) return;
-    if (!cluster.book_ahead(host, job, *index, cluster.next_attempt(), ahead.turn, now)) return;
-    effects.store_hosts = true;
+    if (!cluster.book_ahead(machine, job, *index, cluster.next_attempt(), ahead.turn, now)) return;
+    effects.store_machines = true;
   }
 }
 
 void evict(const Eviction& eviction, LeaderState& state, Instant now, Effects& effects) {
   if (eviction.renews) state.nominations.end(eviction.renews, preemption::End::renominated);
-  Host& host = *state.cluster.host(eviction.host);
+  Machine& machine = *state.cluster.find_machine(eviction.machine);
   std::string names;
   for (const auto& victim : eviction.victims) {
-    effects |= state.cluster.preempt(host, victim.task, victim.attempt, now);
+    effects |= state.cluster.preempt(machine, victim.task, victim.attempt, now);
     names += " " + victim.task.text();
   }
-  state.nominations.add(eviction.job, eviction.host, eviction.room, eviction.priority,
+  state.nominations.add(eviction.job, eviction.machine, eviction.room, eviction.priority,
                         eviction.victims);
-  spdlog::info("evicting on {} for {} (room {} cpus, {} gpus, {} GB):{}", eviction.host,
+  spdlog::info("evicting on {} for {} (room {} cpus, {} gpus, {} GB):{}", eviction.machine,
                eviction.job, eviction.room.cpus, eviction.room.gpus, eviction.room.memory_gb,
                names);
 }
--- a/src/dunlinknot/scheduler/arrays.cpp
+++ b/src/dunlinknot/scheduler/arrays.cpp
@@ -82,10 +82,11 @@
                                 slots * kAheadTurns);
     for (Slot* s : kind.ready) {
       if (n == 0) return;
-      if (!s->kept_for.empty() || s->ahead >= cap * 2 || !s->host->has_image(spec.image)) continue;
-      uint32_t before = s->ahead - s->host->ahead;
-      if (s->host->ahead > 0) {
-        for (const Booking& b : s->host->bookings) {
+      if (!s->kept_for.empty() || s->ahead >= cap * 2 || !s->machine->has_image(spec.image))
+        continue;
+      uint32_t before = s->ahead - s->machine->ahead;
+      if (s->machine->ahead > 0) {
+        for (const Booking& b : s->machine->bookings) {
           if (b.ahead && !mine.before(b.turn)) ++before;
         }
       }
@@ -95,7 +96,7 @@
       s->ahead += k;
       n -= k;
       take_record(*w.job, *s, k);
-      plan_.ahead.push_back({spec.id, s->host->id, k, mine});
+      plan_.ahead.push_back({spec.id, s->machine->id, k, mine});
     }
   }
 }
@@ -105,7 +106,7 @@
   uint32_t placed = 0;
   for (size_t i = 0; i < own.size() && placed < want;) {
     const auto& n = nominations_.all().at(own[i]);
-    Slot* s = slot_of(n.host);
+    Slot* s = slot_of(n.machine);
     if (!s || s->coming || !may_go(j, *s) ||
         !s->room.fits(j.spec().need, j.spec().priority, n.id) ||
         constraints.tasks_allowed(s->zone()) == 0) {
@@ -122,13 +123,13 @@
 }
 
 std::string_view Round::zone_of(uint64_t nomination) const {
-  const auto host = cluster_.hosts().find(nominations_.all().at(nomination).host);
-  return host == cluster_.hosts().end() ? std::string_view() : host->second->zone;
+  const auto machine = cluster_.machines().find(nominations_.all().at(nomination).machine);
+  return machine == cluster_.machines().end() ? std::string_view() : machine->second->zone;
 }
 
 void Round::clear_nomination(uint64_t nomination) {
   plan_.cleared.push_back(nomination);
-  if (Slot* s = slot_of(nominations_.all().at(nomination).host)) s->room.end_hold(nomination);
+  if (Slot* s = slot_of(nominations_.all().at(nomination).machine)) s->room.end_hold(nomination);
 }
 
 // The job's other tasks may have gone elsewhere since the nomination was made.
@@ -146,7 +147,7 @@
   own = std::move(kept);
 }
 
-uint32_t Round::tasks_there(const Job& j, const Host& h) {
+uint32_t Round::tasks_there(const Job& j, const Machine& h) {
   const auto is_of_job = [&](const Booking& b) { return b.task.job == j.spec().id; };
   return static_cast<uint32_t>(std::count_if(h.bookings.begin(), h.bookings.end(), is_of_job));
 }
@@ -154,7 +155,7 @@
 uint32_t Round::replicas_leaving(const Job& j) const {
   if (!j.spec().service) return 0;
   uint32_t leaving = 0;
-  for (const Host* h : cluster_.holders(j.spec().id)) {
+  for (const Machine* h : cluster_.holders(j.spec().id)) {
     if (h->recall_at) leaving += tasks_there(j, *h);
   }
   return leaving;
@@ -196,10 +197,10 @@
   for (const auto& [cost, s] : ranked(j, false)) {
     if (placed == want || cost > most) break;
     // A second image would halve the rate at which the gang's comes.
-    if (s->gang_fetches && !s->host->has_image(spec.image)) continue;
+    if (s->gang_fetches && !s->machine->has_image(spec.image)) continue;
     uint32_t most_here = std::min(want - placed, constraints.tasks_allowed(s->zone()));
     if (spec.service) {
-      const uint32_t there = tasks_there(j, *s->host);
+      const uint32_t there = tasks_there(j, *s->machine);
       most_here = std::min(most_here, most_on_machine > there ? most_on_machine - there : 0);
     }
     const uint32_t n = most_here > 0 ? count_on(j, *s, most_here) : 0;
@@ -227,7 +228,7 @@
     if (provided == want) break;
     const MachineType& t = *s->kind->type;
     double up_in = t.boot.count();
-    if (s->host) up_in -= std::min(up_in, to_seconds(now_ - s->host->known_since).count());
+    if (s->machine) up_in -= std::min(up_in, to_seconds(now_ - s->machine->known_since).count());
     const double times = turns(w, t, up_in);
     auto places = static_cast<uint32_t>(std::ceil((want - provided) / times));
     places = std::min(places, expected.tasks_allowed(s->zone()));
--- a/src/dunlinknot/scheduler/eviction.cpp
+++ b/src/dunlinknot/scheduler/eviction.cpp
@@ -17,7 +17,7 @@
   // A nominated task is eligible again once no victim is booked on its machine.
   std::vector<uint64_t> again;
   for (const uint64_t id : own) {
-    if (!nominations_.settling(nominations_.all().at(id).host)) again.push_back(id);
+    if (!nominations_.settling(nominations_.all().at(id).machine)) again.push_back(id);
   }
   if (tries == 0 && again.empty()) return;
   // With machines to be rented, a task whose room was lost is rented for like any other: it does
@@ -68,8 +68,8 @@
                     promised.zone_bound() ? spec.id : spec.zone.value_or("")};
   if (renews == 0 && hopeless_.contains(shape)) return false;
   for (Slot& s : slots_) {
-    if (s.coming || !spec.need.fits_in(s.host->size)) continue;
-    if (evicted_on_.contains(s.host->id) || !may_go(j, s)) continue;
+    if (s.coming || !spec.need.fits_in(s.machine->size)) continue;
+    if (evicted_on_.contains(s.machine->id) || !may_go(j, s)) continue;
     if (beside.tasks_allowed(s.zone()) == 0) continue;
     auto c = preemption::simulate(s.room, nominations_, cluster_, spec.need, renews, who, now_);
     if (!c) continue;
@@ -82,14 +82,14 @@
     if (renews == 0) hopeless_.insert(shape);
     return false;
   }
-  evicted_on_.insert(best_slot->host->id);
-  plan_.evictions.push_back({spec.id, best_slot->host->id, spec.need, spec.priority, best->victims,
-                             best->lost_seconds, renews});
+  evicted_on_.insert(best_slot->machine->id);
+  plan_.evictions.push_back({spec.id, best_slot->machine->id, spec.need, spec.priority,
+                             best->victims, best->lost_seconds, renews});
   if (renews) {
-    if (Slot* s = slot_of(nominations_.all().at(renews).host)) s->room.end_hold(renews);
+    if (Slot* s = slot_of(nominations_.all().at(renews).machine)) s->room.end_hold(renews);
   }
   for (const size_t i : best->victim_indices) {
-    const Booking& b = best_slot->host->bookings[i];
+    const Booking& b = best_slot->machine->bookings[i];
     if (!b.stopping()) {
       best_slot->room.add_victims(b.need);
       // Its team's limit still counts the victim until it is gone (safety 4).
@@ -108,7 +108,7 @@
   if (a.highest != b.highest) return a.highest < b.highest;
   const auto cost = [&](const preemption::Candidate& c, const Slot& s) {
     const MachineType* t = s.kind->type;
-    const double fetch = s.host->has_image(spec.image) || !t || t->fetch_gb_per_s <= 0
+    const double fetch = s.machine->has_image(spec.image) || !t || t->fetch_gb_per_s <= 0
                              ? 0
                              : spec.image_gb / t->fetch_gb_per_s;
     return c.lost_seconds + fetch * std::max(spec.need.cpus, spec.need.gpus * 8);
--- a/src/dunlinknot/scheduler/gangs.cpp
+++ b/src/dunlinknot/scheduler/gangs.cpp
@@ -114,12 +114,12 @@
   GangPlacement g{spec.id, {}};
   for (auto& [s, n] : best->on) {
     s->room.take(spec.need * n);
-    if (s->host && !s->coming) {
+    if (s->machine && !s->coming) {
       s->fetching.push_back(spec.image);
       s->gang_fetches = true;
       take_record(j, *s, n);
-      g.on.emplace_back(s->host->id, n);
-      plan_.wanted.push_back(s->host->id);
+      g.on.emplace_back(s->machine->id, n);
+      plan_.wanted.push_back(s->machine->id);
     }
   }
   usage_[static_cast<size_t>(j.team())] += spec.need * spec.tasks;
@@ -162,7 +162,7 @@
       if (!s->kept_for.empty() && s->kept_for != spec.job_class) continue;
       if (!may_use(j, *s)) continue;
       std::vector<std::pair<double, const Booking*>> ends;
-      for (const Booking& b : s->host->bookings) {
+      for (const Booking& b : s->machine->bookings) {
         if (!b.gang && !b.ahead && !b.service) ends.emplace_back(ends_in(b), &b);
       }
       std::sort(ends.begin(), ends.end());
@@ -194,7 +194,7 @@
     s->kept += spec.need;
     s->kept_for = spec.id;
     s->kept_priority = Priority::production;  // its turn is as good as any
-    plan_.wanted.push_back(s->host->id);
+    plan_.wanted.push_back(s->machine->id);
   }
   kept_gangs_.insert(&j);
   return true;
--- a/src/dunlinknot/scheduler/headroom.cpp
+++ b/src/dunlinknot/scheduler/headroom.cpp
@@ -49,8 +49,8 @@
   for (Slot& s : slots_) {
     const MachineType* t = s.kind->type;
     if (!t || !offer_allowed(spec, s.kind->offer) || !spec.need.fits_in(t->size)) continue;
-    if (s.host && borrowed(spec, t)) {
-      for (const Booking& b : s.host->bookings) there += b.gang && b.need.gpus <= 0 ? 1 : 0;
+    if (s.machine && borrowed(spec, t)) {
+      for (const Booking& b : s.machine->bookings) there += b.gang && b.need.gpus <= 0 ? 1 : 0;
     }
     // What is free now first; machines with accelerators last; those with its images before
     // others.
@@ -60,7 +60,7 @@
     if (borrowed(spec, t))
       rank += 25 * t->size.gpus;  // each strands what is left of its accelerators
     for (const auto& [image, at] : e.images) {
-      if (!(s.host && s.host->has_image(image))) rank += 10;
+      if (!(s.machine && s.machine->has_image(image))) rank += 10;
     }
     order.emplace_back(rank, &s);
   }
@@ -77,8 +77,8 @@
     }
     // What it may hold once shorter work there is done: all but what its own kind holds.
     Resources room = s->kind->type->size;
-    if (s->host) {
-      for (const Booking& b : s->host->bookings) {
+    if (s->machine) {
+      for (const Booking& b : s->machine->bookings) {
         if (b.gang || b.service || b.priority > spec.priority) room -= b.need;
       }
     }
@@ -89,7 +89,7 @@
     s->kept_priority = spec.priority;
     left -= n;
     kept += n;
-    if (s->host) plan_.wanted.push_back(s->host->id);
+    if (s->machine) plan_.wanted.push_back(s->machine->id);
   }
 }
 
--- a/src/dunlinknot/scheduler/round.cpp
+++ b/src/dunlinknot/scheduler/round.cpp
@@ -54,10 +54,10 @@
   }
   for (const Waiting& w : waiting) consider(w);
   for (const Slot& s : slots_) {
-    if (!s.host) continue;
+    if (!s.machine) continue;
     Resources held = s.room.held();
     if (!s.kept_for.empty()) held += s.kept;
-    if (held.cpus > 0 || held.gpus > 0 || held.memory_gb > 0) plan_.held[s.host->id] = held;
+    if (held.cpus > 0 || held.gpus > 0 || held.memory_gb > 0) plan_.held[s.machine->id] = held;
   }
   return std::move(plan_);
 }
@@ -67,7 +67,7 @@
   return tasks_below_limit(cluster_.teams()[team], usage_[team], j.spec().need);
 }
 
-bool Round::usable(const Host& h) const {
+bool Round::usable(const Machine& h) const {
   if (!h.heard || h.lost || h.draining || h.deleting || h.listed_failed || h.recall_at) {
     return false;
   }
@@ -78,17 +78,17 @@
   return heard_of_late(h);
 }
 
-bool Round::heard_of_late(const Host& h) const {
+bool Round::heard_of_late(const Machine& h) const {
   return now_ - h.last_heard < to_nanos(platform_.report * 2 + Seconds(1));
 }
 
-bool Round::expected_up(const Host& h) const {
+bool Round::expected_up(const Machine& h) const {
   if (h.draining || h.deleting || h.listed_failed) return false;
   return !h.heard || (!h.ours && !h.lost && !h.recall_at && heard_of_late(h));
 }
 
 void Round::collect() {
-  for (const auto& [id, h] : cluster_.hosts()) {
+  for (const auto& [id, h] : cluster_.machines()) {
     const bool ready = usable(*h);
     const bool coming = expected_up(*h);
     if ((!ready && !coming) || h->size.cpus <= 0) continue;
@@ -114,7 +114,7 @@
   return it->second;
 }
 
-Kind& Round::kind_of(const Host& h) {
+Kind& Round::kind_of(const Machine& h) {
   const auto is_of = [&](const Offer& o) {
     return o.spot == h.spot && o.type == h.type && o.zone == h.zone;
   };
@@ -122,8 +122,8 @@
   return *last_kind_;
 }
 
-Slot& Round::add_slot(const Host* host, const Host& as, Kind& kind, bool coming) {
-  Slot& s = slots_.emplace_back(host, Room(as, nominations_, as.size), kind, coming);
+Slot& Round::add_slot(const Machine* machine, const Machine& model, Kind& kind, bool coming) {
+  Slot& s = slots_.emplace_back(machine, Room(model, nominations_, model.size), kind, coming);
   kind.slots(coming).push_back(&s);
   return s;
 }
@@ -131,7 +131,7 @@
 Slot* Round::add_expected(const Offer& offer) {
   const MachineType* t = cluster_.type(offer.type);
   if (!t) return nullptr;
-  auto imagined = std::make_unique<Host>();
+  auto imagined = std::make_unique<Machine>();
   imagined->size = t->size;
   Slot& s = add_slot(nullptr, *imagined, kind_of(offer), true);
   imagined_.push_back(std::move(imagined));
@@ -185,17 +185,18 @@
   return t;
 }
 
-Slot* Round::slot_of(const std::string& host) {
-  const auto it = std::find_if(slots_.begin(), slots_.end(),
-                               [&](const Slot& s) { return s.host && s.host->id == host; });
+Slot* Round::slot_of(const std::string& machine) {
+  const auto it = std::find_if(slots_.begin(), slots_.end(), [&](const Slot& s) {
+    return s.machine && s.machine->id == machine;
+  });
   return it == slots_.end() ? nullptr : &*it;
 }
 
 bool Round::may_use(const Job& j, Slot& s) const {
-  if (!s.host) return true;
-  if (!j.failing && !j.failed_on.empty() && j.failed_on.contains(s.host->id)) return false;
+  if (!s.machine) return true;
+  if (!j.failing && !j.failed_on.empty() && j.failed_on.contains(s.machine->id)) return false;
   if (!s.record_room) {
-    const size_t size = cluster_.record_size(*s.host);
+    const size_t size = cluster_.record_size(*s.machine);
     s.record_room = size < cluster_.record_limit() ? cluster_.record_limit() - size : 0;
   }
   return record_allows(j, s) > 0;
@@ -254,7 +255,7 @@
   const JobSpec& spec = j.spec();
   double cost = 0;
   const MachineType* t = s.kind->type;
-  const bool cached = s.host && s.host->has_image(spec.image);
+  const bool cached = s.machine && s.machine->has_image(spec.image);
   if (!cached && t && t->fetch_gb_per_s > 0) {
     const bool under_way =
         std::find(s.fetching.begin(), s.fetching.end(), spec.image) != s.fetching.end();
@@ -293,7 +294,7 @@
   usage_[static_cast<size_t>(j.team())] += j.spec().need * n;
   s.fetching.push_back(j.spec().image);
   take_record(j, s, n);
-  plan_.placements.push_back({j.spec().id, s.host->id, n, std::move(ends)});
+  plan_.placements.push_back({j.spec().id, s.machine->id, n, std::move(ends)});
 }
 
 void Round::take_record(const Job& j, Slot& s, uint32_t n) const {
--- a/src/dunlinknot/scheduler/round.hpp
+++ b/src/dunlinknot/scheduler/round.hpp
@@ -16,8 +16,8 @@
 
 using cluster::Booking;
 using cluster::Cluster;
-using cluster::Host;
 using cluster::Job;
+using cluster::Machine;
 using cluster::PlacementConstraints;
 using preemption::Room;
 
@@ -45,9 +45,9 @@
 
 // Machines as the round sees them: those there, those coming, those asked for.
 struct Slot {
-  Slot(const Host* h, Room r, const Kind& k, bool is_coming)
-      : host(h), room(std::move(r)), kind(&k), coming(is_coming) {}
-  const Host* host = nullptr;  // null: asked for
+  Slot(const Machine* h, Room r, const Kind& k, bool is_coming)
+      : machine(h), room(std::move(r)), kind(&k), coming(is_coming) {}
+  const Machine* machine = nullptr;  // null: asked for
   Room room;
   const Kind* kind;
   bool coming = false;
@@ -97,13 +97,13 @@
   uint32_t below_limit(const Job& j) const;
 
   // --- preparation
-  bool usable(const Host& h) const;
+  bool usable(const Machine& h) const;
 
-  bool heard_of_late(const Host& h) const;
+  bool heard_of_late(const Machine& h) const;
 
   // Not up yet, or just up and about to bear our token: counted on, so that nothing is rented in
   // its place for that moment.
-  bool expected_up(const Host& h) const;
+  bool expected_up(const Machine& h) const;
 
   void collect();
 
@@ -111,9 +111,9 @@
 
   // Machines of one kind mostly stand side by side, since they were rented together: the kind of
   // the one before is tried first.
-  Kind& kind_of(const Host& h);
+  Kind& kind_of(const Machine& h);
 
-  Slot& add_slot(const Host* host, const Host& as, Kind& kind, bool coming);
+  Slot& add_slot(const Machine* machine, const Machine& model, Kind& kind, bool coming);
 
   Slot* add_expected(const Offer& offer);
 
@@ -202,7 +202,7 @@
   void promise_nominated(std::vector<uint64_t>& own, PlacementConstraints& constraints);
 
   // Only nominations are looked up, and they are few: no index over all machines is kept for them.
-  Slot* slot_of(const std::string& host);
+  Slot* slot_of(const std::string& machine);
 
   // On a machine of a kind that the job allows: not where it failed, and its record has room.
   bool may_use(const Job& j, Slot& s) const;
@@ -235,7 +235,7 @@
                         uint32_t most_on_machine);
 
   // How many of the job's tasks are booked on the machine.
-  static uint32_t tasks_there(const Job& j, const Host& h);
+  static uint32_t tasks_there(const Job& j, const Machine& h);
 
   // How many of a service's replicas are on machines that the cloud takes back.
   uint32_t replicas_leaving(const Job& j) const;
@@ -320,7 +320,7 @@
   std::map<Offer, Kind> kinds_;
   std::deque<Slot> slots_;     // they stay where they are
   Kind* last_kind_ = nullptr;  // of the machine looked at last
-  std::vector<std::unique_ptr<Host>> imagined_;
+  std::vector<std::unique_ptr<Machine>> imagined_;
   std::vector<Resources> usage_;
   std::vector<Resources> given_up_;  // by team: victims chosen in this round
   std::set<std::string> evicted_on_;
--- a/src/dunlinknot/scheduler/scheduler.hpp
+++ b/src/dunlinknot/scheduler/scheduler.hpp
@@ -30,7 +30,7 @@
 
 struct Placement {
   std::string job;
-  std::string host;
+  std::string machine;
   uint32_t count = 0;
   std::vector<uint64_t> ends_nominations;
 };
@@ -38,7 +38,7 @@
 // Tasks booked on a machine that is full: each starts when a task there ends.
 struct Ahead {
   std::string job;
-  std::string host;
+  std::string machine;
   uint32_t count = 0;
   cluster::Turn turn;
 };
@@ -56,7 +56,7 @@
 
 struct Eviction {
   std::string job;
-  std::string host;
+  std::string machine;
   Resources room;
   Priority priority = Priority::low;
   std::vector<preemption::Victim> victims;
--- a/src/dunlinknot/wire/messages.cpp
+++ b/src/dunlinknot/wire/messages.cpp
@@ -360,9 +360,9 @@
   if (!doc || !doc->root()["hosts"].is_list()) return std::nullopt;
   MachineList out;
   out.more = doc->root()["more"].flag().value_or(false);
-  const View hosts = doc->root()["hosts"];
-  for (size_t i = 0; i < hosts.size(); ++i) {
-    const View h = hosts.at(i);
+  const View machines = doc->root()["hosts"];
+  for (size_t i = 0; i < machines.size(); ++i) {
+    const View h = machines.at(i);
     const auto id = h["id"].text();
     const auto type = h["rig"].text();
     const auto zone = h["yard"].text();
@@ -385,9 +385,9 @@
   const auto doc = Document::parse(body);
   if (!doc || !doc->root()["hosts"].is_list()) return std::nullopt;
   std::vector<std::string> out;
-  const View hosts = doc->root()["hosts"];
-  for (size_t i = 0; i < hosts.size(); ++i) {
-    const auto id = hosts.at(i).text();
+  const View machines = doc->root()["hosts"];
+  for (size_t i = 0; i < machines.size(); ++i) {
+    const auto id = machines.at(i).text();
     if (!id || !plain_text(*id, 150)) return std::nullopt;
     out.emplace_back(*id);
   }
--- a/src/dunlinknot/wire/records.cpp
+++ b/src/dunlinknot/wire/records.cpp
@@ -23,8 +23,8 @@
 std::string done_key(std::string_view id, uint32_t chunk) {
   return join(kDonePrefix, id) + "/" + std::to_string(chunk);
 }
-std::string host_key(std::string_view machine) {
-  return join(kHostPrefix, machine);
+std::string machine_key(std::string_view machine) {
+  return join(kMachinePrefix, machine);
 }
 
 std::string_view after_prefix(std::string_view key, std::string_view prefix) {
@@ -134,7 +134,7 @@
   return true;
 }
 
-std::string write_host(const HostRecord& r) {
+std::string write_machine_record(const MachineRecord& r) {
   Writer w;
   w.map(5).key("rig").text(r.type).key("yard").text(r.zone).key("address").text(r.address);
   w.key("spot").flag(r.spot).key("jobs").list(r.groups.size());
@@ -147,36 +147,36 @@
   return w.take();
 }
 
-size_t host_record_size(std::string_view type, std::string_view zone, std::string_view address) {
+size_t machine_record_size(std::string_view type, std::string_view zone, std::string_view address) {
   constexpr std::string_view kFrame =
       R"({"rig": "", "yard": "", "address": "", "spot": false, "jobs": []})";
   return kFrame.size() + type.size() + zone.size() + address.size();
 }
 
-size_t host_group_size(std::string_view job, std::string_view team, const Resources& need) {
+size_t machine_group_size(std::string_view job, std::string_view team, const Resources& need) {
   constexpr std::string_view kFrame =
       R"({"job": "", "crew": "", "gang": false, "cpus": , "gpus": , "gb": , "on": []}, )";
   return kFrame.size() + job.size() + team.size() + json_size_of_amount(need.cpus) +
          json_size_of_amount(need.gpus) + json_size_of_amount(need.memory_gb);
 }
 
-size_t host_task_size(uint32_t index, uint64_t attempt) {
+size_t machine_task_size(uint32_t index, uint64_t attempt) {
   constexpr std::string_view kFrame = "[, ], ";
   return kFrame.size() + json_size_of_count(index) + json_size_of_count(attempt);
 }
 
-std::optional<HostRecord> read_host(View v) {
+std::optional<MachineRecord> read_machine_record(View v) {
   const auto type = v["rig"].text();
   const auto zone = v["yard"].text();
   if (!type || !zone || !v["jobs"].is_list()) return std::nullopt;
-  HostRecord r;
+  MachineRecord r;
   r.type = *type;
   r.zone = *zone;
   r.address = v["address"].text().value_or("");
   r.spot = v["spot"].flag().value_or(false);
   for (size_t i = 0; i < v["jobs"].size(); ++i) {
     const View g = v["jobs"].at(i);
-    HostRecord::Group out;
+    MachineRecord::Group out;
     const auto job = g["job"].text();
     if (!job) return std::nullopt;
     out.job = *job;
--- a/src/dunlinknot/wire/records.hpp
+++ b/src/dunlinknot/wire/records.hpp
@@ -17,12 +17,12 @@
 inline constexpr std::string_view kJobPrefix = "job/";
 inline constexpr std::string_view kFinalPrefix = "final/";
 inline constexpr std::string_view kDonePrefix = "done/";
-inline constexpr std::string_view kHostPrefix = "host/";
+inline constexpr std::string_view kMachinePrefix = "host/";
 
 std::string job_key(std::string_view id);
 std::string final_key(std::string_view id);
 std::string done_key(std::string_view id, uint32_t chunk);
-std::string host_key(std::string_view machine);
+std::string machine_key(std::string_view machine);
 std::string_view after_prefix(std::string_view key, std::string_view prefix);
 std::optional<std::pair<std::string, uint32_t>> parse_done_key(std::string_view key);
 
@@ -59,7 +59,7 @@
 
 // What is booked on a machine. Team and amounts stand here too, so that a booking still counts
 // against its team's limit when its job is over and its record gone.
-struct HostRecord {
+struct MachineRecord {
   struct Group {
     std::string job;
     std::string team;
@@ -73,12 +73,12 @@
   bool spot = false;
   std::vector<Group> groups;
 };
-std::string write_host(const HostRecord& r);
-std::optional<HostRecord> read_host(View v);
+std::string write_machine_record(const MachineRecord& r);
+std::optional<MachineRecord> read_machine_record(View v);
 
 // Upper bounds of what the parts of a machine's record add to its size in JSON.
-size_t host_record_size(std::string_view type, std::string_view zone, std::string_view address);
-size_t host_group_size(std::string_view job, std::string_view team, const Resources& need);
-size_t host_task_size(uint32_t index, uint64_t attempt);
+size_t machine_record_size(std::string_view type, std::string_view zone, std::string_view address);
+size_t machine_group_size(std::string_view job, std::string_view team, const Resources& need);
+size_t machine_task_size(uint32_t index, uint64_t attempt);
 
 }  // namespace dunlinknot::wire
--- a/src/dunlinknot/workers/report_handler.cpp
+++ b/src/dunlinknot/workers/report_handler.cpp
@@ -145,7 +145,7 @@
   std::vector<preemption::Victim> victims;
   for (const auto& k : call.commands) victims.push_back({k.task, k.attempt});
   context_.leader_state.with(
-      [&](LeaderState& p) { p.nominations.stop_failed(call.host, victims); });
+      [&](LeaderState& p) { p.nominations.stop_failed(call.machine, victims); });
   context_.schedule.notify();
 }
 
--- a/tests/cloud_service.cpp
+++ b/tests/cloud_service.cpp
@@ -81,9 +81,9 @@
 Reply CloudService::remove(const Call& call, uint64_t sender_token) {
   const auto doc = Document::parse(call.body);
   const View root = doc->root();
-  const View hosts = root["hosts"];
-  for (size_t i = 0; i < hosts.size(); ++i) {
-    const std::string id(*hosts.at(i).text());
+  const View ids = root["hosts"];
+  for (size_t i = 0; i < ids.size(); ++i) {
+    const std::string id(*ids.at(i).text());
     deletions.push_back(id);
     const auto it = machines.find(id);
     const bool changes = it != machines.end() && !it->second.gone;
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -49,13 +49,13 @@
   }
   // Books one task of the job on vm-1 and makes it durable.
   Booking& durable(Job& j, const std::string& vm = "vm-1") {
-    Host& h = *c.host(vm);
+    Machine& h = *c.find_machine(vm);
     c.book(h, j, *j.take_pending(), c.next_attempt(), now);
     Effects n;
-    c.host_stored(h, c.record_of(h), ++stamp, n);
+    c.machine_stored(h, c.record_of(h), ++stamp, n);
     return h.bookings.back();
   }
-  size_t booked(const std::string& vm = "vm-1") { return c.host(vm)->bookings.size(); }
+  size_t booked(const std::string& vm = "vm-1") { return c.find_machine(vm)->bookings.size(); }
 
   settings::Platform platform = test::Site::platform(0, 1);
   settings::Operator op;
@@ -68,11 +68,11 @@
 TEST_F(ClusterTest, ARunGoesOutOnlyOnceItsBookingIsDurable) {
   Job& j = add(job("run-000001", 2));
   send(report());
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   c.book(h, j, *j.take_pending(), c.next_attempt(), now);
   EXPECT_TRUE(send(report()).empty());
   Effects n;
-  c.host_stored(h, c.record_of(h), 21, n);
+  c.machine_stored(h, c.record_of(h), 21, n);
   EXPECT_TRUE(send(report(), false).empty()) << "without the state service nothing starts";
   const auto orders = send(report());
   ASSERT_EQ(orders.size(), 1u);
@@ -88,12 +88,12 @@
   EXPECT_FALSE(c.hear(report(), now, true, effects).run_soon) << "nothing waits for a place";
   c.set_work_waits(true);
   EXPECT_FALSE(c.hear(report(), now, true, effects).run_soon) << "nothing changed there";
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   c.book(h, j, *j.take_pending(), c.next_attempt(), now);
   const WorkerReport waiting = report();
   EXPECT_TRUE(c.hear(waiting, now, true, effects).run_soon) << "its booking is being written";
   Effects n;
-  c.host_stored(h, c.record_of(h), 21, n);
+  c.machine_stored(h, c.record_of(h), 21, n);
   EXPECT_TRUE(n.runs);
   EXPECT_EQ(c.take_runnable(), std::vector<std::string>{"vm-1"});
   const WorkerReport newer = report();  // its worker gave the answer up
@@ -101,7 +101,7 @@
   EXPECT_EQ(c.orders(waiting, now, true).kind, ReportResponse::Kind::stale);
   EXPECT_TRUE(c.orders(newer, now, false).commands.empty()) << "the state service went meanwhile";
   ASSERT_EQ(c.orders(newer, now, true).commands.size(), 1u);
-  c.remove_host("vm-1", now);
+  c.remove_machine("vm-1", now);
   EXPECT_EQ(c.orders(newer, now, true).kind, ReportResponse::Kind::stale) << "deleted meanwhile";
 }
 
@@ -154,9 +154,9 @@
 
 TEST_F(ClusterTest, InheritedBookingsStayUntilAReportBearsOurBaton) {
   Job& j = add(job("run-000001", 2));
-  wire::HostRecord r{
+  wire::MachineRecord r{
       "box", "a", "10.0.0.1:9000", false, {{"run-000001", "red", {2, 0, 4}, false, {{0, 3}}}}};
-  c.load_host("vm-1", r, 7, now);
+  c.load_machine("vm-1", r, 7, now);
   EXPECT_EQ(c.usage(0).used.cpus, 2);
   EXPECT_EQ(j.pending(), 1u) << "task 0 may run there and may not be started elsewhere";
   token = 4;
@@ -180,7 +180,7 @@
   now = answered + leadership::lease_bound(platform);
   c.expire(now);
   EXPECT_EQ(booked(), 0u);
-  EXPECT_TRUE(c.host("vm-1")->lost);
+  EXPECT_TRUE(c.find_machine("vm-1")->lost);
   // A report of the old session that was held up on its way brings nothing back.
   EXPECT_EQ(c.on_report(report(), now, true, effects).kind, ReportResponse::Kind::stale);
   session = 2;
@@ -190,9 +190,9 @@
 
 TEST_F(ClusterTest, ANewLeaderWaitsForTheBlindWindowOfTheOldOne) {
   add(job("run-000001"));
-  wire::HostRecord r{
+  wire::MachineRecord r{
       "box", "a", "10.0.0.1:9000", false, {{"run-000001", "red", {2, 0, 4}, false, {{0, 3}}}}};
-  c.load_host("vm-1", r, 7, now);
+  c.load_machine("vm-1", r, 7, now);
   const Nanos wait = leadership::blind_window(platform) + leadership::lease_bound(platform);
   c.expire(now + wait - Millis(1));
   EXPECT_EQ(booked(), 1u);
@@ -206,11 +206,11 @@
   Job& j = add(job("run-000001"));
   send(report());
   durable(j);
-  c.remove_host("vm-1", now);
+  c.remove_machine("vm-1", now);
   EXPECT_EQ(j.pending(), 1u);
   EXPECT_EQ(c.usage(0).used.cpus, 0);
   EXPECT_EQ(c.on_report(report(), now, true, effects).kind, ReportResponse::Kind::stale);
-  EXPECT_EQ(c.host("vm-1"), nullptr);
+  EXPECT_EQ(c.find_machine("vm-1"), nullptr);
   EXPECT_EQ(c.take_dead_records().size(), 1u);
 }
 
@@ -284,25 +284,25 @@
   send(report("vm-1"));
   send(report("vm-2"));
   const uint64_t attempt = c.next_attempt();
-  Host& h1 = *c.host("vm-1");
-  Host& h2 = *c.host("vm-2");
+  Machine& h1 = *c.find_machine("vm-1");
+  Machine& h2 = *c.find_machine("vm-2");
   c.book(h1, j, *j.take_pending(), attempt, now);
   c.book(h2, j, *j.take_pending(), attempt, now);
   Effects n;
-  c.host_stored(h1, c.record_of(h1), 21, n);
+  c.machine_stored(h1, c.record_of(h1), 21, n);
   EXPECT_TRUE(send(report("vm-1")).empty()) << "the other booking does not stand yet";
-  c.host_stored(h2, c.record_of(h2), 22, n);
+  c.machine_stored(h2, c.record_of(h2), 22, n);
   EXPECT_EQ(send(report("vm-1")).size(), 1u);
   EXPECT_EQ(send(report("vm-2")).size(), 1u);
   WorkerReport b1 = report("vm-1");
   b1.tasks = {on(h1.bookings[0], TaskState::waiting)};
   send(b1);
   // One machine goes: the rest is stopped at once, and nothing starts before all of it is gone.
-  c.remove_host("vm-2", now);
+  c.remove_machine("vm-2", now);
   EXPECT_TRUE(j.any_live());
   const auto calls = c.take_stop_calls();
   ASSERT_EQ(calls.size(), 1u);
-  EXPECT_EQ(calls[0].host, "vm-1");
+  EXPECT_EQ(calls[0].machine, "vm-1");
   send(report("vm-1"));
   EXPECT_FALSE(j.any_live());
   EXPECT_EQ(j.pending(), 2u);
@@ -320,7 +320,7 @@
       ended.tasks = {on(b, TaskState::exited, ExitCause::error)};
       send(ended);
     }
-    EXPECT_FALSE(c.host(vm)->draining) << vm;
+    EXPECT_FALSE(c.find_machine(vm)->draining) << vm;
   }
   EXPECT_TRUE(j.failing);
   EXPECT_GT(j.not_before, now);
@@ -342,8 +342,8 @@
     ended.tasks = {on(b, TaskState::exited, ExitCause::error)};
     send(ended);
   }
-  EXPECT_TRUE(c.host("vm-1")->draining);
-  EXPECT_FALSE(c.host("vm-2")->draining);
+  EXPECT_TRUE(c.find_machine("vm-1")->draining);
+  EXPECT_FALSE(c.find_machine("vm-2")->draining);
 }
 
 TEST_F(ClusterTest, WhatWasNotSentToAMachineThatWillNotGetItGoesElsewhere) {
@@ -354,7 +354,7 @@
     Job& j = add(job("run-00000" + std::to_string(why + 1), 2));
     send(report(vm));
     durable(j, vm);
-    Host& h = *c.host(vm);
+    Machine& h = *c.find_machine(vm);
     c.book(h, j, *j.take_pending(), c.next_attempt(), now);  // not even written down
     if (why == 0) h.draining = true;
     if (why == 1) h.unreachable = true;
@@ -402,12 +402,12 @@
   const uint64_t attempt = c.next_attempt();
   for (const char* vm : {"vm-1", "vm-2"}) {
     send(report(vm));
-    Booking& b = *c.book(*c.host(vm), j, *j.take_pending(), attempt, now);
+    Booking& b = *c.book(*c.find_machine(vm), j, *j.take_pending(), attempt, now);
     b.phase = Phase::seen;
     b.state = TaskState::running;
   }
   WorkerReport r = report("vm-1");
-  r.tasks = {on(c.host("vm-1")->bookings[0])};
+  r.tasks = {on(c.find_machine("vm-1")->bookings[0])};
   r.notice = Seconds(6);
   send(r);
   c.tick(now);
@@ -429,7 +429,7 @@
   s.need = {0.001, 0, 0.001};
   Job& j = add(s);
   send(report());
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   size_t n = 0;
   const auto room_for_one_more = [&] {
     const Cluster::RecordCost cost = c.record_cost(j);
@@ -441,19 +441,19 @@
   }
   EXPECT_GT(n, 50u);
   // As the platform counts it, in JSON; and the bound that was planned with is none too low.
-  const std::string written = wire::write_host(c.record_of(h));
+  const std::string written = wire::write_machine_record(c.record_of(h));
   const size_t size = wire::json_size(wire::Document::parse(written)->root());
   EXPECT_LE(size, c.record_size(h));
   EXPECT_LE(c.record_size(h), c.record_limit());
   EXPECT_LT(c.record_limit(), platform.state_limits.value_bytes);
-  EXPECT_LT(wire::write_host(c.record_of(h)).size(), platform.state_limits.value_bytes);
+  EXPECT_LT(wire::write_machine_record(c.record_of(h)).size(), platform.state_limits.value_bytes);
 }
 
 TEST_F(ClusterTest, AnAheadTaskStartsWithTheReportThatTellsOfTheRoom) {
   // Found on the grown deployment: one write a task used the state service's budget up.
   Job& j = add(job("run-000001", 2));
   send(report());
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   j.stamp = 10;
   JobSpec big = job("run-000002", 1);
   big.need = {8, 0, 4};
@@ -462,7 +462,7 @@
   c.book_ahead(h, j, *j.take_pending(), c.next_attempt(), {0, 1}, now);
   c.book_ahead(h, j, *j.take_pending(), c.next_attempt(), {0, 0}, now);
   Effects n;
-  c.host_stored(h, c.record_of(h), ++stamp, n);
+  c.machine_stored(h, c.record_of(h), ++stamp, n);
   EXPECT_EQ(h.used.cpus, 8) << "what waits takes no room";
   EXPECT_EQ(c.usage(0).used.cpus, 8);
   EXPECT_EQ(j.pending(), 0u);
@@ -488,10 +488,10 @@
   send(report());
   send(report("vm-2"));
   c.set_held({{"vm-1", {5, 0, 4}}, {"vm-2", {1, 0, 1}}}, {});
-  c.remove_host("vm-1", now);
+  c.remove_machine("vm-1", now);
   c.set_held({}, {});
-  EXPECT_EQ(c.host("vm-2")->held.cpus, 0);
-  EXPECT_FALSE(c.host("vm-1"));
+  EXPECT_EQ(c.find_machine("vm-2")->held.cpus, 0);
+  EXPECT_FALSE(c.find_machine("vm-1"));
 }
 
 TEST_F(ClusterTest, AnAheadTaskRespectsItsTeamsLimit) {
@@ -499,12 +499,12 @@
   s.team = "tiny";  // at most 4 cpus
   Job& j = add(s);
   send(report());
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   for (int i = 0; i < 3; ++i) {
     c.book_ahead(h, j, *j.take_pending(), c.next_attempt(), {}, now);
   }
   Effects n;
-  c.host_stored(h, c.record_of(h), ++stamp, n);
+  c.machine_stored(h, c.record_of(h), ++stamp, n);
   EXPECT_EQ(send(report()).size(), 2u);
   // Saved up for a gang of the team: nothing more of it is given away.
   c.set_held({}, {Resources{}, Resources{}, Resources{4, 0, 0}});
@@ -514,7 +514,7 @@
 TEST_F(ClusterTest, AnAheadTaskLeavesAMachineThatNothingIsHeardOf) {
   Job& j = add(job("run-000001", 2));
   send(report());
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   c.book_ahead(h, j, *j.take_pending(), c.next_attempt(), {}, now);
   EXPECT_EQ(j.pending(), 1u);
   now += seconds(1);
@@ -543,11 +543,11 @@
               ReportResponse::Kind::stale);
     c.expire(now);
   }
-  EXPECT_TRUE(c.host("vm-1")->lost);
+  EXPECT_TRUE(c.find_machine("vm-1")->lost);
   EXPECT_EQ(booked(), 0u);
   // And it stays lost, however many copies come.
   EXPECT_EQ(c.on_report(running, now, true, effects).kind, ReportResponse::Kind::stale);
-  EXPECT_TRUE(c.host("vm-1")->lost);
+  EXPECT_TRUE(c.find_machine("vm-1")->lost);
 }
 
 TEST_F(ClusterTest, AMachineThatOurAnswersDoNotReachIsFoundOut) {
@@ -557,15 +557,15 @@
   send(report("vm-2"));
   durable(j);
   for (int i = 0; i < 8; ++i) {
-    EXPECT_TRUE(c.unreachable_hosts().empty() || i > 2);
+    EXPECT_TRUE(c.unreachable_machines().empty() || i > 2);
     send(report());
     now += Millis(1500);
   }
-  EXPECT_EQ(c.unreachable_hosts(), std::vector<std::string>{"vm-1"});
+  EXPECT_EQ(c.unreachable_machines(), std::vector<std::string>{"vm-1"});
   EXPECT_EQ(booked(), 1u) << "its booking ends safely only with the machine";
   c.tick(now);
   EXPECT_EQ(booked(), 1u);
-  c.remove_host("vm-1", now);
+  c.remove_machine("vm-1", now);
   EXPECT_EQ(j.pending(), 1u);
 }
 
@@ -578,7 +578,7 @@
     send(report());
     now += Millis(1500);
   }
-  ASSERT_TRUE(c.host("vm-1")->unreachable);
+  ASSERT_TRUE(c.find_machine("vm-1")->unreachable);
   c.tick(now);
   const auto reports_for = [&](Nanos time) {
     for (Nanos t{0}; t < time; t += Millis(1500)) {
@@ -588,12 +588,12 @@
   };
   ++session;  // its lease ran out: still deaf
   reports_for(seconds(13));
-  EXPECT_TRUE(c.host("vm-1")->unreachable);
+  EXPECT_TRUE(c.find_machine("vm-1")->unreachable);
   ++session;
   reports_for(seconds(13));
-  EXPECT_TRUE(c.host("vm-1")->unreachable);
+  EXPECT_TRUE(c.find_machine("vm-1")->unreachable);
   reports_for(seconds(4));  // the same session for longer than a lease: some answer renewed it
-  EXPECT_FALSE(c.host("vm-1")->unreachable);
+  EXPECT_FALSE(c.find_machine("vm-1")->unreachable);
 }
 
 TEST_F(ClusterTest, AMachineThatObeysLateIsNotTakenForDeaf) {
@@ -607,8 +607,8 @@
   WorkerReport running = report();
   running.tasks = {on(b)};
   send(running);
-  EXPECT_EQ(c.host("vm-1")->suspicions, 0u);
-  EXPECT_TRUE(c.unreachable_hosts().empty());
+  EXPECT_EQ(c.find_machine("vm-1")->suspicions, 0u);
+  EXPECT_TRUE(c.unreachable_machines().empty());
 }
 
 TEST_F(ClusterTest, WhenManySeemDeafItIsOurAnswersThatAreLate) {
@@ -624,8 +624,8 @@
     for (int m = 0; m < 12; ++m) send(report("vm-" + std::to_string(m)));
     now += Millis(1500);
   }
-  EXPECT_TRUE(c.host("vm-3")->unreachable);
-  EXPECT_TRUE(c.unreachable_hosts().empty());
+  EXPECT_TRUE(c.find_machine("vm-3")->unreachable);
+  EXPECT_TRUE(c.unreachable_machines().empty());
 }
 
 TEST_F(ClusterTest, AMachineBackWithinAFractionOfASecondHasANewSessionAndNoTasks) {
--- a/tests/duty_history.cpp
+++ b/tests/duty_history.cpp
@@ -92,7 +92,7 @@
   if (const auto machine = duties::return_name(key); !machine.empty() && machine_lives(machine)) {
     violations_.push_back("an intent was removed before its machine was gone: " + key);
   }
-  if (const auto machine = wire::after_prefix(key, wire::kHostPrefix); machine_lives(machine)) {
+  if (const auto machine = wire::after_prefix(key, wire::kMachinePrefix); machine_lives(machine)) {
     const auto worker = site_.workers.find(std::string(machine));
     if (worker == site_.workers.end() || !worker->second->on) return;
     for (const auto& [task, running] : worker->second->tasks) {
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -29,7 +29,7 @@
 constexpr std::string_view kLeader = "82a46e6f6465a864756e6c696e2d32a565706f636829";
 constexpr std::string_view kEpoch = "81a16e29";
 constexpr std::string_view kDone = "81a462697473a3393032";
-constexpr std::string_view kHost =
+constexpr std::string_view kMachineRecord =
     "85a3726967a26738a479617264a161a761646472657373af31302e312e302e3233323a39303030a473706f74"
     "c3a46a6f62739187a36a6f62aa72756e2d303030343132a463726577a6766973696f6ea467616e67c3a46370"
     "757308a46770757301a2676240a26f6e929200ce290000019203ce29000001";
@@ -129,15 +129,15 @@
   EXPECT_EQ(write_done_chunk(done, 0), from_hex(kDone));
 }
 
-TEST(Golden, HostRecord) {
-  const Document document = parsed(kHost);
-  const auto record = read_host(document.root());
+TEST(Golden, MachineRecord) {
+  const Document document = parsed(kMachineRecord);
+  const auto record = read_machine_record(document.root());
   ASSERT_TRUE(record);
   EXPECT_EQ(record->address, "10.1.0.232:9000");
   ASSERT_EQ(record->groups.size(), 1u);
   EXPECT_EQ(record->groups[0].tasks.size(), 2u);
   EXPECT_EQ(record->groups[0].tasks[1].first, 3u);
-  EXPECT_EQ(write_host(*record), from_hex(kHost));
+  EXPECT_EQ(write_machine_record(*record), from_hex(kMachineRecord));
 }
 
 TEST(Golden, Catalog) {
@@ -152,9 +152,9 @@
   const auto job = Document::parse(with_unknown_field(kJob));
   ASSERT_TRUE(job);
   EXPECT_TRUE(read_job_record(job->root()));
-  const auto host = Document::parse(with_unknown_field(kHost));
-  ASSERT_TRUE(host);
-  EXPECT_TRUE(read_host(host->root()));
+  const auto machine = Document::parse(with_unknown_field(kMachineRecord));
+  ASSERT_TRUE(machine);
+  EXPECT_TRUE(read_machine_record(machine->root()));
   const auto final = Document::parse(with_unknown_field(kFinal));
   ASSERT_TRUE(final);
   EXPECT_TRUE(read_final(final->root()));
@@ -163,7 +163,7 @@
 
 TEST(Golden, RecordsThatAreCutOffOrTooLongAreRefused) {
   for (const std::string_view digits :
-       {kJob, kServiceJob, kFinal, kLeader, kEpoch, kDone, kHost, kCatalog}) {
+       {kJob, kServiceJob, kFinal, kLeader, kEpoch, kDone, kMachineRecord, kCatalog}) {
     const std::string bytes = from_hex(digits);
     for (size_t n = 0; n < bytes.size(); ++n) {
       EXPECT_FALSE(Document::parse(std::string_view(bytes).substr(0, n))) << n;
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -139,12 +139,12 @@
 
 TEST_F(LowerLimits, OneMachineHoldsManyJobsAndARecordStoredLargeShrinksByItself) {
   // As a controller of the version before left it: a record far above the new limit.
-  wire::HostRecord large{"box", "a", "", false, {}};
+  wire::MachineRecord large{"box", "a", "", false, {}};
   for (size_t n = 0; n < 60; ++n) {
     large.groups.push_back({id(500 + n), "red", {0.01, 0, 0.01}, false, {{0, n + 1}}});
   }
-  ASSERT_GT(wire::write_host(large).size(), 2 * kNextValue);
-  s.state.put("host/vm-old", wire::write_host(large));
+  ASSERT_GT(wire::write_machine_record(large).size(), 2 * kNextValue);
+  s.state.put("host/vm-old", wire::write_machine_record(large));
   lower();
   const size_t old = *s.leader();
   s.crash(old);
@@ -170,7 +170,7 @@
   c.begin_term(1000, s.clock.now());
   const cluster::Job typical(job("run-000412"), WallTime{}, 1, 0, Instant{});
   const cluster::Cluster::RecordCost cost = c.record_cost(typical);
-  const size_t frame = wire::host_record_size("sortrig", "kamloops", "10.1.0.232:9000");
+  const size_t frame = wire::machine_record_size("sortrig", "kamloops", "10.1.0.232:9000");
   EXPECT_GE((c.record_limit() - frame) / (cost.group + cost.task), kLeastJobs);
 }
 
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -94,8 +94,8 @@
 
 TEST_F(BookingConstraints, ABookingInAnotherZoneIsRefusedAndCounted) {
   Job& j = add(zoned(2, true, false));
-  book(j, machine("vm-1", "a"));
-  Host& other = machine("vm-2", "b");
+  book(j, add_machine("vm-1", "a"));
+  Machine& other = add_machine("vm-2", "b");
   EXPECT_EQ(cluster.book(other, j, *j.take_pending(), cluster.next_attempt(), now), nullptr);
   EXPECT_TRUE(other.bookings.empty());
   EXPECT_EQ(cluster.refused_bookings(), 1u);
@@ -105,8 +105,8 @@
 
 TEST_F(BookingConstraints, ABookingAheadInAnotherZoneIsRefused) {
   Job& j = add(zoned(2, true, false));
-  book(j, machine("vm-1", "a"));
-  Host& other = machine("vm-2", "b");
+  book(j, add_machine("vm-1", "a"));
+  Machine& other = add_machine("vm-2", "b");
   EXPECT_EQ(cluster.book_ahead(other, j, *j.take_pending(), cluster.next_attempt(), {}, now),
             nullptr);
   EXPECT_EQ(cluster.refused_bookings(), 1u);
@@ -116,37 +116,37 @@
   JobSpec spec = zoned(1, false, false);
   spec.types = {"crate"};
   Job& j = add(spec);
-  EXPECT_EQ(cluster.book(machine("vm-1", "a"), j, *j.take_pending(), 1, now), nullptr);
+  EXPECT_EQ(cluster.book(add_machine("vm-1", "a"), j, *j.take_pending(), 1, now), nullptr);
   EXPECT_EQ(cluster.refused_bookings(), 1u);
 }
 
 // A booking stands and is about to be sent when a task of the job turns up in another zone.
 TEST_F(BookingConstraints, WhatMayNotStartBesideAnOrphanIsUndone) {
   Job& j = add(zoned(2, true, false));
-  book(j, machine("vm-1", "a"));
+  book(j, add_machine("vm-1", "a"));
   EXPECT_FALSE(stops_any(send(with_orphan("vm-2", "b", 1)))) << "it is there, and may stay";
   EXPECT_FALSE(starts_any(send(report("vm-1", "a"))));
-  EXPECT_TRUE(cluster.host("vm-1")->bookings.empty());
+  EXPECT_TRUE(cluster.find_machine("vm-1")->bookings.empty());
   EXPECT_EQ(j.pending(), 1u);
 }
 
 TEST_F(BookingConstraints, WhatMayStartBesideAnOrphanStays) {
   Job& j = add(zoned(2, true, false));
-  book(j, machine("vm-1", "a"));
+  book(j, add_machine("vm-1", "a"));
   send(with_orphan("vm-2", "a", 1));
   EXPECT_TRUE(starts_any(send(report("vm-1", "a"))));
 }
 
 TEST_F(BookingConstraints, TheTaskThatAnOrphanIsDoesNotStartElsewhere) {
   Job& j = add(zoned(1, false, false));
-  book(j, machine("vm-1", "a"));
+  book(j, add_machine("vm-1", "a"));
   EXPECT_TRUE(stops_any(send(with_orphan("vm-2", "a", 0))));
   EXPECT_FALSE(starts_any(send(report("vm-1", "a")))) << "not before the orphan is gone";
 }
 
 TEST_F(BookingConstraints, AnOrphanInAnotherZoneThanTheJobsTasksIsStopped) {
   Job& j = add(zoned(2, true, false));
-  run(j, machine("vm-1", "a"));
+  run(j, add_machine("vm-1", "a"));
   EXPECT_TRUE(stops_any(send(with_orphan("vm-2", "b", 1))));
 }
 
@@ -155,7 +155,7 @@
   gang.gang = true;
   Job& j = add(gang);
   const uint64_t attempt = cluster.next_attempt();
-  Host& a = machine("vm-1", "a");
+  Machine& a = add_machine("vm-1", "a");
   book(j, a, attempt);
   book(j, a, attempt);
   ASSERT_TRUE(j.gang_go);
@@ -172,7 +172,7 @@
   gang.gang = true;
   const Job& j = add(gang);
   EXPECT_TRUE(j.any_live());
-  machine("vm-1", "a");
+  add_machine("vm-1", "a");
   EXPECT_TRUE(plan().gangs.empty());
   send(report("vm-2", "b"));
   EXPECT_EQ(plan().gangs.size(), 1u);
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -10,8 +10,8 @@
 using cluster::Booking;
 using cluster::Cluster;
 using cluster::Effects;
-using cluster::Host;
 using cluster::Job;
+using cluster::Machine;
 using cluster::Phase;
 using std::chrono::seconds;
 using test::job;
@@ -28,7 +28,7 @@
     // Nothing can be rented.
     market.refused = {{"box", "a", false}, {"box", "a", true}};
   }
-  Host& machine(const std::string& id) {
+  Machine& machine(const std::string& id) {
     WorkerReport b;
     b.machine = id;
     b.address = "10.0.0.1:9000";
@@ -39,7 +39,7 @@
     b.token = 1;
     Effects effects;
     c.on_report(b, now, false, effects);
-    return *c.host(id);
+    return *c.find_machine(id);
   }
   Job& add(const std::string& id, Priority p, double cpus, uint32_t tasks = 1,
            const std::string& team = "red") {
@@ -50,7 +50,7 @@
     c.load_job({s, WallTime(Millis(seq++))}, 10, now);
     return *c.job(id);
   }
-  Booking& run(Job& j, Host& h) {
+  Booking& run(Job& j, Machine& h) {
     Booking& b = *c.book(h, j, *j.take_pending(), c.next_attempt(), now);
     b.phase = Phase::seen;
     b.state = TaskState::running;
@@ -67,14 +67,14 @@
     for (const auto& e : p.evictions) {
       if (e.renews) n.end(e.renews, End::renominated);
       for (const auto& v : e.victims) {
-        Host& h = *c.host(e.host);
+        Machine& h = *c.find_machine(e.machine);
         c.stop(h, *h.find(v.task, v.attempt), cluster::StopReason::preempted, Seconds(0), now);
       }
-      n.add(e.job, e.host, e.room, e.priority, e.victims);
+      n.add(e.job, e.machine, e.room, e.priority, e.victims);
     }
   }
   // The worker's report drops what was stopped.
-  void victims_gone(Host& h) {
+  void victims_gone(Machine& h) {
     WorkerReport b;
     b.machine = h.id;
     b.address = h.address;
@@ -93,7 +93,7 @@
 
   // Room is made on vm-1 for run-000002, and taken by a higher priority. Returns the nomination.
   uint64_t nominate_and_lose_the_room() {
-    Host& h = *c.host("vm-1");
+    Machine& h = *c.find_machine("vm-1");
     run(add("run-000001", Priority::low, 8), h);
     add("run-000002", Priority::normal, 6);
     carry_out(plan());
@@ -112,7 +112,7 @@
 };
 
 TEST_F(PreemptionTest, EvictsOnlyWhenNothingCanBeRented) {
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   run(add("run-000001", Priority::low, 8), h);
   add("run-000002", Priority::high, 4);
   market.refused.clear();
@@ -125,7 +125,7 @@
 }
 
 TEST_F(PreemptionTest, TakesBackVictimsThatNeedNotGo) {
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   Job& low = add("run-000001", Priority::low, 2, 4);
   for (int i = 0; i < 4; ++i) run(low, h);
   add("run-000002", Priority::high, 4);
@@ -135,7 +135,7 @@
 }
 
 TEST_F(PreemptionTest, EqualPriorityIsNoVictimAndGangsAreNeither) {
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   run(add("run-000001", Priority::normal, 4), h);
   JobSpec g = job("run-000003", 1);
   g.gang = true;
@@ -155,9 +155,9 @@
 }
 
 TEST_F(PreemptionTest, NoSecondPreemptionWhileAVictimIsBooked) {
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   run(add("run-000001", Priority::low, 8), h);
-  Host& other = machine("vm-2");
+  Machine& other = machine("vm-2");
   run(add("run-000005", Priority::low, 8), other);
   add("run-000002", Priority::high, 4);
   carry_out(plan());
@@ -171,7 +171,7 @@
 }
 
 TEST_F(PreemptionTest, TheHoldKeepsEqualAndLowerPrioritiesOutAndNotHigherOnes) {
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   run(add("run-000001", Priority::low, 8), h);
   add("run-000002", Priority::normal, 6);
   carry_out(plan());
@@ -193,7 +193,7 @@
 TEST_F(PreemptionTest, RoomThatIsThereOnlyWithTheHoldIsNotUsed) {
   // The victim held 8, the preemptor takes 2: pass 1 sees 6 free (victim subtracted, hold added),
   // but until the victim's report drops it nothing is free in pass 2.
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   run(add("run-000001", Priority::low, 8), h);
   add("run-000002", Priority::high, 2);
   carry_out(plan());
@@ -207,7 +207,7 @@
 }
 
 TEST_F(PreemptionTest, ASharedVictimServesTwoPreemptors) {
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   run(add("run-000001", Priority::low, 8), h);
   add("run-000002", Priority::normal, 4);
   carry_out(plan());
@@ -222,7 +222,7 @@
 }
 
 TEST_F(PreemptionTest, PlacementTriesTheHeldRoomFirstAndEndsTheNomination) {
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   run(add("run-000001", Priority::low, 8), h);
   add("run-000002", Priority::high, 4);
   carry_out(plan());
@@ -230,14 +230,14 @@
   machine("vm-2");  // empty, and as good
   const auto p = plan();
   ASSERT_FALSE(p.placements.empty());
-  EXPECT_EQ(p.placements[0].host, "vm-1");
+  EXPECT_EQ(p.placements[0].machine, "vm-1");
   ASSERT_EQ(p.placements[0].ends_nominations.size(), 1u);
   n.end(p.placements[0].ends_nominations[0], End::placed);
   EXPECT_TRUE(n.all().empty());
 }
 
 TEST_F(PreemptionTest, TheVictimListOutlivesItsNomination) {
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   run(add("run-000001", Priority::low, 8), h);
   add("run-000002", Priority::high, 4);
   carry_out(plan());
@@ -251,7 +251,7 @@
 }
 
 TEST_F(PreemptionTest, AFailedStopCallEndsTheNominationAndFreesTheVictims) {
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   const Booking& b = run(add("run-000001", Priority::low, 8), h);
   const Victim v{b.task, b.attempt};
   add("run-000002", Priority::high, 4);
@@ -265,15 +265,15 @@
 
 TEST_F(PreemptionTest, RenominatesOnceTheVictimsAreGoneAndTheRoomIsLost) {
   const uint64_t first = nominate_and_lose_the_room();
-  Host& other = machine("vm-2");
+  Machine& other = machine("vm-2");
   run(add("run-000004", Priority::low, 8), other);
   const auto p = plan();
   ASSERT_EQ(p.evictions.size(), 1u);
   EXPECT_EQ(p.evictions[0].renews, first);
-  EXPECT_EQ(p.evictions[0].host, "vm-2");
+  EXPECT_EQ(p.evictions[0].machine, "vm-2");
   carry_out(p);
   ASSERT_EQ(n.all().size(), 1u);
-  EXPECT_EQ(n.all().begin()->second.host, "vm-2");
+  EXPECT_EQ(n.all().begin()->second.machine, "vm-2");
 }
 
 // Found by reading: with machines to be rented the nomination was neither used, renewed nor
@@ -290,13 +290,13 @@
 }
 
 TEST_F(PreemptionTest, AGuaranteeTakesBackWhatOthersBorrowed) {
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   Job& borrowing = add("run-000001", Priority::high, 4, 2, "blue");  // 8 of a guaranteed 8
   run(borrowing, h);
   run(borrowing, h);
   add("run-000002", Priority::low, 4, 1, "red");
   EXPECT_TRUE(plan().evictions.empty()) << "blue is within its own guarantee";
-  Host& other = machine("vm-2");
+  Machine& other = machine("vm-2");
   Job& more = add("run-000003", Priority::high, 4, 2, "blue");
   run(more, other);
   run(more, other);
@@ -308,7 +308,7 @@
 TEST_F(PreemptionTest, AVictimWhoseRunNeverWentOutIsUndoneAtOnce) {
   // Found on a quiet day: such a booking counted as being stopped for ever, and its machine with
   // it.
-  Host& h = *c.host("vm-1");
+  Machine& h = *c.find_machine("vm-1");
   Job& low = add("run-000001", Priority::low, 8);
   const Booking b = *c.book(h, low, *low.take_pending(), c.next_attempt(), now);
   const auto effects = c.preempt(h, b.task, b.attempt, now);
@@ -318,7 +318,7 @@
 }
 
 TEST_F(PreemptionTest, AFailingJobDoesNotEvict) {
-  run(add("run-000001", Priority::low, 8), *c.host("vm-1"));
+  run(add("run-000001", Priority::low, 8), *c.find_machine("vm-1"));
   add("run-000002", Priority::high, 4).failing = true;
   EXPECT_TRUE(plan().evictions.empty());
 }
@@ -329,14 +329,14 @@
   machine("vm-2");
   Job& within = add("run-000001", Priority::normal, 4, 2, "blue");  // 8 of a guaranteed 8
   Job& beyond = add("run-000002", Priority::normal, 4, 2, "blue");
-  run(within, *c.host("vm-1"));
-  run(within, *c.host("vm-1"));
-  run(beyond, *c.host("vm-2"));
-  run(beyond, *c.host("vm-2"));
+  run(within, *c.find_machine("vm-1"));
+  run(within, *c.find_machine("vm-1"));
+  run(beyond, *c.find_machine("vm-2"));
+  run(beyond, *c.find_machine("vm-2"));
   add("run-000003", Priority::normal, 4, 2, "red");
   const auto p = plan();
   ASSERT_EQ(p.evictions.size(), 1u);
-  EXPECT_EQ(p.evictions[0].host, "vm-2");
+  EXPECT_EQ(p.evictions[0].machine, "vm-2");
   for (const auto& v : p.evictions[0].victims) EXPECT_EQ(v.task.job, "run-000002");
 }
 
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -200,7 +200,7 @@
     c.begin_term(1, now);
     c.set_catalog({box});
   }
-  cluster::Host& machine(const std::string& id) {
+  cluster::Machine& machine(const std::string& id) {
     WorkerReport report;
     report.machine = id;
     report.type = "box";
@@ -209,14 +209,14 @@
     report.seq = ++seq;
     report.token = 1;
     (void)c.on_report(report, now, false, effects);
-    return *c.host(id);
+    return *c.find_machine(id);
   }
   cluster::Job& add(JobSpec spec) {
     const std::string id = spec.id;
     c.load_job({std::move(spec), wall}, 10, now);
     return *c.job(id);
   }
-  cluster::Booking& run(cluster::Host& h, cluster::Job& j) {
+  cluster::Booking& run(cluster::Machine& h, cluster::Job& j) {
     cluster::Booking& b = *c.book(h, j, *j.take_pending(), c.next_attempt(), now);
     b.phase = cluster::Phase::seen;
     b.state = TaskState::running;
@@ -247,7 +247,7 @@
 
 TEST_F(ReplicaDecisions, NoRoomIsKeptWhereOnlyReplicasWouldHaveToEnd) {
   market.refused = {{"box", "a", false}, {"box", "b", false}};
-  cluster::Host& taken = machine("vm-1");
+  cluster::Machine& taken = machine("vm-1");
   cluster::Job& api = add(service("run-000001", 4));
   for (int i = 0; i < 4; ++i) run(taken, api);
   JobSpec gang = job("run-000002", 2);
@@ -260,7 +260,7 @@
 }
 
 TEST_F(ReplicaDecisions, AReplicaIsNoVictimOfAnEqualAndCostsItsGapHoweverLongItRan) {
-  cluster::Host& h = machine("vm-1");
+  cluster::Machine& h = machine("vm-1");
   cluster::Job& api = add(service("run-000001", 1));
   const cluster::Booking& b = run(h, api);
   const double soon = preemption::lost_work(b, &api, now);
@@ -274,7 +274,7 @@
 
 TEST_F(ReplicaDecisions, AServiceIsNotOverdueForHavingRunForLong) {
   // What goes before all else begins with a part of its tasks; replicas lost later start at once.
-  cluster::Host& h = machine("vm-1");
+  cluster::Machine& h = machine("vm-1");
   cluster::Job& api = add(service("run-000001", 4));
   run(h, api);
   wall += std::chrono::hours(2);
@@ -310,7 +310,7 @@
 
 TEST_F(ReplicaDecisions, AServiceWhoseReplicasRanIsNotTakenForOneThatFailsEverywhere) {
   cluster::Job& api = add(service("run-000001", 6));
-  cluster::Host& sound = machine("vm-0");
+  cluster::Machine& sound = machine("vm-0");
   run(sound, api);
   now += seconds(40);
   WorkerReport alive;
@@ -324,7 +324,7 @@
   (void)c.on_report(alive, now, false, effects);
   EXPECT_TRUE(api.proven);
   for (int n = 1; n <= 5; ++n) {
-    cluster::Host& sick = machine("vm-" + std::to_string(n));
+    cluster::Machine& sick = machine("vm-" + std::to_string(n));
     const cluster::Booking& b = run(sick, api);
     WorkerReport failed = alive;
     failed.machine = sick.id;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -23,7 +23,7 @@
 
 size_t known_machines(Site& site) {
   return site.daemon(*site.leader()).context().leader_state.with([](cluster::LeaderState& p) {
-    return p.cluster.hosts().size();
+    return p.cluster.machines().size();
   });
 }
 
@@ -143,8 +143,8 @@
     site.add_worker(m);
     Worker& worker = *site.workers.at(m.id);
     worker.token = kFormerEpoch;
-    wire::HostRecord record{m.type, m.zone, worker.address, false, {}};
-    wire::HostRecord::Group group{kLargest, spec.team, spec.need, false, {}};
+    wire::MachineRecord record{m.type, m.zone, worker.address, false, {}};
+    wire::MachineRecord::Group group{kLargest, spec.team, spec.need, false, {}};
     for (uint32_t k = 0; k < kTasksPerMachine; ++k) {
       const TaskRef task{kLargest, static_cast<uint32_t>(number) * kTasksPerMachine + k};
       constexpr uint64_t kAttempt = 17;
@@ -155,7 +155,7 @@
       worker.tasks[{task, kAttempt}] = running;
     }
     record.groups.push_back(std::move(group));
-    site.state.put(wire::host_key(m.id), wire::write_host(record));
+    site.state.put(wire::machine_key(m.id), wire::write_machine_record(record));
   }
 };
 
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -14,8 +14,8 @@
 
 using cluster::Booking;
 using cluster::Effects;
-using cluster::Host;
 using cluster::Job;
+using cluster::Machine;
 using preemption::End;
 using std::chrono::seconds;
 
@@ -29,7 +29,7 @@
 };
 
 // One machine with its worker: what it was told to run, and when each task exits.
-struct Machine {
+struct SimulatedMachine {
   test::Rules::Place place;
   struct Running {
     uint64_t attempt = 0;
@@ -38,7 +38,7 @@
   };
   std::map<TaskRef, Running> tasks;
   std::vector<TaskReport> exited;
-  std::optional<wire::HostRecord> stored;
+  std::optional<wire::MachineRecord> stored;
   uint64_t sequence = 0;
   uint64_t token = 0;
   Instant silent_until{};
@@ -103,7 +103,7 @@
       for (const uint32_t index : done_[id]) state_.cluster.job(id)->mark_done(index);
     }
     for (auto& [id, m] : machines_) {
-      if (!m.gone && m.stored) state_.cluster.load_host(id, *m.stored, 5, clock_.now());
+      if (!m.gone && m.stored) state_.cluster.load_machine(id, *m.stored, 5, clock_.now());
     }
   }
 
@@ -111,7 +111,7 @@
 
   void add_machine() {
     const std::string id = "vm-" + std::to_string(100 + machines_.size());
-    Machine& m = machines_[id];
+    SimulatedMachine& m = machines_[id];
     // Uneven zones: most of the machines are in the first.
     const std::vector<std::string> zones{"a", "a", "b", "c"};
     m.place = {id, chance(0.7) ? "box" : "rig", zones[pick(zones.size())], chance(0.25)};
@@ -162,7 +162,7 @@
   void lose_machine() {
     if (machines_.empty()) return;
     const auto it = std::next(machines_.begin(), static_cast<ptrdiff_t>(pick(machines_.size())));
-    Machine& m = it->second;
+    SimulatedMachine& m = it->second;
     if (m.gone) return;
     if (chance(0.5)) {  // not heard of for a while, and back within its lease
       m.silent_until = clock_.now() + seconds(2 + pick(8));
@@ -171,11 +171,11 @@
     m.gone = true;
     for (const auto& [task, r] : m.tasks) rules_.ended(it->first, task, r.attempt, false);
     m.tasks.clear();
-    if (chance(0.5)) (void)state_.cluster.remove_host(it->first, clock_.now());
+    if (chance(0.5)) (void)state_.cluster.remove_machine(it->first, clock_.now());
   }
 
   void fail_a_stop_call() {
-    for (const auto& [id, h] : state_.cluster.hosts()) {
+    for (const auto& [id, h] : state_.cluster.machines()) {
       const auto* victims = state_.nominations.victims_on(id);
       if (!victims) continue;
       state_.nominations.stop_failed(id, std::vector(*victims));
@@ -200,7 +200,7 @@
     }
   }
 
-  void exit(const std::string& id, Machine& m, const TaskRef& task, uint64_t attempt,
+  void exit(const std::string& id, SimulatedMachine& m, const TaskRef& task, uint64_t attempt,
             ExitCause cause) {
     rules_.ended(id, task, attempt, cause == ExitCause::done);
     m.exited.push_back({task, attempt, TaskState::exited, cause, false});
@@ -224,7 +224,7 @@
     for (const auto& id : over) close(id, false);
   }
 
-  void report(const std::string& id, Machine& m) {
+  void report(const std::string& id, SimulatedMachine& m) {
     WorkerReport r;
     r.machine = id;
     r.address = "10.0.0.1:9000";
@@ -246,7 +246,7 @@
     for (const Command& command : answer.commands) obey(m, command);
   }
 
-  void obey(Machine& m, const Command& command) {
+  void obey(SimulatedMachine& m, const Command& command) {
     if (command.op == Command::Op::stop) {
       const auto it = m.tasks.find(command.task);
       if (it == m.tasks.end() || it->second.attempt != command.attempt) return;
@@ -278,15 +278,15 @@
                               clock_.wall(), clock_.now());
     tally_.evictions += decided.evictions.size();
     (void)apply(decided, state_, clock_.now());
-    std::set<std::string> jobs, hosts;
-    for (const auto& x : decided.placements) jobs.insert(x.job), hosts.insert(x.host);
+    std::set<std::string> jobs, machines;
+    for (const auto& x : decided.placements) jobs.insert(x.job), machines.insert(x.machine);
     for (const auto& g : decided.gangs) {
       jobs.insert(g.job);
-      for (const auto& [host, n] : g.on) hosts.insert(host);
+      for (const auto& [machine, n] : g.on) machines.insert(machine);
     }
     for (const auto& x : decided.ahead) jobs.insert(x.job);
     for (const auto& id : jobs) check_job(id);
-    for (const auto& id : hosts) check_host(id);
+    for (const auto& id : machines) check_machine(id);
     check_promises(decided);
   }
 
@@ -296,7 +296,7 @@
     std::map<std::string, uint32_t> zones;
     std::set<uint32_t> indices;
     Resources team;
-    for (const auto& [name, h] : state_.cluster.hosts()) {
+    for (const auto& [name, h] : state_.cluster.machines()) {
       for (const Booking& b : h->bookings) {
         if (b.team_name == spec.team && !b.ahead) team += b.need;
         if (b.task.job != id) continue;
@@ -321,8 +321,8 @@
     }
   }
 
-  void check_host(const std::string& id) {
-    const Host& h = *state_.cluster.host(id);
+  void check_machine(const std::string& id) {
+    const Machine& h = *state_.cluster.find_machine(id);
     Resources used;
     for (const Booking& b : h.bookings) {
       if (!b.ahead) used += b.need;
@@ -335,7 +335,7 @@
   void check_promises(const Plan& decided) {
     std::map<std::string, std::map<std::string, uint32_t>> zones;
     for (const auto& e : decided.evictions) {
-      const Host& h = *state_.cluster.host(e.host);
+      const Machine& h = *state_.cluster.find_machine(e.machine);
       const JobSpec& spec = open_.at(e.job);
       ++zones[e.job][h.zone];
       expect(spec.spot || !h.spot, "room on a spot machine for " + e.job);
@@ -356,13 +356,13 @@
   }
 
   void store_some() {
-    for (const auto& [id, h] : state_.cluster.hosts()) {
+    for (const auto& [id, h] : state_.cluster.machines()) {
       if (!h->dirty && !h->trailing) continue;
       if (chance(0.4)) continue;  // writes lag
       Effects effects;
-      wire::HostRecord record = state_.cluster.record_of(*h);
+      wire::MachineRecord record = state_.cluster.record_of(*h);
       if (const auto m = machines_.find(id); m != machines_.end()) m->second.stored = record;
-      state_.cluster.host_stored(*h, record, ++stamp_, effects);
+      state_.cluster.machine_stored(*h, record, ++stamp_, effects);
     }
   }
 
@@ -374,7 +374,7 @@
   test::Rules rules_{clock_, platform_};
   cluster::LeaderState state_{platform_, op_};
   std::vector<MachineType> types_;
-  std::map<std::string, Machine> machines_;
+  std::map<std::string, SimulatedMachine> machines_;
   std::map<std::string, JobSpec> open_;
   std::map<std::string, WallTime> submitted_;
   std::map<std::string, std::set<uint32_t>> done_;
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -11,8 +11,8 @@
 using cluster::Booking;
 using cluster::Cluster;
 using cluster::Effects;
-using cluster::Host;
 using cluster::Job;
+using cluster::Machine;
 using cluster::Phase;
 using std::chrono::seconds;
 using test::job;
@@ -42,8 +42,8 @@
       }
     }
   }
-  Host& machine(const std::string& id, const std::string& zone = "a",
-                const std::string& type = "box", bool spot = false) {
+  Machine& machine(const std::string& id, const std::string& zone = "a",
+                   const std::string& type = "box", bool spot = false) {
     WorkerReport b;
     b.machine = id;
     b.address = "10.0.0.1:9000";
@@ -55,22 +55,22 @@
     b.token = 1;
     Effects effects;
     c.on_report(b, now, false, effects);
-    return *c.host(id);
+    return *c.find_machine(id);
   }
   Job& add(JobSpec s) {
     const std::string id = s.id;
     c.load_job({std::move(s), wall}, 10, now);
     return *c.job(id);
   }
-  void run(Job& j, Host& h, uint64_t attempt = 0) {
+  void run(Job& j, Machine& h, uint64_t attempt = 0) {
     Booking& b = *c.book(h, j, *j.take_pending(), attempt ? attempt : c.next_attempt(), now);
     b.phase = Phase::seen;
     b.state = TaskState::running;
   }
   Plan plan() { return scheduler::plan(c, n, market, platform, op, wall + Millis(100), now); }
-  static std::map<std::string, uint32_t> by_host(const Plan& p) {
+  static std::map<std::string, uint32_t> by_machine(const Plan& p) {
     std::map<std::string, uint32_t> out;
-    for (const auto& x : p.placements) out[x.host] += x.count;
+    for (const auto& x : p.placements) out[x.machine] += x.count;
     for (const auto& g : p.gangs) {
       for (const auto& [h, k] : g.on) out[h] += k;
     }
@@ -88,7 +88,7 @@
 };
 
 TEST_F(SchedulerTest, ATeamsLimitCountsEveryBookingEvenOfClosedJobs) {
-  Host& h = machine("vm-1");
+  Machine& h = machine("vm-1");
   JobSpec s = job("run-000001", 2);
   s.team = "tiny";  // at most 4 cpus
   Job& j = add(s);
@@ -98,7 +98,7 @@
   s.tasks = 5;
   add(s);
   uint32_t placed = 0;
-  for (const auto& [host, k] : by_host(plan())) placed += k;
+  for (const auto& [machine, k] : by_machine(plan())) placed += k;
   EXPECT_EQ(placed, 1u);
 }
 
@@ -111,24 +111,24 @@
   s.zone = "b";
   s.types = {"box"};
   add(s);
-  const auto on = by_host(plan());
+  const auto on = by_machine(plan());
   EXPECT_EQ(on, (std::map<std::string, uint32_t>{{"vm-2", 4}}));
 }
 
 TEST_F(SchedulerTest, TogetherCountsOldBookingsAndApartHalvesRoundedUp) {
-  Host& a = machine("vm-1", "a");
+  Machine& a = machine("vm-1", "a");
   machine("vm-2", "b");
   JobSpec s = job("run-000001", 6);
   s.one_zone = true;
   Job& j = add(s);
   run(j, a);
-  EXPECT_FALSE(by_host(plan()).contains("vm-2"));
+  EXPECT_FALSE(by_machine(plan()).contains("vm-2"));
   c.close_job("run-000001", false, now);
   JobSpec t = job("run-000002", 5);
   t.need = {1, 0, 1};
   t.spread = true;
   add(t);
-  const auto on = by_host(plan());
+  const auto on = by_machine(plan());
   EXPECT_EQ(on, (std::map<std::string, uint32_t>{{"vm-1", 3}, {"vm-2", 2}}));
 }
 
@@ -144,11 +144,11 @@
   machine("vm-3", "b");
   const auto p = plan();
   ASSERT_EQ(p.gangs.size(), 1u);
-  EXPECT_EQ(by_host(p), (std::map<std::string, uint32_t>{{"vm-2", 1}, {"vm-3", 1}}));
+  EXPECT_EQ(by_machine(p), (std::map<std::string, uint32_t>{{"vm-2", 1}, {"vm-3", 1}}));
 }
 
 TEST_F(SchedulerTest, AGangWaitsUntilItsOldAttemptIsGone) {
-  Host& h = machine("vm-1");
+  Machine& h = machine("vm-1");
   machine("vm-2");
   JobSpec g = job("run-000001", 2);
   g.gang = true;
@@ -160,7 +160,7 @@
 TEST_F(SchedulerTest, ATeamsLimitIsSavedUpForAWaitingGang) {
   // Found on a quiet day: small tasks of the same team took each freed piece of the limit, and a
   // gang waited for minutes on machines that stood free.
-  Host& h = machine("vm-1");
+  Machine& h = machine("vm-1");
   machine("vm-2");
   JobSpec small = job("run-000001", 20);
   small.team = "tiny";
@@ -177,13 +177,13 @@
 }
 
 TEST_F(SchedulerTest, WorkWithoutAcceleratorsLeavesRoomBesideFreeOnes) {
-  Host& rig = machine("vm-1", "a", "rig");
+  Machine& rig = machine("vm-1", "a", "rig");
   JobSpec gpu = job("run-000009", 1);
   gpu.need = {3, 1, 4};
   Job& seen = add(gpu);  // what a task with one accelerator takes here
   run(seen, rig);
   add(job("run-000001", 10));  // 2 cpus each; 5 are free, 3 of them beside the free accelerator
-  EXPECT_EQ(by_host(plan()), (std::map<std::string, uint32_t>{{"vm-1", 1}}));
+  EXPECT_EQ(by_machine(plan()), (std::map<std::string, uint32_t>{{"vm-1", 1}}));
 }
 
 TEST_F(SchedulerTest, HeadroomIsKeptForAClassWithAnAimForItsStart) {
@@ -196,7 +196,8 @@
   add(q);
   c.close_job("run-000001", false, now);  // one came, and is over
   add(job("run-000002", 20));
-  EXPECT_EQ(by_host(plan()), (std::map<std::string, uint32_t>{{"vm-1", 1}})) << "6 of 8 are kept";
+  EXPECT_EQ(by_machine(plan()), (std::map<std::string, uint32_t>{{"vm-1", 1}}))
+      << "6 of 8 are kept";
   q.id = "run-000003";
   add(q);
   EXPECT_EQ(plan().gangs.size(), 1u);
@@ -218,14 +219,14 @@
   add(gpu);
   EXPECT_TRUE(plan().placements.empty()) << "kept for one more of them";
   wall += seconds(90);
-  EXPECT_EQ(by_host(plan()), (std::map<std::string, uint32_t>{{"vm-1", 2}}));
+  EXPECT_EQ(by_machine(plan()), (std::map<std::string, uint32_t>{{"vm-1", 2}}));
 }
 
 TEST_F(SchedulerTest, WorkAtItsTeamsLimitWantsNoAcceleratorsFromOthers) {
   // Found on a fleet: gangs waited beside machines whose accelerators nobody could use, since the
   // only team that asked for them was at its limit.
   platform.teams[0].gpus_max = 2;
-  Host& full = machine("vm-1", "a", "rig");
+  Machine& full = machine("vm-1", "a", "rig");
   Job& others = add(job("run-000005", 4));
   for (int i = 0; i < 4; ++i) run(others, full);
   JobSpec gpu = job("run-000009", 40);
@@ -238,7 +239,7 @@
   g.need = {6, 0, 4};
   add(g);
   EXPECT_EQ(plan().held.count("vm-1"), 0u) << "the accelerators are wanted";
-  Host& used = machine("vm-2", "a", "rig");
+  Machine& used = machine("vm-2", "a", "rig");
   for (int i = 0; i < 2; ++i) run(j, used);
   EXPECT_EQ(plan().held.count("vm-1"), 1u) << "the room is kept for the gang";
 }
@@ -366,7 +367,7 @@
 
 TEST_F(SchedulerTest, AJobThatIsLateForLongIsBroughtToItsEnd) {
   platform.teams[0].cpus = 0;
-  Host& h = machine("vm-1");
+  Machine& h = machine("vm-1");
   JobSpec old = job("run-000009", 5);
   old.estimate = Seconds(30);
   old.deadline = Seconds(20);
@@ -385,8 +386,8 @@
 TEST_F(SchedulerTest, TheRoomThatOthersLeaveIsKeptForAGangThatWaits) {
   // Gangs do not evict: single tasks took each freed place, and the larger the gang the longer it
   // waited.
-  Host& a = machine("vm-1");
-  Host& b = machine("vm-2");
+  Machine& a = machine("vm-1");
+  Machine& b = machine("vm-2");
   JobSpec small = job("run-000001", 100);
   small.estimate = Seconds(30);
   small.image = "img-2";
@@ -409,7 +410,7 @@
 TEST_F(SchedulerTest, AnOverdueGangsRoomIsKeptBeforeTheQueuesTurn) {
   // Found in an incident: single tasks of a higher turn took each freed place, and gangs waited for
   // ten minutes beside machines that were used by turns.
-  Host& h = machine("vm-1");
+  Machine& h = machine("vm-1");
   JobSpec g = job("run-000002", 2);
   g.gang = true;
   g.need = {4, 0, 4};
@@ -455,13 +456,13 @@
 
 TEST_F(SchedulerTest, TasksAreBookedAheadOnFullMachinesThatHaveTheImage) {
   platform.state_limits.write_rps = 0.2;  // far too few for one write a task
-  Host& h = machine("vm-1");
+  Machine& h = machine("vm-1");
   Job& j = add(job("run-000001", 100));
   for (int i = 0; i < 4; ++i) run(j, h);
   Plan p = plan();
   EXPECT_TRUE(p.placements.empty());
   ASSERT_EQ(p.ahead.size(), 1u);
-  EXPECT_EQ(p.ahead[0].host, "vm-1");
+  EXPECT_EQ(p.ahead[0].machine, "vm-1");
   const uint32_t count = p.ahead[0].count;
   EXPECT_GE(count, 1u);
   EXPECT_LE(count, 16u) << "some seconds of work, no more";
@@ -553,7 +554,7 @@
 }
 
 TEST_F(SchedulerTest, TellsThatAJobIsBookedAheadOnly) {
-  Host& h = machine("vm-1");
+  Machine& h = machine("vm-1");
   JobSpec large = job("run-000001", 1);
   large.need.cpus = 8;
   run(add(large), h);
@@ -563,7 +564,7 @@
 }
 
 TEST_F(SchedulerTest, TellsThatTasksAreBeingStoppedForAJob) {
-  Host& h = machine("vm-1");
+  Machine& h = machine("vm-1");
   JobSpec low = job("run-000001", 1);
   low.priority = Priority::low;
   low.need.cpus = 8;
@@ -575,7 +576,7 @@
   const Plan first = plan();
   ASSERT_EQ(first.evictions.size(), 1u);
   const auto& e = first.evictions.front();
-  n.add(e.job, e.host, e.room, e.priority, e.victims);
+  n.add(e.job, e.machine, e.room, e.priority, e.victims);
   (void)c.preempt(h, e.victims.front().task, e.victims.front().attempt, now);
   EXPECT_EQ(wait_causes(plan()).at("run-000002"), WaitCause::eviction);
 }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -34,14 +34,14 @@
   static uint64_t attempt_of(uint64_t epoch, uint64_t n) { return epoch << 24 | n; }
   void old_version_books(const std::string& machine, const JobSpec& spec, uint64_t attempt,
                          const std::vector<uint32_t>& tasks) {
-    wire::HostRecord record;
+    wire::MachineRecord record;
     const CloudService::Machine& m = s.cloud.machines.at(machine);
     record.type = m.type;
     record.zone = m.zone;
     record.address = s.workers.at(machine)->address;
     record.groups.push_back({spec.id, spec.team, spec.need, spec.gang, {}});
     for (const uint32_t i : tasks) record.groups[0].tasks.emplace_back(i, attempt);
-    s.state.put(wire::host_key(machine), wire::write_host(record));
+    s.state.put(wire::machine_key(machine), wire::write_machine_record(record));
   }
   // A cancellation as a controller of the version before confirms it.
   void old_version_cancels(const JobSpec& spec) {
@@ -176,11 +176,11 @@
   s.run_for(seconds(6));
   ASSERT_GE(s.workers.size(), 1u);
   const std::string machine = s.workers.begin()->first;
-  const auto stored = s.state.data.find(wire::host_key(machine));
+  const auto stored = s.state.data.find(wire::machine_key(machine));
   ASSERT_NE(stored, s.state.data.end());
   for (int k = 0; k < 4; ++k) {
     // The same contents under another stamp: the new leader's next write meets a guard that fails.
-    s.state.put(wire::host_key(machine), std::string(stored->second.value));
+    s.state.put(wire::machine_key(machine), std::string(stored->second.value));
     s.run_for(Millis(700));
   }
   s.run_for(seconds(120));
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -150,7 +150,7 @@
   EXPECT_LE(chunks, 13u);
 }
 
-TEST(Records, JobAndHostComeBackAsWritten) {
+TEST(Records, JobAndMachineComeBackAsWritten) {
   JobRecord r{test::job("run-000007", 3), WallTime(Millis(1234567))};
   r.spec.types = {"box", "big"};
   r.spec.zone = "a";
@@ -163,15 +163,16 @@
   EXPECT_EQ(back->spec.types, r.spec.types);
   EXPECT_EQ(back->spec.deadline, r.spec.deadline);
 
-  HostRecord h{"box", "a", "10.0.0.1:9", true, {{"run-000007", "red", {1, 2, 3}, true, {{0, 5}}}}};
-  const std::string host = write_host(h);
-  const auto host_doc = Document::parse(host);
-  const auto host_back = read_host(host_doc->root());
-  ASSERT_TRUE(host_back);
-  ASSERT_EQ(host_back->groups.size(), 1u);
-  EXPECT_EQ(host_back->groups[0].tasks, h.groups[0].tasks);
-  EXPECT_EQ(host_back->groups[0].need.gpus, 2);
-  EXPECT_TRUE(host_back->spot);
+  MachineRecord h{
+      "box", "a", "10.0.0.1:9", true, {{"run-000007", "red", {1, 2, 3}, true, {{0, 5}}}}};
+  const std::string machine = write_machine_record(h);
+  const auto machine_doc = Document::parse(machine);
+  const auto machine_back = read_machine_record(machine_doc->root());
+  ASSERT_TRUE(machine_back);
+  ASSERT_EQ(machine_back->groups.size(), 1u);
+  EXPECT_EQ(machine_back->groups[0].tasks, h.groups[0].tasks);
+  EXPECT_EQ(machine_back->groups[0].need.gpus, 2);
+  EXPECT_TRUE(machine_back->spot);
 }
 
 TEST(PeerFrames, AreCheckedBeforeTheyAreRead) {
--- a/tests/zone_constraints_test.cpp
+++ b/tests/zone_constraints_test.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 using cluster::Booking;
-using cluster::Host;
 using cluster::Job;
+using cluster::Machine;
 using test::job;
 
 struct ZoneConstraints : test::ZonedCluster {
@@ -23,25 +23,25 @@
     return add(spec);
   }
   // Fills the machine with one task of low priority.
-  void fill(Host& host) {
+  void fill(Machine& machine) {
     JobSpec spec = job("run-0001" + std::to_string(10 + fillers++));
     spec.priority = Priority::low;
     spec.need = {8, 0, 4};
-    run(add(spec), host);
+    run(add(spec), machine);
   }
   // Room that was made for a task of the job, with no victim left there.
-  uint64_t nominate(const Job& j, const Host& host) {
-    return nominations.add(j.spec().id, host.id, j.spec().need, j.spec().priority, {});
+  uint64_t nominate(const Job& j, const Machine& machine) {
+    return nominations.add(j.spec().id, machine.id, j.spec().need, j.spec().priority, {});
   }
   // How many tasks the plan places in each zone.
   std::map<std::string, uint32_t> placed_by_zone(const Plan& p) {
     std::map<std::string, uint32_t> zones;
-    for (const auto& x : p.placements) zones[cluster.host(x.host)->zone] += x.count;
+    for (const auto& x : p.placements) zones[cluster.find_machine(x.machine)->zone] += x.count;
     return zones;
   }
   std::map<std::string, uint32_t> evicted_by_zone(const Plan& p) {
     std::map<std::string, uint32_t> zones;
-    for (const auto& e : p.evictions) ++zones[cluster.host(e.host)->zone];
+    for (const auto& e : p.evictions) ++zones[cluster.find_machine(e.machine)->zone];
     return zones;
   }
 
@@ -50,9 +50,9 @@
 
 TEST_F(ZoneConstraints, ANominationIsNotUsedInAnotherZoneThanTheJobsTasks) {
   Job& j = add_preemptor(2, true, false);
-  const uint64_t nomination = nominate(j, machine("vm-1", "a"));
-  run(j, machine("vm-2", "b"));
-  fill(*cluster.host("vm-2"));  // no room beside it
+  const uint64_t nomination = nominate(j, add_machine("vm-1", "a"));
+  run(j, add_machine("vm-2", "b"));
+  fill(*cluster.find_machine("vm-2"));  // no room beside it
   const Plan p = plan();
   EXPECT_EQ(placed_by_zone(p), Zones{});
   EXPECT_EQ(p.cleared, std::vector<uint64_t>{nomination});
@@ -60,10 +60,10 @@
 
 TEST_F(ZoneConstraints, ANominationIsNotUsedWhereHalfOfTheJobIsAlready) {
   Job& j = add_preemptor(3, false, true);
-  Host& a = machine("vm-1", "a");
+  Machine& a = add_machine("vm-1", "a");
   run(j, a);
   run(j, a);
-  const uint64_t nomination = nominate(j, machine("vm-2", "a"));
+  const uint64_t nomination = nominate(j, add_machine("vm-2", "a"));
   const Plan p = plan();
   EXPECT_EQ(placed_by_zone(p), Zones{});
   EXPECT_EQ(p.cleared, std::vector<uint64_t>{nomination});
@@ -71,54 +71,54 @@
 
 TEST_F(ZoneConstraints, NominationsInTwoZonesAreUsedInOneOnly) {
   Job& j = add_preemptor(2, true, false);
-  nominate(j, machine("vm-1", "a"));
-  nominate(j, machine("vm-2", "b"));
+  nominate(j, add_machine("vm-1", "a"));
+  nominate(j, add_machine("vm-2", "b"));
   EXPECT_EQ(placed_by_zone(plan()).size(), 1u);
 }
 
 TEST_F(ZoneConstraints, WhatANominationPlacesCountsForTheRestOfTheRound) {
-  Host& a = machine("vm-1", "a");
+  Machine& a = add_machine("vm-1", "a");
   JobSpec half = job("run-000001");
   half.priority = Priority::production;
   half.need = {4, 0, 4};
   run(add(half), a);
   nominate(add_preemptor(3, true, false), a);
-  machine("vm-2", "b");  // empty
+  add_machine("vm-2", "b");  // empty
   EXPECT_EQ(placed_by_zone(plan()), (Zones{{"a", 1}}));
 }
 
 TEST_F(ZoneConstraints, WhatANominationPlacesCountsTowardsHalfOfTheJob) {
   Job& j = add_preemptor(3, false, true);
-  nominate(j, machine("vm-1", "a"));
-  machine("vm-2", "a");
+  nominate(j, add_machine("vm-1", "a"));
+  add_machine("vm-2", "a");
   EXPECT_EQ(placed_by_zone(plan()), (Zones{{"a", 2}}));
 }
 
 TEST_F(ZoneConstraints, RoomIsMadeInOneZoneOnly) {
   add_preemptor(2, true, false);
-  fill(machine("vm-1", "a"));
-  fill(machine("vm-2", "b"));
+  fill(add_machine("vm-1", "a"));
+  fill(add_machine("vm-2", "b"));
   EXPECT_EQ(evicted_by_zone(plan()).size(), 1u);
 }
 
 TEST_F(ZoneConstraints, RoomIsMadeForHalfOfTheJobInAZone) {
   add_preemptor(3, false, true);
-  for (const char* id : {"vm-1", "vm-2", "vm-3"}) fill(machine(id, "a"));
+  for (const char* id : {"vm-1", "vm-2", "vm-3"}) fill(add_machine(id, "a"));
   EXPECT_EQ(evicted_by_zone(plan()), (Zones{{"a", 2}}));
 }
 
 TEST_F(ZoneConstraints, RoomIsMadeOnlyWhereTheJobsNominationsAre) {
   Job& j = add_preemptor(3, true, false);
-  Host& a = machine("vm-1", "a");
+  Machine& a = add_machine("vm-1", "a");
   fill(a);
   const Booking& victim = a.bookings.front();
   for (int half = 0; half < 2; ++half) {
     nominations.add(j.spec().id, a.id, j.spec().need, j.spec().priority,
                     {{victim.task, victim.attempt}});
   }
-  fill(machine("vm-2", "b"));
+  fill(add_machine("vm-2", "b"));
   EXPECT_EQ(evicted_by_zone(plan()), Zones{});
-  fill(machine("vm-3", "a"));
+  fill(add_machine("vm-3", "a"));
   EXPECT_EQ(evicted_by_zone(plan()), (Zones{{"a", 1}}));
 }
 
@@ -126,15 +126,15 @@
   for (const bool spread : {false, true}) {
     const std::string held = spread ? "a" : "b";  // the offers of zone a come first
     Job& j = add_preemptor(4, !spread, spread);
-    Host& host = machine("vm-" + held, held);
-    run(j, host);
-    run(j, host);
+    Machine& machine = add_machine("vm-" + held, held);
+    run(j, machine);
+    run(j, machine);
     market.refused.clear();
     const Plan p = plan();
     ASSERT_EQ(p.capacity_requests.size(), 1u);
     EXPECT_EQ(p.capacity_requests[0].offer.zone, "b");
     cluster.close_job("run-000002", false, now);
-    cluster.remove_host("vm-" + held, now);
+    cluster.remove_machine("vm-" + held, now);
   }
 }
 
@@ -157,8 +157,8 @@
 }
 
 TEST_F(ZoneConstraints, RoomIsKeptForASpreadGangInSeveralZones) {
-  for (const char* id : {"vm-1", "vm-2"}) fill(machine(id, "a"));
-  fill(machine("vm-3", "b"));
+  for (const char* id : {"vm-1", "vm-2"}) fill(add_machine(id, "a"));
+  fill(add_machine("vm-3", "b"));
   JobSpec gang = job("run-000002", 2);
   gang.gang = true;
   gang.need = {8, 0, 4};
@@ -172,7 +172,7 @@
 // Found while looking for decisions that miss what the round itself has placed: a record longer
 // than the state service takes is never written, and nothing on its machine starts any more.
 TEST_F(ZoneConstraints, ARoundPlacesNoMoreThanAMachinesRecordTakes) {
-  Host& host = machine("vm-1", "a");
+  Machine& machine = add_machine("vm-1", "a");
   JobSpec many = job("run-000001", 5'000);
   many.need = {0.001, 0, 0.001};
   add(many);
@@ -185,7 +185,7 @@
   EXPECT_FALSE(p.placements.empty());
   EXPECT_TRUE(p.gangs.empty());
   (void)apply(p, state, now);
-  EXPECT_LE(cluster.record_size(host), cluster.record_limit());
+  EXPECT_LE(cluster.record_size(machine), cluster.record_limit());
 }
 
 }  // namespace
--- a/tests/zoned_cluster.hpp
+++ b/tests/zoned_cluster.hpp
@@ -41,9 +41,9 @@
     cluster::Effects effects;
     return cluster.on_report(r, now, true, effects).commands;
   }
-  cluster::Host& machine(const std::string& id, const std::string& zone) {
+  cluster::Machine& add_machine(const std::string& id, const std::string& zone) {
     send(report(id, zone));
-    return *cluster.host(id);
+    return *cluster.find_machine(id);
   }
   cluster::Job& add(JobSpec spec) {
     const std::string id = spec.id;
@@ -51,15 +51,15 @@
     return *cluster.job(id);
   }
   // Books a task of the job there and writes the booking down.
-  cluster::Booking& book(cluster::Job& j, cluster::Host& host, uint64_t attempt = 0) {
-    cluster::Booking* booking = cluster.book(host, j, *j.take_pending(),
+  cluster::Booking& book(cluster::Job& j, cluster::Machine& machine, uint64_t attempt = 0) {
+    cluster::Booking* booking = cluster.book(machine, j, *j.take_pending(),
                                              attempt != 0 ? attempt : cluster.next_attempt(), now);
     cluster::Effects effects;
-    cluster.host_stored(host, cluster.record_of(host), ++stamp, effects);
+    cluster.machine_stored(machine, cluster.record_of(machine), ++stamp, effects);
     return *booking;
   }
-  void run(cluster::Job& j, cluster::Host& host) {
-    cluster::Booking& booking = book(j, host);
+  void run(cluster::Job& j, cluster::Machine& machine) {
+    cluster::Booking& booking = book(j, machine);
     booking.phase = cluster::Phase::seen;
     booking.state = TaskState::running;
     booking.running_since = now;
