--- a/src/dunlinknot/cluster/bookings.cpp
+++ b/src/dunlinknot/cluster/allocations.cpp
@@ -1,4 +1,4 @@
-// Bookings: how they are made, stopped and ended, and what their end means for their gang.
+// Allocations: how they are made, stopped and ended, and what their end means for their gang.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace dunlinknot::cluster {
 
-void Cluster::add_booking(Machine& h, Booking b) {
+void Cluster::add_allocation(Machine& h, Allocation b) {
   if (b.ahead) {
     ++h.ahead;
   } else {
@@ -20,12 +20,12 @@
   if (Job* j = job(b.task.job)) count_for_job(*j, b);
   auto& holders = holders_[b.task.job];
   if (std::find(holders.begin(), holders.end(), &h) == holders.end()) holders.push_back(&h);
-  h.bookings.push_back(std::move(b));
+  h.allocations.push_back(std::move(b));
 }
 
-void Cluster::count_for_job(Job& j, const Booking& b) {
+void Cluster::count_for_job(Job& j, const Allocation& b) {
   if (b.task.index >= j.spec().tasks) return;
-  j.booked(b.task.index);
+  j.add_allocation(b.task.index);
   if (b.ahead) ++j.ahead;
   if (b.state == TaskState::running) ++j.running;
   if (b.gang) j.gang_attempt = std::max(j.gang_attempt, b.attempt);
@@ -37,21 +37,21 @@
   return it == holders_.end() ? none : it->second;
 }
 
-Effects Cluster::end_booking(Machine& h, size_t i, Instant now, bool gang_goes_on) {
+Effects Cluster::end_allocation(Machine& h, size_t i, Instant now, bool gang_goes_on) {
   Effects effects;
-  const Booking b = std::move(h.bookings[i]);
-  h.bookings.erase(h.bookings.begin() + static_cast<ptrdiff_t>(i));
+  const Allocation b = std::move(h.allocations[i]);
+  h.allocations.erase(h.allocations.begin() + static_cast<ptrdiff_t>(i));
   if (b.ahead) {
     --h.ahead;
   } else {
     h.used -= b.need;
     if (b.team >= 0) usage_[static_cast<size_t>(b.team)].used -= b.need;
   }
-  if (h.bookings.empty()) {
+  if (h.allocations.empty()) {
     h.used = Resources{};
     h.idle_since = now;
   }
-  if (!find_where(h.bookings, [&](const Booking& o) { return o.task.job == b.task.job; })) {
+  if (!find_where(h.allocations, [&](const Allocation& o) { return o.task.job == b.task.job; })) {
     const auto holders = holders_.find(b.task.job);
     std::erase(holders->second, &h);
     if (holders->second.empty()) holders_.erase(holders);
@@ -63,7 +63,7 @@
   if (b.ahead) --j->ahead;
   if (b.state == TaskState::running && j->running > 0) --j->running;
   if (b.service) count_restart(b, h);
-  j->unbooked(b.task.index);
+  j->remove_allocation(b.task.index);
   if (!j->is_done(b.task.index)) j->waiting_since = now;
   if (b.gang && !gang_goes_on && !j->is_done(b.task.index)) {
     break_gang(b.task.job, b.attempt, now, effects);
@@ -75,12 +75,12 @@
 // so that the next attempt need not wait for it. A gang told to save is left to its saving.
 void Cluster::break_gang(const std::string& id, uint64_t attempt, Instant now, Effects& effects) {
   for (Machine* h : std::vector(holders(id))) {
-    for (size_t i = h->bookings.size(); i-- > 0;) {
-      if (i >= h->bookings.size()) continue;
-      Booking& b = h->bookings[i];
+    for (size_t i = h->allocations.size(); i-- > 0;) {
+      if (i >= h->allocations.size()) continue;
+      Allocation& b = h->allocations[i];
       if (b.task.job != id || b.attempt != attempt) continue;
       if (b.unsent()) {
-        effects |= end_booking(*h, i, now, true);
+        effects |= end_allocation(*h, i, now, true);
       } else if (!b.stopping()) {
         stop(*h, b, StopReason::gang_broken, Seconds(0), now);
         effects.stops = true;
@@ -90,57 +90,57 @@
 }
 
 template <class Predicate>
-PlacementConstraints Cluster::count_bookings(const Job& j, Predicate&& which) const {
+PlacementConstraints Cluster::count_allocations(const Job& j, Predicate&& which) const {
   PlacementConstraints constraints(j.spec());
   if (!constraints.zone_bound()) return constraints;
   for (const Machine* h : holders(j.spec().id)) {
-    const auto counts = [&](const Booking& b) { return b.task.job == j.spec().id && which(b); };
-    const auto tasks = std::count_if(h->bookings.begin(), h->bookings.end(), counts);
+    const auto counts = [&](const Allocation& b) { return b.task.job == j.spec().id && which(b); };
+    const auto tasks = std::count_if(h->allocations.begin(), h->allocations.end(), counts);
     constraints.add(h->zone, static_cast<uint32_t>(tasks));
   }
   return constraints;
 }
 
 PlacementConstraints Cluster::constraints_of(const Job& j) const {
-  return count_bookings(j, [](const Booking&) { return true; });
+  return count_allocations(j, [](const Allocation&) { return true; });
 }
 
 PlacementConstraints Cluster::constraints_of_sent(const Job& j) const {
-  return count_bookings(j, [](const Booking& b) { return !b.unsent(); });
+  return count_allocations(j, [](const Allocation& b) { return !b.unsent(); });
 }
 
-// Safety 4: a job's bookings never break its constraints, so neither do its tasks, which are only
-// where it has bookings.
-bool Cluster::may_book(const Machine& h, Job& j, uint32_t index) {
+// Safety 4: a job's allocations never break its constraints, so neither do its tasks, which are
+// only where it has allocations.
+bool Cluster::may_allocate(const Machine& h, Job& j, uint32_t index) {
   const bool allowed =
       kind_allowed(j.spec(), h.type, h.zone, h.spot) && constraints_of(j).tasks_allowed(h.zone) > 0;
   if (allowed) return true;
   j.requeue(index);
-  ++refused_bookings_;
-  spdlog::error("a booking of {} on machine {} ({} in {}) was planned against its constraints",
+  ++refused_allocations_;
+  spdlog::error("an allocation of {} on machine {} ({} in {}) violates its placement constraints",
                 TaskRef{j.spec().id, index}.text(), h.id, h.type, h.zone);
   return false;
 }
 
-Booking* Cluster::book(Machine& h, Job& j, uint32_t index, uint64_t attempt, Instant now) {
-  if (!may_book(h, j, index)) return nullptr;
-  add_booking(h, booking_of(h, j, index, attempt, now));
-  return &h.bookings.back();
+Allocation* Cluster::allocate(Machine& h, Job& j, uint32_t index, uint64_t attempt, Instant now) {
+  if (!may_allocate(h, j, index)) return nullptr;
+  add_allocation(h, make_allocation(h, j, index, attempt, now));
+  return &h.allocations.back();
 }
 
-Booking* Cluster::book_ahead(Machine& h, Job& j, uint32_t index, uint64_t attempt, Turn turn,
-                             Instant now) {
-  if (!may_book(h, j, index)) return nullptr;
-  Booking b = booking_of(h, j, index, attempt, now);
+Allocation* Cluster::allocate_ahead(Machine& h, Job& j, uint32_t index, uint64_t attempt, Turn turn,
+                                    Instant now) {
+  if (!may_allocate(h, j, index)) return nullptr;
+  Allocation b = make_allocation(h, j, index, attempt, now);
   b.ahead = true;
   b.turn = turn;
-  add_booking(h, std::move(b));
-  return &h.bookings.back();
+  add_allocation(h, std::move(b));
+  return &h.allocations.back();
 }
 
-Booking Cluster::booking_of(Machine& h, const Job& j, uint32_t index, uint64_t attempt,
-                            Instant now) {
-  Booking b;
+Allocation Cluster::make_allocation(Machine& h, const Job& j, uint32_t index, uint64_t attempt,
+                                    Instant now) {
+  Allocation b;
   b.task = TaskRef{j.spec().id, index};
   b.attempt = attempt;
   b.team = j.team();
@@ -160,15 +160,15 @@
 bool Cluster::take_back_ahead(const std::string& id, Instant now) {
   Machine* most = nullptr;
   for (Machine* h : holders(id)) {
-    const bool any =
-        find_where(h->bookings, [&](const Booking& b) { return b.ahead && b.task.job == id; });
+    const bool any = find_where(h->allocations,
+                                [&](const Allocation& b) { return b.ahead && b.task.job == id; });
     if (any && (!most || h->ahead > most->ahead)) most = h;
   }
   if (!most) return false;
-  for (size_t i = most->bookings.size(); i-- > 0;) {
-    const Booking& b = most->bookings[i];
+  for (size_t i = most->allocations.size(); i-- > 0;) {
+    const Allocation& b = most->allocations[i];
     if (!b.ahead || b.task.job != id) continue;
-    (void)end_booking(*most, i, now);
+    (void)end_allocation(*most, i, now);
     return true;
   }
   return false;
@@ -187,17 +187,19 @@
   saved_ = std::move(by_team);
 }
 
-// The room that a task leaves is taken at once by one that waits for it on the machine: its booking
-// stands already, so its `run` goes out with the answer to the very report that told of the room.
+// The room that a task leaves is taken at once by one that waits for it on the machine: its
+// allocation stands already, so its `run` goes out with the answer to the very report that told of
+// the room.
 void Cluster::promote_ahead(Machine& h, Instant now) {
   if (h.ahead == 0) return;
-  std::vector<Booking*> waiting;
-  for (Booking& b : h.bookings) {
+  std::vector<Allocation*> waiting;
+  for (Allocation& b : h.allocations) {
     if (b.ahead && b.phase == Phase::durable) waiting.push_back(&b);
   }
-  std::stable_sort(waiting.begin(), waiting.end(),
-                   [](const Booking* a, const Booking* b) { return a->turn.before(b->turn); });
-  for (Booking* b : waiting) {
+  std::stable_sort(waiting.begin(), waiting.end(), [](const Allocation* a, const Allocation* b) {
+    return a->turn.before(b->turn);
+  });
+  for (Allocation* b : waiting) {
     Job* j = job(b->task.job);
     if (!j || j->is_done(b->task.index) || now < j->not_before) continue;
     // Work without accelerators leaves beside each free one what its next task will need.
@@ -236,7 +238,7 @@
   }
 }
 
-void Cluster::stop(Machine& h, Booking& b, StopReason reason, Seconds grace, Instant now) {
+void Cluster::stop(Machine& h, Allocation& b, StopReason reason, Seconds grace, Instant now) {
   if (b.stopping() && b.grace <= grace) return;  // never milder than it was told before
   b.stop = reason;
   b.grace = grace;
@@ -248,11 +250,11 @@
 
 Effects Cluster::preempt(Machine& h, const TaskRef& task, uint64_t attempt, Instant now) {
   Effects effects;
-  Booking* b = h.find(task, attempt);
+  Allocation* b = h.find(task, attempt);
   if (!b || b->stopping()) return effects;
   if (b->unsent()) {
     // No worker will ever report it, so nothing would end it once it counted as being stopped.
-    return end_booking(h, static_cast<size_t>(b - h.bookings.data()), now);
+    return end_allocation(h, static_cast<size_t>(b - h.allocations.data()), now);
   }
   const Job* j = job(task.job);
   const bool saves = j && j->spec().checkpoint > Seconds(0);
@@ -265,10 +267,10 @@
 Effects Cluster::end_unsent(const std::string& id, Instant now, Predicate&& which) {
   Effects effects;
   for (Machine* h : std::vector(holders(id))) {
-    for (size_t i = h->bookings.size(); i-- > 0;) {
-      if (i >= h->bookings.size()) continue;  // the end of one may end others
-      const Booking& b = h->bookings[i];
-      if (b.task.job == id && b.unsent() && which(*h, b)) effects |= end_booking(*h, i, now);
+    for (size_t i = h->allocations.size(); i-- > 0;) {
+      if (i >= h->allocations.size()) continue;  // the end of one may end others
+      const Allocation& b = h->allocations[i];
+      if (b.task.job == id && b.unsent() && which(*h, b)) effects |= end_allocation(*h, i, now);
     }
   }
   return effects;
@@ -276,14 +278,14 @@
 
 Effects Cluster::drop_unsent(const std::string& id, Instant now) {
   return end_unsent(id, now,
-                    [](const Machine&, const Booking& b) { return b.phase == Phase::planned; });
+                    [](const Machine&, const Allocation& b) { return b.phase == Phase::planned; });
 }
 
 Effects Cluster::drop_planned(Machine& h, Instant now) {
   Effects effects;
-  for (size_t i = h.bookings.size(); i-- > 0;) {
-    if (i >= h.bookings.size()) continue;  // the end of one may end others
-    if (h.bookings[i].phase == Phase::planned) effects |= end_booking(h, i, now);
+  for (size_t i = h.allocations.size(); i-- > 0;) {
+    if (i >= h.allocations.size()) continue;  // the end of one may end others
+    if (h.allocations[i].phase == Phase::planned) effects |= end_allocation(h, i, now);
   }
   return effects;
 }
@@ -297,7 +299,7 @@
     Effects effects;
     std::set<uint64_t> attempts;
     for (const Machine* h : holders(id)) {
-      for (const Booking& b : h->bookings) {
+      for (const Allocation& b : h->allocations) {
         if (b.task.job == id) attempts.insert(b.attempt);
       }
     }
@@ -305,7 +307,7 @@
     return effects;
   }
   PlacementConstraints constraints = constraints_of_sent(j);
-  return end_unsent(id, now, [&](const Machine& h, const Booking& b) {
+  return end_unsent(id, now, [&](const Machine& h, const Allocation& b) {
     if (b.task == orphan || constraints.tasks_allowed(h.zone) == 0) return true;
     constraints.add(h.zone, 1);
     return false;
@@ -318,7 +320,7 @@
     Machine* h = find_machine(id);
     if (!h || h->address.empty() || !h->heard || h->lost) continue;
     StopCall call{h->id, h->address, h->session, {}};
-    for (const Booking& b : h->bookings) {
+    for (const Allocation& b : h->allocations) {
       if (b.stopping() && !b.unsent()) {
         call.commands.push_back({Command::Op::stop, b.task, b.attempt, b.grace});
       }
@@ -331,7 +333,7 @@
 
 void Cluster::stop_gang(const std::string& id, uint64_t attempt, Seconds grace, Instant now) {
   for (Machine* h : holders(id)) {
-    for (Booking& b : h->bookings) {
+    for (Allocation& b : h->allocations) {
       if (b.task.job == id && b.attempt == attempt && !b.stopping()) {
         stop(*h, b, StopReason::recall, grace, now);
       }
@@ -339,9 +341,9 @@
   }
 }
 
-size_t Cluster::booking_count() const {
+size_t Cluster::allocation_count() const {
   size_t n = 0;
-  for (const auto& [id, h] : machines_) n += h->bookings.size();
+  for (const auto& [id, h] : machines_) n += h->allocations.size();
   return n;
 }
 
--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -29,9 +29,9 @@
   return std::any_of(images.begin(), images.end(), [&](const auto& i) { return i.name == image; });
 }
 
-Booking* Machine::find(const TaskRef& task, uint64_t attempt) {
-  return find_where(bookings,
-                    [&](const Booking& b) { return b.attempt == attempt && b.task == task; });
+Allocation* Machine::find(const TaskRef& task, uint64_t attempt) {
+  return find_where(allocations,
+                    [&](const Allocation& b) { return b.attempt == attempt && b.task == task; });
 }
 
 Cluster::Cluster(const settings::Platform& platform, const settings::Operator& op)
@@ -111,14 +111,14 @@
   }
   auto& loaded = jobs_[id] = std::make_unique<Job>(std::move(record.spec), record.submitted, stamp,
                                                    team, now, storable_in_chunk_);
-  count_earlier_bookings(*loaded);
+  count_earlier_allocations(*loaded);
 }
 
-// Bookings of a job that became known after them, such as an orphan's: its tasks are not free to be
-// placed again.
-void Cluster::count_earlier_bookings(Job& j) {
+// Allocations of a job that became known after them, such as an orphan's: its tasks are not free to
+// be placed again.
+void Cluster::count_earlier_allocations(Job& j) {
   for (const Machine* h : holders(j.spec().id)) {
-    for (const Booking& b : h->bookings) {
+    for (const Allocation& b : h->allocations) {
       if (b.task.job == j.spec().id) count_for_job(j, b);
     }
   }
@@ -131,8 +131,8 @@
   if (wire::read_done_chunk(value, chunk, bits)) j->load_chunk(chunk, bits, stamp);
 }
 
-// Safety 1: a new leader books everything that any former leader booked. What of it really runs is
-// for the workers to say, under our token.
+// Safety 1: a new leader allocates everything that any former leader allocated. What of it really
+// runs is for the workers to say, under our token.
 void Cluster::load_machine(const std::string& id, const wire::MachineRecord& record, uint64_t stamp,
                            Instant now) {
   Machine& h = register_machine(id, record.type, record.zone, record.spot, now);
@@ -142,7 +142,7 @@
   for (const auto& g : record.groups) {
     const Job* j = job(g.job);
     for (const auto& [index, attempt] : g.tasks) {
-      Booking b;
+      Allocation b;
       b.task = TaskRef{g.job, index};
       b.attempt = attempt;
       b.team_name = g.team;
@@ -155,7 +155,7 @@
       b.phase = Phase::inherited;
       b.placed_at = now;
       h.stored.emplace_back(b.task, attempt);
-      add_booking(h, std::move(b));
+      add_allocation(h, std::move(b));
     }
   }
 }
@@ -180,14 +180,14 @@
   jobs_.erase(it);
   effects.schedule = true;
   // Safety 3: nothing of a closed job starts, and all of a cancelled one is stopped everywhere.
-  // Bookings whose `run` never went out under us are simply undone; the others stay booked until
-  // they are gone.
+  // Allocations whose `run` never went out under us are simply undone; the others stay allocated
+  // until they are gone.
   for (Machine* h : std::vector(holders(id))) {
-    for (size_t i = h->bookings.size(); i-- > 0;) {
-      Booking& b = h->bookings[i];
+    for (size_t i = h->allocations.size(); i-- > 0;) {
+      Allocation& b = h->allocations[i];
       if (b.task.job != id) continue;
       if (b.unsent()) {
-        effects |= end_booking(*h, i, now);
+        effects |= end_allocation(*h, i, now);
       } else if (cancelled) {
         stop(*h, b, StopReason::cancelled, Seconds(0), now);
         effects.stops = true;
@@ -250,7 +250,7 @@
     return effects;
   }
   Machine& h = *it->second;
-  while (!h.bookings.empty()) effects |= end_booking(h, h.bookings.size() - 1, now);
+  while (!h.allocations.empty()) effects |= end_allocation(h, h.allocations.size() - 1, now);
   if (h.stamp != 0 || !h.stamp_known) dead_records_.emplace_back(wire::machine_key(id), h.stamp);
   std::erase(held_machines_, &h);  // found on reading: it was written to after it was gone
   machines_.erase(it);
@@ -274,12 +274,13 @@
   Effects effects;
   for (auto& [id, h] : machines_) {
     if (h->lost) continue;
-    if (!h->heard && h->bookings.empty()) continue;  // nothing of ours was ever there
+    if (!h->heard && h->allocations.empty()) continue;  // nothing of ours was ever there
     if (now < lease_over(*h)) continue;
-    spdlog::info("machine {} silent beyond its lease: {} bookings end", h->id, h->bookings.size());
+    spdlog::info("machine {} silent beyond its lease: {} allocations end", h->id,
+                 h->allocations.size());
     h->lost = h->heard;
     h->images.clear();
-    while (!h->bookings.empty()) effects |= end_booking(*h, h->bookings.size() - 1, now);
+    while (!h->allocations.empty()) effects |= end_allocation(*h, h->allocations.size() - 1, now);
     effects.schedule = true;
   }
   return effects;
@@ -291,17 +292,18 @@
   for (auto& [id, h] : machines_) {
     // What waits on a machine that nothing is heard of, or that will not get it, goes elsewhere.
     // Found on days of our own with machines that fail their tasks: a drained one gets no `run`, so
-    // what was booked there and not sent yet stayed for good, and its job with it.
+    // what was allocated there and not sent yet stayed for good, and its job with it.
     if (h->recall_at || h->draining || h->deleting || h->unreachable ||
         (h->heard && now - h->last_heard >= silent)) {
-      for (size_t i = h->bookings.size(); i-- > 0;) {
-        if (i < h->bookings.size() && h->bookings[i].unsent()) effects |= end_booking(*h, i, now);
+      for (size_t i = h->allocations.size(); i-- > 0;) {
+        if (i < h->allocations.size() && h->allocations[i].unsent())
+          effects |= end_allocation(*h, i, now);
       }
     }
     move_replicas(*h, now);
     if (!h->recall_at) continue;
-    for (size_t i = h->bookings.size(); i-- > 0;) {
-      Booking& b = h->bookings[i];
+    for (size_t i = h->allocations.size(); i-- > 0;) {
+      Allocation& b = h->allocations[i];
       const Job* j = job(b.task.job);
       if (!j || b.stopping() || j->spec().checkpoint <= Seconds(0)) continue;
       const Seconds left = to_seconds(*h->recall_at - now);
@@ -326,7 +328,7 @@
 // stopping them there cost more served time than the loss of machines).
 void Cluster::move_replicas(Machine& h, Instant now) {
   if (!h.recall_at || *h.recall_at - now > to_nanos(platform_.report * 2)) return;
-  for (Booking& b : h.bookings) {
+  for (Allocation& b : h.allocations) {
     if (!b.service || b.stopping() || b.unsent()) continue;
     stop(h, b, StopReason::recall, Seconds(0), now);
   }
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -1,9 +1,9 @@
-// The leader's view of the cluster: open jobs, machines, and what is booked where.
+// The leader's view of the cluster: open jobs, machines, and what is allocated where.
 // Everything that comes from outside passes through here; nothing here does I/O.
 //
-// A booking is the claim "this task may be on that machine". It is made before the task can start
-// and ends only when it is certain that the task is not there (any more). Limits, zones and room
-// are counted over bookings, never over what happens to be reported.
+// An allocation is the claim "this task may be on that machine". It is made before the task can
+// start and ends only when it is certain that the task is not there (any more). Limits, zones and
+// room are counted over allocations, never over what happens to be reported.
 #pragma once
 #include <deque>
 #include <map>
@@ -46,7 +46,7 @@
   bool before(const Turn& o) const { return tier != o.tier ? tier > o.tier : due < o.due; }
 };
 
-struct Booking {
+struct Allocation {
   TaskRef task;
   uint64_t attempt = 0;
   int team = -1;
@@ -121,7 +121,7 @@
   std::map<std::string, bool> error_jobs;
   Instant idle_since{};
 
-  std::vector<Booking> bookings;
+  std::vector<Allocation> allocations;
   Resources used;
   Resources held;  // promised to others: holds of nominations, headroom; ahead tasks leave it alone
   uint32_t ahead = 0;
@@ -130,16 +130,16 @@
   // Its record in the state service.
   uint64_t stamp = 0;
   bool stamp_known = true;
-  bool dirty = false;     // bookings were added
+  bool dirty = false;     // allocations were added
   bool queued = false;    // in the queue of records to be written
   bool urgent = false;    // in the queue of those that are written first
-  bool trailing = false;  // bookings ended: rewritten when there is time
+  bool trailing = false;  // allocations ended: rewritten when there is time
   bool storing = false;
   std::vector<std::pair<TaskRef, uint64_t>> stored;
 
   Resources free() const { return size - used; }
   bool has_image(std::string_view image) const;
-  Booking* find(const TaskRef& task, uint64_t attempt);
+  Allocation* find(const TaskRef& task, uint64_t attempt);
 };
 
 // A class of jobs that is expected to start within a time: how it looked and came in of late.
@@ -238,29 +238,31 @@
   Effects on_direct_report(const WorkerReport& report, Instant now);
   // Machines that our answers do not reach. When they are many it is our answers that are late.
   std::vector<std::string> unreachable_machines() const;
-  // Ends the bookings of workers whose lease is certainly over.
+  // Ends the allocations of workers whose lease is certainly over.
   Effects expire(Instant now);
   // When the lease of this machine's worker is certainly over, as far as is known now.
   Instant lease_over(const Machine& h) const;
 
   // --- decisions
-  // Where further tasks of the job may go, given all its bookings.
+  // Where further tasks of the job may go, given all its allocations.
   PlacementConstraints constraints_of(const Job& job) const;
   // Null when the job's constraints do not allow the task there: it is pending again. Whoever plans
-  // a booking has asked `constraints_of` before, so that is a fault of the plan: it is logged and
-  // counted.
-  Booking* book(Machine& machine, Job& job, uint32_t index, uint64_t attempt, Instant now);
-  Booking* book_ahead(Machine& machine, Job& job, uint32_t index, uint64_t attempt, Turn turn,
-                      Instant now);
-  uint64_t refused_bookings() const { return refused_bookings_; }
+  // an allocation has asked `constraints_of` before, so that is a fault of the plan: it is logged
+  // and counted.
+  Allocation* allocate(Machine& machine, Job& job, uint32_t index, uint64_t attempt, Instant now);
+  Allocation* allocate_ahead(Machine& machine, Job& job, uint32_t index, uint64_t attempt,
+                             Turn turn, Instant now);
+  uint64_t refused_allocations() const { return refused_allocations_; }
   // Takes one of the job's tasks that wait on some machine back, so that it can go elsewhere.
   bool take_back_ahead(const std::string& job, Instant now);
   // What ahead tasks must leave free: on machines, and of teams' limits.
   void set_held(const std::map<std::string, Resources>& by_machine, std::vector<Resources> by_team);
-  void stop(Machine& machine, Booking& booking, StopReason reason, Seconds grace, Instant now);
-  // Gives a booking up for another: undone at once if its `run` never went out, else stopped.
+  void stop(Machine& machine, Allocation& allocation, StopReason reason, Seconds grace,
+            Instant now);
+  // Gives an allocation up for another: undone at once if its `run` never went out, else stopped.
   Effects preempt(Machine& machine, const TaskRef& task, uint64_t attempt, Instant now);
-  Effects drop_unsent(const std::string& job, Instant now);  // planned bookings of a job are undone
+  Effects drop_unsent(const std::string& job,
+                      Instant now);  // planned allocations of a job are undone
   std::vector<StopCall> take_stop_calls();
   Effects tick(Instant now);  // recalls that are due, stops that hang
 
@@ -268,8 +270,8 @@
 
   // --- the record of a machine in the state service
   wire::MachineRecord record_of(const Machine& h) const;
-  // The machines whose records want writing: those with bookings of services and gangs first, then
-  // first come first served.
+  // The machines whose records want writing: those with allocations of services and gangs first,
+  // then first come first served.
   void mark_dirty(Machine& h, bool urgent = false);
   // Takes the next one out of the queue; null when there is none.
   Machine* next_dirty_machine();
@@ -280,7 +282,7 @@
                       Effects& effects);
   // An upper bound of its record's size in JSON.
   size_t record_size(const Machine& h) const;
-  // Bookings are planned up to this size; what is above it is for orphans.
+  // Allocations are planned up to this size; what is above it is for orphans.
   size_t record_limit() const { return record_limit_; }
   // What a job adds to a record at most: once, and with each of its tasks.
   struct RecordCost {
@@ -289,39 +291,40 @@
   };
   RecordCost record_cost(const Job& j) const;
 
-  // Undoes the bookings on the machine that are not written down yet.
+  // Undoes the allocations on the machine that are not written down yet.
   Effects drop_planned(Machine& h, Instant now);
 
-  // The machines that hold bookings of a job, open or closed, in no particular order.
+  // The machines that hold allocations of a job, open or closed, in no particular order.
   const std::vector<Machine*>& holders(const std::string& job) const;
 
   // Records of machines that are gone, to be deleted: key and stamp.
   std::vector<std::pair<std::string, uint64_t>> take_dead_records() {
     return std::exchange(dead_records_, {});
   }
-  size_t booking_count() const;
+  size_t allocation_count() const;
   bool is_gone(const std::string& id) const { return gone_.contains(id); }
 
  private:
-  // Counts those of the job's bookings of which `which` is true.
+  // Counts those of the job's allocations of which `which` is true.
   template <class Predicate>
-  PlacementConstraints count_bookings(const Job& j, Predicate&& which) const;
+  PlacementConstraints count_allocations(const Job& j, Predicate&& which) const;
   PlacementConstraints constraints_of_sent(const Job& j) const;
-  bool may_book(const Machine& h, Job& j, uint32_t index);
-  Booking booking_of(Machine& h, const Job& j, uint32_t index, uint64_t attempt, Instant now);
-  void add_booking(Machine& h, Booking b);
-  static void count_for_job(Job& j, const Booking& b);
-  void count_earlier_bookings(Job& j);
-  // Ends booking i of h. Returns what follows from it.
-  Effects end_booking(Machine& h, size_t i, Instant now, bool gang_goes_on = false);
-  // Ends the job's unsent bookings of which `which` is true.
+  bool may_allocate(const Machine& h, Job& j, uint32_t index);
+  Allocation make_allocation(Machine& h, const Job& j, uint32_t index, uint64_t attempt,
+                             Instant now);
+  void add_allocation(Machine& h, Allocation b);
+  static void count_for_job(Job& j, const Allocation& b);
+  void count_earlier_allocations(Job& j);
+  // Ends allocation i of h. Returns what follows from it.
+  Effects end_allocation(Machine& h, size_t i, Instant now, bool gang_goes_on = false);
+  // Ends the job's unsent allocations of which `which` is true.
   template <class Predicate>
   Effects end_unsent(const std::string& job, Instant now, Predicate&& which);
   Effects on_exit(Machine& h, const TaskReport& r, Instant now);
-  void take_running(Booking& booking, Job* j, const Machine& h, Instant now);
+  void take_running(Allocation& allocation, Job* j, const Machine& h, Instant now);
   void hold_back_replica(Job& j, uint32_t index, bool soon, Instant now);
   Effects release_held_back(Instant now);
-  void count_restart(const Booking& b, const Machine& h);
+  void count_restart(const Allocation& b, const Machine& h);
   void move_replicas(Machine& h, Instant now);
   void break_gang(const std::string& job, uint64_t attempt, Instant now, Effects& effects);
   void stop_gang(const std::string& job, uint64_t attempt, Seconds grace, Instant now);
@@ -329,14 +332,14 @@
   void suspect(Machine& h, Instant now);
   void clear_suspicion(Machine& h, Instant now) const;
   void promote_ahead(Machine& h, Instant now);
-  bool sendable(const Booking& b) const;
+  bool sendable(const Allocation& b) const;
   bool fresh(Machine& h, const WorkerReport& b) const;
   void take_report(Machine& h, const WorkerReport& b, Instant now, bool complete, Effects& effects);
   void take_machine_state(Machine& h, const WorkerReport& b, Instant now, bool complete,
                           Effects& effects);
-  Effects end_bookings_before(Machine& h, uint64_t session, Instant now);
-  Booking& book_orphan(Machine& h, const TaskReport& task, const Job* j, Instant now,
-                       Effects& effects);
+  Effects end_allocations_before(Machine& h, uint64_t session, Instant now);
+  Allocation& allocate_orphan(Machine& h, const TaskReport& task, const Job* j, Instant now,
+                              Effects& effects);
   bool welcome(const Machine& h, const Job& j, uint32_t index) const;
   Effects make_way_for(const Job& j, const TaskRef& orphan, Instant now);
   bool take_task(Machine& h, const TaskReport& t, Instant now, Effects& effects);
@@ -357,7 +360,8 @@
   std::vector<MachineType> catalog_;
   std::map<std::string, std::unique_ptr<Job>> jobs_;
   std::map<std::string, std::unique_ptr<Machine>> machines_;
-  // By job: the machines with bookings of it, so that nothing need walk all machines to find them.
+  // By job: the machines with allocations of it, so that nothing need walk all machines to find
+  // them.
   std::unordered_map<std::string, std::vector<Machine*>> holders_;
   std::vector<TeamUsage> usage_;
   Resources beside_gpu_;
@@ -369,7 +373,7 @@
   std::deque<std::string> dirty_machines_;
   std::vector<std::string> runnable_;
   bool work_waits_ = false;
-  uint64_t refused_bookings_ = 0;
+  uint64_t refused_allocations_ = 0;
   std::set<std::string> held_back_jobs_;  // with tasks that wait before they are placed again
   ReplicaRestarts replica_restarts_;
   std::vector<Machine*> held_machines_;
--- a/src/dunlinknot/cluster/failures.cpp
+++ b/src/dunlinknot/cluster/failures.cpp
@@ -66,8 +66,8 @@
                TaskRef{j.spec().id, index}.text(), ends, to_seconds(pause).count());
 }
 
-// The end of a replica's booking while its service is open: it has to run again.
-void Cluster::count_restart(const Booking& b, const Machine& h) {
+// The end of a replica's allocation while its service is open: it has to run again.
+void Cluster::count_restart(const Allocation& b, const Machine& h) {
   if (b.unsent()) return;
   uint64_t& count = b.stop == StopReason::preempted ? replica_restarts_.preempted
                     : b.stopping()                  ? replica_restarts_.moved
--- a/src/dunlinknot/cluster/job.cpp
+++ b/src/dunlinknot/cluster/job.cpp
@@ -40,12 +40,12 @@
   }
 }
 
-void Job::booked(uint32_t index) {
+void Job::add_allocation(uint32_t index) {
   held_back_.erase(index);
   if (live_[index]++ == 0 && !done_[index]) ++unfinished_live_;
 }
 
-void Job::unbooked(uint32_t index) {
+void Job::remove_allocation(uint32_t index) {
   const auto it = live_.find(index);
   if (it == live_.end()) return;
   if (--it->second > 0) return;
--- a/src/dunlinknot/cluster/job.hpp
+++ b/src/dunlinknot/cluster/job.hpp
@@ -24,14 +24,14 @@
   // What it adds to the record of a machine where it has tasks, beside the tasks; never changes.
   size_t record_group_size() const { return record_group_size_; }
 
-  uint64_t stamp;  // of its record; every booking guards it
+  uint64_t stamp;  // of its record; every allocation guards it
 
-  // Tasks that are neither done nor booked anywhere, nor held back.
+  // Tasks that are neither done nor allocated anywhere, nor held back.
   uint32_t pending() const {
     return spec_.tasks - done_count_ - unfinished_live_ - static_cast<uint32_t>(held_back_.size());
   }
   uint32_t unfinished() const { return spec_.tasks - done_count_; }
-  std::optional<uint32_t> take_pending();                       // the caller books it
+  std::optional<uint32_t> take_pending();                       // the caller allocates it
   void requeue(uint32_t index) { requeued_.push_back(index); }  // or gives it back
   bool is_done(uint32_t index) const { return done_[index]; }
   bool is_durable(uint32_t index) const { return durable_[index]; }
@@ -42,10 +42,10 @@
   bool is_live(uint32_t index) const { return live_.contains(index); }
 
   void mark_done(uint32_t index);
-  void booked(uint32_t index);
-  void unbooked(uint32_t index);
+  void add_allocation(uint32_t index);
+  void remove_allocation(uint32_t index);
 
-  // A task that is not booked waits until then before it is placed again.
+  // A task that is not allocated waits until then before it is placed again.
   void hold_back(uint32_t index, Instant until);
   // Returns whether any task is pending again.
   bool release_held_back(Instant now);
@@ -72,7 +72,7 @@
   uint32_t ahead = 0;         // tasks that wait on machines for room there
   uint32_t running = 0;       // tasks reported running
   uint64_t gang_attempt = 0;  // the attempt under way
-  bool gang_go = false;       // all its bookings are durable: runs may go out
+  bool gang_go = false;       // all its allocations are durable: runs may go out
   bool proven = false;        // of a service: some replica of it ran for a while
   Instant waiting_since{};    // since when some of it waits for a place
 
@@ -88,7 +88,7 @@
   uint32_t unfinished_live_ = 0;
   uint32_t next_fresh_ = 0;
   std::vector<uint32_t> requeued_;
-  std::unordered_map<uint32_t, uint32_t> live_;  // task -> bookings
+  std::unordered_map<uint32_t, uint32_t> live_;  // task -> allocations
   std::set<uint32_t> dirty_chunks_;
   uint32_t storable_in_chunk_;
   std::map<uint32_t, Instant> held_back_;    // task -> until when
--- a/src/dunlinknot/cluster/ledger.hpp
+++ b/src/dunlinknot/cluster/ledger.hpp
@@ -1,5 +1,5 @@
-// The leader's writing in the state service: bookings before their `run`, completions before they
-// are told or forgotten. Every transaction guards `epoch` and the stamps of what it changes.
+// The leader's writing in the state service: allocations before their `run`, completions before
+// they are told or forgotten. Every transaction guards `epoch` and the stamps of what it changes.
 #pragma once
 #include <algorithm>
 #include <deque>
@@ -45,7 +45,7 @@
   };
   struct MachineBatch {  // one transaction over the records of machines
     std::vector<MachineWrite> machines;
-    std::set<std::string> jobs;  // with new bookings there: their records are guarded
+    std::set<std::string> jobs;  // with new allocations there: their records are guarded
     size_t bytes = 0;
     state::Txn txn;
   };
--- a/src/dunlinknot/cluster/ledger_machines.cpp
+++ b/src/dunlinknot/cluster/ledger_machines.cpp
@@ -1,4 +1,4 @@
-// The ledger's machine records: bookings are durable before their `run` goes out.
+// The ledger's machine records: allocations are durable before their `run` goes out.
 #include <algorithm>
 #include <set>
 
@@ -65,7 +65,7 @@
 }
 
 // The ledger keeps to what is left of the state service's budget, with a reserve for the users'
-// requests at this node: else the bookings of a large cluster crowd submissions out.
+// requests at this node: else the allocations of a large cluster crowd submissions out.
 Task<void> Ledger::await_budget(uint64_t term, double writes) {
   const double burst = state_.write_burst();
   const double want = std::min(writes, burst / 4) + burst * kApiReserve;
@@ -76,10 +76,10 @@
 
 namespace {
 
-// Takes the new bookings of all but these jobs out of a record.
-void leave_out_new_bookings(wire::MachineRecord& record, const Machine& h,
-                            const std::set<std::string>& but_of) {
-  for (const Booking& b : h.bookings) {
+// Takes the new allocations of all but these jobs out of a record.
+void leave_out_new_allocations(wire::MachineRecord& record, const Machine& h,
+                               const std::set<std::string>& but_of) {
+  for (const Allocation& b : h.allocations) {
     if (b.phase != Phase::planned || but_of.contains(b.task.job)) continue;
     for (auto& group : record.groups) {
       if (group.job != b.task.job) continue;
@@ -100,17 +100,17 @@
 
 // Adds the machine's record to the transaction; false when it does not fit into it any more.
 bool Ledger::add_machine_record(MachineBatch& batch, Cluster& cluster, Machine& h) const {
-  // A record that another version stored large has to shrink first, as what is booked there ends.
-  // What was to be added goes elsewhere. The larger record that stands books too much, never too
-  // little (safety 1).
+  // A record that another version stored large has to shrink first, as what is allocated there
+  // ends. What was to be added goes elsewhere. The larger record that stands allocates too much,
+  // never too little (safety 1).
   if (cluster.record_size(h) > state_.limits().value_bytes()) {
     (void)cluster.drop_planned(h, context_.loop.now());
     h.dirty = false;
     return true;
   }
-  // Safety 3: a booking is refused when its job was cancelled or is over.
+  // Safety 3: an allocation is refused when its job was cancelled or is over.
   std::set<std::string> fresh;
-  for (const Booking& b : h.bookings) {
+  for (const Allocation& b : h.allocations) {
     if (b.phase == Phase::planned && cluster.job(b.task.job)) fresh.insert(b.task.job);
   }
   for (const std::string& id : batch.jobs) fresh.erase(id);
@@ -120,7 +120,7 @@
   if (fresh.size() > room) {
     // More jobs than one transaction guards: the rest follows with the next one.
     while (fresh.size() > room) fresh.erase(std::prev(fresh.end()));
-    leave_out_new_bookings(write.record, h, fresh);
+    leave_out_new_allocations(write.record, h, fresh);
   }
   std::string value;
   if (!write.record.groups.empty()) value = wire::write_machine_record(write.record);
@@ -214,7 +214,7 @@
       context_.leader_state.with([](LeaderState& p) { return p.cluster.dirty_machine_count(); });
   if (waiting == 0 && !trailing) co_return false;
   // Records that only shrank are rewritten with what is left over: an entry too many costs a new
-  // leader a moment, a booking that waits costs a machine.
+  // leader a moment, an allocation that waits costs a machine.
   if (waiting == 0 && state_.write_level() < state_.write_burst() * kSlackLevel) co_return false;
   co_await await_budget(term, static_cast<double>(std::min(waiting, max_ops())));
   if (!context_.in_term(term)) co_return false;
--- a/src/dunlinknot/cluster/ledger_progress.cpp
+++ b/src/dunlinknot/cluster/ledger_progress.cpp
@@ -125,7 +125,7 @@
 
 // The progress of open jobs keeps to its share of the budget, batch by batch. Found with the state
 // service's limits lowered: transactions had become so small that the first jobs had new progress
-// before the last were reached, and bookings were not written for half a minute.
+// before the last were reached, and allocations were not written for half a minute.
 void Ledger::pause_partial(const ProgressBatch& batch) {
   if (batch.chunks.empty()) return;
   last_partial_job_ = batch.chunks.back().job;
--- a/src/dunlinknot/cluster/records.cpp
+++ b/src/dunlinknot/cluster/records.cpp
@@ -30,9 +30,9 @@
 }
 
 void Cluster::return_dirty_machine(Machine& h) {
-  const bool urgent = std::any_of(h.bookings.begin(), h.bookings.end(), [](const Booking& b) {
-    return b.phase == Phase::planned && (b.gang || b.service);
-  });
+  const bool urgent = std::any_of(
+      h.allocations.begin(), h.allocations.end(),
+      [](const Allocation& b) { return b.phase == Phase::planned && (b.gang || b.service); });
   bool& waits = urgent ? h.urgent : h.queued;
   if (waits) return;
   waits = true;
@@ -45,7 +45,7 @@
   r.zone = h.zone;
   r.address = h.address;
   r.spot = h.spot;
-  for (const Booking& b : h.bookings) {
+  for (const Allocation& b : h.allocations) {
     auto* g = find_where(r.groups, [&](const auto& x) { return x.job == b.task.job; });
     if (!g) {
       r.groups.push_back({b.task.job, b.team_name, b.need, b.gang, {}});
@@ -59,7 +59,7 @@
 size_t Cluster::record_size(const Machine& h) const {
   size_t size = wire::machine_record_size(h.type, h.zone, h.address);
   std::vector<std::string_view> jobs;
-  for (const Booking& b : h.bookings) {
+  for (const Allocation& b : h.allocations) {
     size += wire::machine_task_size(b.task.index, b.attempt);
     if (std::find(jobs.begin(), jobs.end(), b.task.job) != jobs.end()) continue;
     jobs.push_back(b.task.job);
@@ -88,7 +88,7 @@
   for (const auto& [task, attempt] : h.stored) {
     if (!h.find(task, attempt)) h.trailing = true;
   }
-  for (Booking& b : h.bookings) {
+  for (Allocation& b : h.allocations) {
     if (b.phase != Phase::planned) continue;
     const bool there = find_where(
         h.stored, [&](const auto& s) { return s.second == b.attempt && s.first == b.task; });
@@ -103,12 +103,12 @@
       runnable_.push_back(h.id);
       continue;
     }
-    // Safety 4: a gang starts once every one of its bookings stands.
+    // Safety 4: a gang starts once every one of its allocations stands.
     Job* j = job(b.task.job);
     if (!j || j->gang_attempt != b.attempt) continue;
     uint32_t standing = 0;
     for (const Machine* other : holders(b.task.job)) {
-      for (const Booking& k : other->bookings) {
+      for (const Allocation& k : other->allocations) {
         if (k.task.job == b.task.job && k.attempt == b.attempt && k.phase != Phase::planned) {
           ++standing;
         }
--- a/src/dunlinknot/cluster/reports.cpp
+++ b/src/dunlinknot/cluster/reports.cpp
@@ -1,5 +1,5 @@
-// Reports of the workers: what a report proves about the bookings of its machine, and the commands
-// that its response carries.
+// Reports of the workers: what a report proves about the allocations of its machine, and the
+// commands that its response carries.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 constexpr size_t kMaxCommands = 400;
 constexpr Seconds kProvenRun{30};  // a replica that ran for so long did not fail at its start
 
-bool ran_for(const Booking& b, Seconds least, Instant now) {
+bool ran_for(const Allocation& b, Seconds least, Instant now) {
   return b.running_since != Instant{} && to_seconds(now - b.running_since) >= least;
 }
 
@@ -70,15 +70,15 @@
   effects |= changed;
   if (!may_start || h.draining || h.deleting) return answer;
   promote_ahead(h, now);
-  const auto planned = [](const Booking& k) { return k.phase == Phase::planned; };
+  const auto planned = [](const Allocation& k) { return k.phase == Phase::planned; };
   if (!h.ours || h.unreachable || h.recall_at) return answer;
-  if (find_where(h.bookings, [&](const Booking& k) { return sendable(k); })) return answer;
+  if (find_where(h.allocations, [&](const Allocation& k) { return sendable(k); })) return answer;
   const bool has_room = work_waits_ && (changed.schedule || !was_ours) && h.free().cpus > 0;
-  answer.run_soon = has_room || find_where(h.bookings, planned);
+  answer.run_soon = has_room || find_where(h.allocations, planned);
   return answer;
 }
 
-bool Cluster::sendable(const Booking& k) const {
+bool Cluster::sendable(const Allocation& k) const {
   if (k.phase != Phase::durable || k.ahead || k.stopping()) return false;
   const Job* j = job(k.task.job);
   return j && (!k.gang || (j->gang_go && j->gang_attempt == k.attempt));  // safety 4
@@ -100,7 +100,7 @@
   auto& out = answer.commands;
   for (const auto& t : b.tasks) {
     if (t.state == TaskState::exited) continue;
-    const Booking* k = h.find(t.task, t.attempt);
+    const Allocation* k = h.find(t.task, t.attempt);
     if (!k || !k->stopping()) continue;
     if (t.state == TaskState::saving && k->grace > Seconds(0)) continue;
     out.push_back({Command::Op::stop, t.task, t.attempt, k->grace});
@@ -115,7 +115,7 @@
     if (!keep) out.push_back({Command::Op::forget, t.task, t.attempt, Seconds(0)});
   }
   if (may_start && !h.draining && !h.deleting) {
-    for (Booking& k : h.bookings) {
+    for (Allocation& k : h.allocations) {
       if (!sendable(k) || out.size() >= kMaxCommands) continue;
       out.push_back({Command::Op::start, k.task, k.attempt, Seconds(0)});
       k.phase = Phase::sent;
@@ -160,31 +160,32 @@
 }
 
 // The worker killed all it had when its lease ran out; a `run` from before is dropped there.
-Effects Cluster::end_bookings_before(Machine& h, uint64_t session, Instant now) {
+Effects Cluster::end_allocations_before(Machine& h, uint64_t session, Instant now) {
   Effects effects;
   h.images.clear();
-  for (size_t i = h.bookings.size(); i-- > 0;) {
-    if (i >= h.bookings.size()) continue;
-    const Booking& booking = h.bookings[i];
-    const bool from_before = booking.phase == Phase::seen ||
-                             (booking.phase == Phase::sent && booking.sent_session < session);
-    if (from_before) effects |= end_booking(h, i, now);
+  for (size_t i = h.allocations.size(); i-- > 0;) {
+    if (i >= h.allocations.size()) continue;
+    const Allocation& allocation = h.allocations[i];
+    const bool from_before = allocation.phase == Phase::seen ||
+                             (allocation.phase == Phase::sent && allocation.sent_session < session);
+    if (from_before) effects |= end_allocation(h, i, now);
   }
   return effects;
 }
 
-// Whether a task that is on the machine without a booking may stay: a task of an array that waits
-// for a place, where it may be beside the job's other tasks. What was not sent gives way to it.
+// Whether a task that is on the machine without an allocation may stay: a task of an array that
+// waits for a place, where it may be beside the job's other tasks. What was not sent gives way to
+// it.
 bool Cluster::welcome(const Machine& h, const Job& j, uint32_t index) const {
   if (j.spec().gang || j.is_done(index) || j.is_live(index)) return false;
   if (!kind_allowed(j.spec(), h.type, h.zone, h.spot)) return false;
   return constraints_of_sent(j).tasks_allowed(h.zone) > 0;
 }
 
-// On the machine without a booking: counted from now on, and stopped unless it is welcome.
-Booking& Cluster::book_orphan(Machine& h, const TaskReport& task, const Job* j, Instant now,
-                              Effects& effects) {
-  Booking orphan;
+// On the machine without an allocation: counted from now on, and stopped unless it is welcome.
+Allocation& Cluster::allocate_orphan(Machine& h, const TaskReport& task, const Job* j, Instant now,
+                                     Effects& effects) {
+  Allocation orphan;
   orphan.task = task.task;
   orphan.attempt = task.attempt;
   orphan.placed_at = now;
@@ -200,11 +201,11 @@
     orphan.priority = j->spec().priority;
   }
   orphan.phase = Phase::seen;
-  spdlog::info("machine {} reports {} try {} that is not booked there: {}", h.id, task.task.text(),
-               task.attempt, stays ? "kept" : "stopped");
-  add_booking(h, std::move(orphan));
+  spdlog::info("machine {} reports {} try {} that is not allocated there: {}", h.id,
+               task.task.text(), task.attempt, stays ? "kept" : "stopped");
+  add_allocation(h, std::move(orphan));
   mark_dirty(h);
-  if (!stays) stop(h, h.bookings.back(), StopReason::orphan, Seconds(0), now);
+  if (!stays) stop(h, h.allocations.back(), StopReason::orphan, Seconds(0), now);
   if (j) effects |= make_way_for(*j, task.task, now);
   return *h.find(task.task, task.attempt);
 }
@@ -213,28 +214,28 @@
 bool Cluster::take_task(Machine& h, const TaskReport& t, Instant now, Effects& effects) {
   Job* j = job(t.task.job);
   if (j && t.task.index >= j->spec().tasks) j = nullptr;
-  Booking* booking = h.find(t.task, t.attempt);
-  if (!booking) {
-    booking = &book_orphan(h, t, j, now, effects);
+  Allocation* allocation = h.find(t.task, t.attempt);
+  if (!allocation) {
+    allocation = &allocate_orphan(h, t, j, now, effects);
     effects.store_machines = true;
   }
-  if (!j && !booking->stopping()) stop(h, *booking, StopReason::cancelled, Seconds(0), now);
-  const bool obeyed = booking->phase == Phase::sent;
-  booking->phase = Phase::seen;
-  if (booking->service && t.state == TaskState::running) take_running(*booking, j, h, now);
-  if (t.state == booking->state) return obeyed;
+  if (!j && !allocation->stopping()) stop(h, *allocation, StopReason::cancelled, Seconds(0), now);
+  const bool obeyed = allocation->phase == Phase::sent;
+  allocation->phase = Phase::seen;
+  if (allocation->service && t.state == TaskState::running) take_running(*allocation, j, h, now);
+  if (t.state == allocation->state) return obeyed;
   if (t.state == TaskState::running) {
-    if (booking->running_since == Instant{}) booking->running_since = now;
+    if (allocation->running_since == Instant{}) allocation->running_since = now;
     if (j) {
       if (j->running == 0 && j->done_count() == 0) {
         spdlog::debug("job {}: a task runs on {}", t.task.job, h.id);
       }
       ++j->running;
     }
-  } else if (booking->state == TaskState::running && j && j->running > 0) {
+  } else if (allocation->state == TaskState::running && j && j->running > 0) {
     --j->running;
   }
-  booking->state = t.state;
+  allocation->state = t.state;
   return obeyed;
 }
 
@@ -244,21 +245,22 @@
 // Returns whether the response with some `run` was lost.
 bool Cluster::end_unlisted(Machine& h, const WorkerReport& b, Instant now, Effects& effects) {
   bool missed_us = false;
-  for (size_t i = h.bookings.size(); i-- > 0;) {
-    if (i >= h.bookings.size()) continue;
-    Booking& booking = h.bookings[i];
-    if (booking.unsent()) continue;
+  for (size_t i = h.allocations.size(); i-- > 0;) {
+    if (i >= h.allocations.size()) continue;
+    Allocation& allocation = h.allocations[i];
+    if (allocation.unsent()) continue;
     const auto is_listed = [&](const TaskReport& t) {
-      return t.attempt == booking.attempt && t.task == booking.task && t.state != TaskState::exited;
+      return t.attempt == allocation.attempt && t.task == allocation.task &&
+             t.state != TaskState::exited;
     };
     if (find_where(b.tasks, is_listed)) continue;
     if (b.token != epoch_) continue;
-    if (booking.phase == Phase::sent && !booking.stopping() && job(booking.task.job)) {
-      booking.phase = Phase::durable;  // said again in the next response
+    if (allocation.phase == Phase::sent && !allocation.stopping() && job(allocation.task.job)) {
+      allocation.phase = Phase::durable;  // said again in the next response
       missed_us = true;
       continue;
     }
-    effects |= end_booking(h, i, now);
+    effects |= end_allocation(h, i, now);
   }
   return missed_us;
 }
@@ -273,7 +275,7 @@
   take_machine_state(h, b, now, complete, effects);
   if (new_session) {
     effects.schedule = true;
-    effects |= end_bookings_before(h, b.session, now);
+    effects |= end_allocations_before(h, b.session, now);
   }
   for (const auto& t : b.tasks) {
     if (t.state == TaskState::exited) {
@@ -295,9 +297,9 @@
 }
 
 // A replica that goes on running shows that its service can, and that its machine is sound.
-void Cluster::take_running(Booking& booking, Job* j, const Machine& h, Instant now) {
-  if (!j || j->proven || !ran_for(booking, kProvenRun, now)) return;
-  spdlog::debug("service {} runs on {}", booking.task.job, h.id);
+void Cluster::take_running(Allocation& allocation, Job* j, const Machine& h, Instant now) {
+  if (!j || j->proven || !ran_for(allocation, kProvenRun, now)) return;
+  spdlog::debug("service {} runs on {}", allocation.task.job, h.id);
   j->proven = true;
   j->failing = false;
   j->backoff = Nanos(0);
@@ -322,7 +324,7 @@
     h.error_streak = 0;
     h.error_jobs.clear();
   }
-  Booking* k = h.find(r.task, r.attempt);
+  Allocation* k = h.find(r.task, r.attempt);
   if (!k) return effects;
   if (r.cause == ExitCause::error) on_error(h, j, now);
   const bool by_itself = r.cause == ExitCause::error || r.cause == ExitCause::done;
@@ -333,7 +335,7 @@
     if (j) j->not_before = std::max(j->not_before, now + Millis(1000));
   }
   const bool orderly = r.cause == ExitCause::stopped && k->stopping() && k->grace > Seconds(0);
-  effects |= end_booking(h, static_cast<size_t>(k - h.bookings.data()), now, orderly);
+  effects |= end_allocation(h, static_cast<size_t>(k - h.allocations.data()), now, orderly);
   if (j && j->spec().service && by_itself) hold_back_replica(*j, r.task.index, soon, now);
   return effects;
 }
--- a/src/dunlinknot/fleet/fleet.cpp
+++ b/src/dunlinknot/fleet/fleet.cpp
@@ -132,14 +132,14 @@
       if (h->deleting || h->unreachable) continue;
       if (!h->heard) {
         // Some take several times as long; some never come up and cost until they are deleted.
-        // What is booked there by a former leader ends with the deletion (the fast fence).
+        // What is allocated there by a former leader ends with the deletion (the fast fence).
         const MachineType* t = p.cluster.type(h->type);
         if (!t) continue;
         // A new leader has heard nobody yet: a machine that is up, or was while somebody else led,
         // has the time a silent one has before it is given up.
         const Instant heard_by =
             p.cluster.term_since() + to_nanos(context_.platform.lease + op.lost_return);
-        const bool was_up = h->listed_running || !h->bookings.empty();
+        const bool was_up = h->listed_running || !h->allocations.empty();
         const Instant up_by = h->known_since + to_nanos(t->boot * op.boot_patience + kBootSlack);
         if (now > heard_by && (was_up || now > up_by)) {
           out.emplace_back(id, was_up ? "its worker stays silent" : "it never came up");
@@ -160,7 +160,7 @@
         out.emplace_back(id, "it was recalled and is silent");
         continue;
       }
-      if (!h->bookings.empty()) continue;
+      if (!h->allocations.empty()) continue;
       if (h->draining) {
         out.emplace_back(id, h->drain_reason);
       } else if (h->recall_at) {
--- a/src/dunlinknot/fleet/returns.cpp
+++ b/src/dunlinknot/fleet/returns.cpp
@@ -68,7 +68,7 @@
   context_.leader_state.with([&](LeaderState& p) {
     for (const std::string& machine : resumed_) {
       const Machine* h = p.cluster.find_machine(machine);
-      if (!h || h->bookings.empty()) ready.push_back(machine);
+      if (!h || h->allocations.empty()) ready.push_back(machine);
     }
   });
   for (const std::string& machine : ready) {
--- a/src/dunlinknot/fleet/returns.hpp
+++ b/src/dunlinknot/fleet/returns.hpp
@@ -23,7 +23,7 @@
 
   void begin_term();
   // Goes on with what a former holder decided. These machines get no more work; they are deleted
-  // once nothing is booked there: a controller whose duties are off may have led in between.
+  // once nothing is allocated there: a controller whose duties are off may have led in between.
   void resume(const duties::OpenIntents& open);
 
   // Decides that the machine is returned.
--- a/src/dunlinknot/jobs/request_handler.cpp
+++ b/src/dunlinknot/jobs/request_handler.cpp
@@ -274,7 +274,7 @@
     if (found.known == Known::no) co_return refuse(404, "no such job");
     if (found.known == Known::final) co_return standing_of(id, found, false);
     // Safety 3: the job's record goes and its final answer stands in one transaction, before the
-    // user is told. From here on every booking for it fails its guard.
+    // user is told. From here on every allocation for it fails its guard.
     state::Txn txn;
     txn.guards.push_back({wire::job_key(id), found.stamp});
     txn.guards.push_back({wire::final_key(id), 0});
--- a/src/dunlinknot/node/cluster_report.cpp
+++ b/src/dunlinknot/node/cluster_report.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-using cluster::Booking;
+using cluster::Allocation;
 using cluster::Machine;
 using cluster::Phase;
 
@@ -14,7 +14,7 @@
   return h.heard && !h.lost;
 }
 
-void add_booking(ClusterTotals& totals, const Booking& b) {
+void add_allocation(ClusterTotals& totals, const Allocation& b) {
   if (b.ahead) {
     ++totals.ahead;
     return;
@@ -43,7 +43,7 @@
     ++totals.machines_up;
     totals.size += h->size;
     totals.used += h->used;
-    for (const Booking& b : h->bookings) add_booking(totals, b);
+    for (const Allocation& b : h->allocations) add_allocation(totals, b);
   }
   for (const auto& [id, j] : cluster.jobs()) {
     totals.waiting += j->pending();
@@ -62,7 +62,7 @@
     ++t.machines;
     t.size += h->size;
     t.used += h->used;
-    for (const Booking& b : h->bookings) {
+    for (const Allocation& b : h->allocations) {
       if (!b.ahead && b.need.gpus <= 0) (b.gang ? t.gangs : t.arrays) += b.need;
     }
   }
@@ -70,10 +70,10 @@
 }
 
 void log_totals(const ClusterTotals& t) {
-  spdlog::debug("bookings: {} planned, {} durable, {} sent; {} records to write", t.planned,
+  spdlog::debug("allocations: {} planned, {} durable, {} sent; {} records to write", t.planned,
                 t.durable, t.sent, t.records_to_write);
   spdlog::info(
-      "cluster: {} of {} machines up, {:.0f} of {:.0f} cpus and {:.0f} of {:.0f} gpus booked; "
+      "cluster: {} of {} machines up, {:.0f} of {:.0f} cpus and {:.0f} of {:.0f} gpus allocated; "
       "tasks: {} running, {} fetching, {} starting or stopping, {} ahead, {} waiting",
       t.machines_up, t.machines, t.used.cpus, t.size.cpus, t.used.gpus, t.size.gpus, t.running,
       t.fetching, t.in_transition, t.ahead, t.waiting);
@@ -85,7 +85,7 @@
 void log_totals_by_type(const std::map<std::string, MachineTypeTotals>& types) {
   for (const auto& [name, t] : types) {
     spdlog::debug(
-        "{}: {} machines, {:.0f} of {:.0f} cpus, {:.0f} of {:.0f} gpus booked; work without "
+        "{}: {} machines, {:.0f} of {:.0f} cpus, {:.0f} of {:.0f} gpus allocated; work without "
         "accelerators: gangs {:.0f} cpus, arrays {:.0f} cpus",
         name, t.machines, t.used.cpus, t.size.cpus, t.used.gpus, t.size.gpus, t.gangs.cpus,
         t.arrays.cpus);
--- a/src/dunlinknot/node/cluster_report.hpp
+++ b/src/dunlinknot/node/cluster_report.hpp
@@ -1,4 +1,4 @@
-// What the log tells of the cluster now and then: machines, bookings, and how services fare.
+// What the log tells of the cluster now and then: machines, allocations, and how services fare.
 #pragma once
 #include <map>
 #include <string>
@@ -20,7 +20,7 @@
   size_t in_transition = 0;  // starting or stopping
   size_t ahead = 0;
   size_t waiting = 0;
-  // Bookings that wait for their record to be written, for a report to answer, for the worker.
+  // Allocations that wait for their record to be written, for a report to answer, for the worker.
   size_t planned = 0;
   size_t durable = 0;
   size_t sent = 0;
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -290,13 +290,14 @@
   const bool duties_taken = co_await fleet_.take_duties(term);
   if (!duties_taken) co_return;
   context_.loaded = true;
-  const auto [jobs, machines, bookings] = context_.leader_state.with([](LeaderState& p) {
+  const auto [jobs, machines, allocations] = context_.leader_state.with([](LeaderState& p) {
     return std::tuple(p.cluster.jobs().size(), p.cluster.machines().size(),
-                      p.cluster.booking_count());
+                      p.cluster.allocation_count());
   });
   spdlog::info(
-      "take-over of epoch {} done in {} ms: {} open jobs, {} machines with bookings, {} bookings",
-      context_.epoch, to_millis(loop_.now() - started).count(), jobs, machines, bookings);
+      "take-over of epoch {} done in {} ms: {} open jobs, {} machines with allocations, {} "
+      "allocations",
+      context_.epoch, to_millis(loop_.now() - started).count(), jobs, machines, allocations);
   loop_.spawn(ledger_.watch_jobs(term));
   loop_.spawn(ledger_.store_machines(term));
   loop_.spawn(ledger_.store_done(term));
--- a/src/dunlinknot/preemption/fit.cpp
+++ b/src/dunlinknot/preemption/fit.cpp
@@ -9,7 +9,7 @@
 
 constexpr Seconds kReplicaGap{15};
 
-bool on_list(const std::vector<Victim>* list, const cluster::Booking& b) {
+bool on_list(const std::vector<Victim>* list, const cluster::Allocation& b) {
   return list && std::any_of(list->begin(), list->end(), [&](const Victim& v) {
            return v.attempt == b.attempt && v.task == b.task;
          });
@@ -39,7 +39,7 @@
 Room::Room(const cluster::Machine& machine, const Nominations& nominations, const Resources& size)
     : machine_(&machine), free_(size - machine.used) {
   if (const auto* list = nominations.victims_on(machine.id)) {
-    for (const auto& b : machine.bookings) {
+    for (const auto& b : machine.allocations) {
       if (on_list(list, b)) victims_ += b.need;
     }
   }
@@ -61,8 +61,8 @@
     any = true;
   }
   if (!any) return true;
-  // Pass 1: victims that are still booked are subtracted (each once: those the simulation removed
-  // already are not subtracted again), the holds are added.
+  // Pass 1: victims that are still allocated are subtracted (each once: those the simulation
+  // removed already are not subtracted again), the holds are added.
   return need.fits_in(plain + (victims_ - removed_victims) - held);
 }
 
@@ -82,7 +82,7 @@
   std::erase_if(holds_, [&](const Hold& h) { return h.id == id; });
 }
 
-double lost_work(const cluster::Booking& b, const cluster::Job* job, Instant now) {
+double lost_work(const cluster::Allocation& b, const cluster::Job* job, Instant now) {
   if (b.running_since == Instant{}) return 0;
   // Of a replica only the time until it runs elsewhere is lost, however long it ran.
   if (b.service) return kReplicaGap.count() * std::max(b.need.cpus, 0.1);
@@ -106,8 +106,8 @@
   Resources removed, removed_victims;
   std::vector<Resources> beyond;
   if (who.beyond) beyond = *who.beyond;
-  for (size_t i = 0; i < h.bookings.size(); ++i) {
-    const cluster::Booking& b = h.bookings[i];
+  for (size_t i = 0; i < h.allocations.size(); ++i) {
+    const cluster::Allocation& b = h.allocations[i];
     if (b.gang || b.ahead) continue;  // gangs are never victims; what waits there holds no room
     const bool listed = on_list(list, b);
     if (b.stopping() && !listed) continue;  // leaves for another reason, on its own time
@@ -132,15 +132,15 @@
   // Take back what need not go: higher priorities first, then what would lose most work. Tasks that
   // are being stopped already cost nothing and stay removed.
   std::sort(removable.begin(), removable.end(), [&](const Item& a, const Item& b) {
-    const auto& x = h.bookings[a.index];
-    const auto& y = h.bookings[b.index];
+    const auto& x = h.allocations[a.index];
+    const auto& y = h.allocations[b.index];
     if (x.priority != y.priority) return x.priority > y.priority;
     if (a.lost != b.lost) return a.lost > b.lost;
     return a.index < b.index;
   });
   Candidate out;
   for (const Item& item : removable) {
-    const cluster::Booking& b = h.bookings[item.index];
+    const cluster::Allocation& b = h.allocations[item.index];
     if (!item.listed) {
       const Resources fewer = removed - b.need;
       if (room.fits(need, who.priority, except, fewer, removed_victims)) {
--- a/src/dunlinknot/preemption/fit.hpp
+++ b/src/dunlinknot/preemption/fit.hpp
@@ -1,5 +1,5 @@
 // Does a task fit on a machine, now or with some tasks removed? Both passes of the KEP's "Holding
-// capacity for the preemptor": with the holds of equal or higher priority (booked victims
+// capacity for the preemptor": with the holds of equal or higher priority (allocated victims
 // subtracted, holds added), and again without them.
 #pragma once
 #include <set>
@@ -11,7 +11,7 @@
 // How many tasks of this size fit into the room, up to `most`.
 uint32_t tasks_in(const Resources& room, const Resources& need, uint32_t most);
 
-// The room on one machine as a round goes on: bookings made in the round are taken off `free`.
+// The room on one machine as a round goes on: allocations made in the round are taken off `free`.
 class Room {
  public:
   Room(const cluster::Machine& machine, const Nominations& nominations, const Resources& size);
@@ -45,18 +45,18 @@
   };
   const cluster::Machine* machine_;
   Resources free_;
-  Resources victims_;  // booked, on the machine's victim list
+  Resources victims_;  // allocated, on the machine's victim list
   std::vector<Hold> holds_;
 };
 
 struct Candidate {
   std::vector<Victim> victims;
-  std::vector<size_t> victim_indices;  // into the machine's bookings
+  std::vector<size_t> victim_indices;  // into the machine's allocations
   double lost_seconds = 0;             // work that would be done again, times the cores it holds
   int highest = -1;                    // the highest priority among the victims
 };
 
-// May this booking be stopped to make room for the preemptor?
+// May this allocation be stopped to make room for the preemptor?
 struct Eligibility {
   Priority priority = Priority::low;  // of the preemptor
   int team = -1;
@@ -73,7 +73,7 @@
                                   const cluster::Cluster& cluster, const Resources& need,
                                   uint64_t except, const Eligibility& who, Instant now);
 
-// What stopping this booking would throw away.
-double lost_work(const cluster::Booking& b, const cluster::Job* job, Instant now);
+// What stopping this allocation would throw away.
+double lost_work(const cluster::Allocation& b, const cluster::Job* job, Instant now);
 
 }  // namespace dunlinknot::preemption
--- a/src/dunlinknot/preemption/nominations.hpp
+++ b/src/dunlinknot/preemption/nominations.hpp
@@ -1,6 +1,6 @@
 // The two records of a preemption, both in memory only (KEP-5690, "Claim nomination"):
 //   per preemptor, a nomination: the machine and the exact room found for it;
-//   per machine, the victims that are still booked there.
+//   per machine, the victims that are still allocated there.
 // A nomination ends on placement, cancellation, renomination or a failed stop call, and by nothing
 // else: there is no timer. The victim list outlives the nomination until its victims are gone.
 #pragma once
@@ -40,7 +40,7 @@
   // The stop call for these victims failed: the nominations on that machine are cleared and the
   // victims taken off the list, so that preemption can be tried again.
   void stop_failed(const std::string& machine, const std::vector<Victim>& victims);
-  // Takes victims that are no longer booked off the lists.
+  // Takes victims that are no longer allocated off the lists.
   void settle(const cluster::Cluster& cluster);
   void clear();  // a take-over starts with none
 
--- a/src/dunlinknot/scheduler/apply.cpp
+++ b/src/dunlinknot/scheduler/apply.cpp
@@ -11,7 +11,7 @@
 using cluster::LeaderState;
 using cluster::Machine;
 
-void book_tasks(const Placement& placement, LeaderState& state, Instant now, Effects& effects) {
+void allocate_tasks(const Placement& placement, LeaderState& state, Instant now, Effects& effects) {
   cluster::Cluster& cluster = state.cluster;
   for (const uint64_t id : placement.ends_nominations) {
     state.nominations.end(id, preemption::End::placed);
@@ -23,13 +23,13 @@
   for (uint32_t i = 0; i < placement.count; ++i) {
     auto index = job.take_pending();
     if (!index && cluster.take_back_ahead(placement.job, now)) index = job.take_pending();
-    if (!index || !cluster.book(machine, job, *index, cluster.next_attempt(), now)) return;
+    if (!index || !cluster.allocate(machine, job, *index, cluster.next_attempt(), now)) return;
     effects.store_machines = true;
   }
 }
 
-// All of the gang's tasks are booked, or none.
-void book_gang(const GangPlacement& gang, LeaderState& state, Instant now, Effects& effects) {
+// All of the gang's tasks are allocated, or none.
+void allocate_gang(const GangPlacement& gang, LeaderState& state, Instant now, Effects& effects) {
   cluster::Cluster& cluster = state.cluster;
   Job& job = *cluster.job(gang.job);
   const uint64_t attempt = cluster.next_attempt();
@@ -39,7 +39,7 @@
     spdlog::debug("placing {} tasks of gang {} on {} ({})", count, gang.job, id, machine.type);
     for (uint32_t i = 0; i < count; ++i) {
       const auto index = job.take_pending();
-      if (!index || !cluster.book(machine, job, *index, attempt, now)) {
+      if (!index || !cluster.allocate(machine, job, *index, attempt, now)) {
         effects |= cluster.drop_unsent(gang.job, now);
         return;
       }
@@ -48,14 +48,15 @@
   effects.store_machines = true;
 }
 
-void book_ahead(const Ahead& ahead, LeaderState& state, Instant now, Effects& effects) {
+void allocate_ahead(const Ahead& ahead, LeaderState& state, Instant now, Effects& effects) {
   cluster::Cluster& cluster = state.cluster;
   Job& job = *cluster.job(ahead.job);
   Machine& machine = *cluster.find_machine(ahead.machine);
   for (uint32_t i = 0; i < ahead.count; ++i) {
     const auto index = job.take_pending();
     if (!index) return;
-    if (!cluster.book_ahead(machine, job, *index, cluster.next_attempt(), ahead.turn, now)) return;
+    if (!cluster.allocate_ahead(machine, job, *index, cluster.next_attempt(), ahead.turn, now))
+      return;
     effects.store_machines = true;
   }
 }
@@ -80,9 +81,9 @@
 Effects apply(const Plan& plan, LeaderState& state, Instant now) {
   Effects effects;
   for (const uint64_t id : plan.cleared) state.nominations.end(id, preemption::End::cleared);
-  for (const Placement& placement : plan.placements) book_tasks(placement, state, now, effects);
-  for (const GangPlacement& gang : plan.gangs) book_gang(gang, state, now, effects);
-  for (const Ahead& ahead : plan.ahead) book_ahead(ahead, state, now, effects);
+  for (const Placement& placement : plan.placements) allocate_tasks(placement, state, now, effects);
+  for (const GangPlacement& gang : plan.gangs) allocate_gang(gang, state, now, effects);
+  for (const Ahead& ahead : plan.ahead) allocate_ahead(ahead, state, now, effects);
   state.cluster.set_held(plan.held, plan.saved);
   state.cluster.set_work_waits(plan.waiting_tasks > 0);
   for (const Eviction& eviction : plan.evictions) evict(eviction, state, now, effects);
--- a/src/dunlinknot/scheduler/arrays.cpp
+++ b/src/dunlinknot/scheduler/arrays.cpp
@@ -86,7 +86,7 @@
         continue;
       uint32_t before = s->ahead - s->machine->ahead;
       if (s->machine->ahead > 0) {
-        for (const Booking& b : s->machine->bookings) {
+        for (const Allocation& b : s->machine->allocations) {
           if (b.ahead && !mine.before(b.turn)) ++before;
         }
       }
@@ -148,8 +148,9 @@
 }
 
 uint32_t Round::tasks_there(const Job& j, const Machine& h) {
-  const auto is_of_job = [&](const Booking& b) { return b.task.job == j.spec().id; };
-  return static_cast<uint32_t>(std::count_if(h.bookings.begin(), h.bookings.end(), is_of_job));
+  const auto is_of_job = [&](const Allocation& b) { return b.task.job == j.spec().id; };
+  return static_cast<uint32_t>(
+      std::count_if(h.allocations.begin(), h.allocations.end(), is_of_job));
 }
 
 uint32_t Round::replicas_leaving(const Job& j) const {
--- a/src/dunlinknot/scheduler/eviction.cpp
+++ b/src/dunlinknot/scheduler/eviction.cpp
@@ -14,7 +14,7 @@
   const Job& j = *w.job;
   if (j.failing) return;  // safety 6
   uint32_t tries = open;
-  // A nominated task is eligible again once no victim is booked on its machine.
+  // A nominated task is eligible again once no victim is allocated on its machine.
   std::vector<uint64_t> again;
   for (const uint64_t id : own) {
     if (!nominations_.settling(nominations_.all().at(id).machine)) again.push_back(id);
@@ -89,7 +89,7 @@
     if (Slot* s = slot_of(nominations_.all().at(renews).machine)) s->room.end_hold(renews);
   }
   for (const size_t i : best->victim_indices) {
-    const Booking& b = best_slot->machine->bookings[i];
+    const Allocation& b = best_slot->machine->allocations[i];
     if (!b.stopping()) {
       best_slot->room.add_victims(b.need);
       // Its team's limit still counts the victim until it is gone (safety 4).
--- a/src/dunlinknot/scheduler/gangs.cpp
+++ b/src/dunlinknot/scheduler/gangs.cpp
@@ -127,7 +127,7 @@
   return true;
 }
 
-double Round::ends_in(const Booking& b) const {
+double Round::ends_in(const Allocation& b) const {
   if (b.service) return std::numeric_limits<double>::max();
   const double run = std::max(1.0, b.estimate.count());
   if (b.running_since == Instant{}) return run * 1.5;
@@ -161,8 +161,8 @@
     for (Slot* s : kind.ready) {
       if (!s->kept_for.empty() && s->kept_for != spec.job_class) continue;
       if (!may_use(j, *s)) continue;
-      std::vector<std::pair<double, const Booking*>> ends;
-      for (const Booking& b : s->machine->bookings) {
+      std::vector<std::pair<double, const Allocation*>> ends;
+      for (const Allocation& b : s->machine->allocations) {
         if (!b.gang && !b.ahead && !b.service) ends.emplace_back(ends_in(b), &b);
       }
       std::sort(ends.begin(), ends.end());
--- a/src/dunlinknot/scheduler/headroom.cpp
+++ b/src/dunlinknot/scheduler/headroom.cpp
@@ -50,7 +50,8 @@
     const MachineType* t = s.kind->type;
     if (!t || !offer_allowed(spec, s.kind->offer) || !spec.need.fits_in(t->size)) continue;
     if (s.machine && borrowed(spec, t)) {
-      for (const Booking& b : s.machine->bookings) there += b.gang && b.need.gpus <= 0 ? 1 : 0;
+      for (const Allocation& b : s.machine->allocations)
+        there += b.gang && b.need.gpus <= 0 ? 1 : 0;
     }
     // What is free now first; machines with accelerators last; those with its images before
     // others.
@@ -78,7 +79,7 @@
     // What it may hold once shorter work there is done: all but what its own kind holds.
     Resources room = s->kind->type->size;
     if (s->machine) {
-      for (const Booking& b : s->machine->bookings) {
+      for (const Allocation& b : s->machine->allocations) {
         if (b.gang || b.service || b.priority > spec.priority) room -= b.need;
       }
     }
--- a/src/dunlinknot/scheduler/round.cpp
+++ b/src/dunlinknot/scheduler/round.cpp
@@ -5,8 +5,8 @@
 
 namespace {
 
-constexpr double kAheadWrites = 0.5;  // of the state service's writes, for bookings ahead
-constexpr double kMostAhead = 20;     // seconds of work booked ahead on a machine
+constexpr double kAheadWrites = 0.5;  // of the state service's writes, for allocations ahead
+constexpr double kMostAhead = 20;     // seconds of work allocated ahead on a machine
 constexpr size_t kMostHeld = 3;       // overdue gangs that room is kept for at a time
 constexpr double kMostStranded = 1;
 constexpr double kNearLimit = 1.05;   // a team's use from which it counts as being at its limit
@@ -32,7 +32,7 @@
   }
   given_up_.resize(usage_.size());
   plan_.saved.resize(usage_.size());
-  // So much work ahead that the state service's writes suffice for the bookings. Where they
+  // So much work ahead that the state service's writes suffice for the allocations. Where they
   // suffice for one task at a time, every freed place goes to whatever is due first.
   const double write_rps = platform_.lowest_state_write_rps();
   ahead_span_ = static_cast<double>(slots_.size()) / (write_rps * kAheadWrites);
@@ -94,7 +94,7 @@
     if ((!ready && !coming) || h->size.cpus <= 0) continue;
     Slot& s = add_slot(h.get(), *h, kind_of(*h), coming);
     s.ahead = h->ahead;
-    for (const Booking& b : h->bookings) {
+    for (const Allocation& b : h->allocations) {
       if (b.ahead || b.state != TaskState::fetching || b.image.empty()) continue;
       s.fetching.push_back(b.image);
       s.gang_fetches |= b.gang;
@@ -166,7 +166,7 @@
 
 void Round::note_waiting(const Job& j, WaitCause cause) {
   if (j.live_count() > j.ahead || j.done_count() > 0) return;
-  plan_.waiting_jobs.push_back({j.spec().id, j.ahead > 0 ? WaitCause::booked_ahead : cause});
+  plan_.waiting_jobs.push_back({j.spec().id, j.ahead > 0 ? WaitCause::allocated_ahead : cause});
 }
 
 void Round::consider(const Waiting& w) {
--- a/src/dunlinknot/scheduler/round.hpp
+++ b/src/dunlinknot/scheduler/round.hpp
@@ -14,7 +14,7 @@
 
 namespace dunlinknot::scheduler {
 
-using cluster::Booking;
+using cluster::Allocation;
 using cluster::Cluster;
 using cluster::Job;
 using cluster::Machine;
@@ -180,8 +180,8 @@
 
   void consider_array(const Waiting& w);
 
-  // Seconds of work booked ahead on a full machine: enough that the budget for writing bookings
-  // down is spent on many at a time, and that a task that ends is followed at once.
+  // Seconds of work allocated ahead on a full machine: enough that the budget for writing
+  // allocations down is spent on many at a time, and that a task that ends is followed at once.
   void place_ahead(const Waiting& w, uint32_t n);
 
   cluster::Turn absolute(cluster::Turn t) const;
@@ -234,7 +234,7 @@
   uint32_t place_ranked(const Job& j, uint32_t want, PlacementConstraints& constraints, double most,
                         uint32_t most_on_machine);
 
-  // How many of the job's tasks are booked on the machine.
+  // How many of the job's tasks are allocated on the machine.
   static uint32_t tasks_there(const Job& j, const Machine& h);
 
   // How many of a service's replicas are on machines that the cloud takes back.
@@ -281,7 +281,7 @@
   bool rent_gang(const Waiting& w, Lend lend);
 
   // Seconds until the task ends, as its owner reckons; what runs over may end at any time.
-  double ends_in(const Booking& b) const;
+  double ends_in(const Allocation& b) const;
 
   struct Place {
     double in = 0;  // seconds until a task has room there, by the estimates
--- a/src/dunlinknot/scheduler/scheduler.cpp
+++ b/src/dunlinknot/scheduler/scheduler.cpp
@@ -8,8 +8,8 @@
   switch (cause) {
     case WaitCause::team_limit:
       return "its team's limit";
-    case WaitCause::booked_ahead:
-      return "a task to end on the machine where it is booked";
+    case WaitCause::allocated_ahead:
+      return "a task to end on the machine where it is allocated";
     case WaitCause::machine_coming:
       return "a machine that is coming";
     case WaitCause::eviction:
--- a/src/dunlinknot/scheduler/scheduler.hpp
+++ b/src/dunlinknot/scheduler/scheduler.hpp
@@ -1,5 +1,5 @@
 // What should run where: a pure function of the cluster as it is known, the market and the time.
-// It decides; others book, rent and stop.
+// It decides; others allocate, rent and stop.
 #pragma once
 #include <set>
 #include <string>
@@ -35,7 +35,7 @@
   std::vector<uint64_t> ends_nominations;
 };
 
-// Tasks booked on a machine that is full: each starts when a task there ends.
+// Tasks allocated on a machine that is full: each starts when a task there ends.
 struct Ahead {
   std::string job;
   std::string machine;
@@ -66,12 +66,12 @@
 
 // What a job that has not begun waits for.
 enum class WaitCause : uint8_t {
-  team_limit,      // its team's limit is used up, or saved up for it
-  booked_ahead,    // a task to end on the machine where it is booked
-  machine_coming,  // a machine that boots or was asked for
-  eviction,        // tasks that are being stopped for it
-  room_kept,       // room is kept for it where tasks are to end
-  no_room,         // no allowed machine has room, and none can be rented
+  team_limit,       // its team's limit is used up, or saved up for it
+  allocated_ahead,  // a task to end on the machine where it is allocated
+  machine_coming,   // a machine that boots or was asked for
+  eviction,         // tasks that are being stopped for it
+  room_kept,        // room is kept for it where tasks are to end
+  no_room,          // no allowed machine has room, and none can be rented
 };
 std::string_view text(WaitCause cause);
 
--- a/src/dunlinknot/wire/records.hpp
+++ b/src/dunlinknot/wire/records.hpp
@@ -2,7 +2,7 @@
 //
 //   leader            lease-bound: who leads            epoch      the number of leaderships so far
 //   job/ID            an open job                       final/ID   how a job ended, kept forever
-//   done/ID/n         which tasks of chunk n are done   host/VM    what the leader booked on VM
+//   done/ID/n         which tasks of chunk n are done   host/VM    what the leader allocated on VM
 //   catalog           the machine types last seen
 #pragma once
 #include <map>
@@ -57,8 +57,8 @@
                              uint32_t storable = kChunkTasks);
 bool read_done_chunk(View v, uint32_t chunk, std::vector<bool>& into);
 
-// What is booked on a machine. Team and amounts stand here too, so that a booking still counts
-// against its team's limit when its job is over and its record gone.
+// What is allocated on a machine. Team and amounts stand here too, so that an allocation still
+// counts against its team's limit when its job is over and its record gone.
 struct MachineRecord {
   struct Group {
     std::string job;
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -1,4 +1,4 @@
-// The leader's view of the cluster: when a booking begins and, above all, when it ends.
+// The leader's view of the cluster: when an allocation begins and, above all, when it ends.
 #include "dunlinknot/cluster/cluster.hpp"
 
 #include <gtest/gtest.h>
@@ -43,19 +43,21 @@
     effects = Effects{};
     return c.on_report(b, now, may_start, effects).commands;
   }
-  TaskReport on(const Booking& b, TaskState s = TaskState::running,
+  TaskReport on(const Allocation& b, TaskState s = TaskState::running,
                 ExitCause cause = ExitCause::none) {
     return {b.task, b.attempt, s, cause, false};
   }
-  // Books one task of the job on vm-1 and makes it durable.
-  Booking& durable(Job& j, const std::string& vm = "vm-1") {
+  // Allocates one task of the job on vm-1 and makes it durable.
+  Allocation& durable(Job& j, const std::string& vm = "vm-1") {
     Machine& h = *c.find_machine(vm);
-    c.book(h, j, *j.take_pending(), c.next_attempt(), now);
+    c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);
     Effects n;
     c.machine_stored(h, c.record_of(h), ++stamp, n);
-    return h.bookings.back();
+    return h.allocations.back();
+  }
+  size_t allocated(const std::string& vm = "vm-1") {
+    return c.find_machine(vm)->allocations.size();
   }
-  size_t booked(const std::string& vm = "vm-1") { return c.find_machine(vm)->bookings.size(); }
 
   settings::Platform platform = test::Site::platform(0, 1);
   settings::Operator op;
@@ -65,11 +67,11 @@
   Effects effects;
 };
 
-TEST_F(ClusterTest, ARunGoesOutOnlyOnceItsBookingIsDurable) {
+TEST_F(ClusterTest, ARunGoesOutOnlyOnceItsAllocationIsDurable) {
   Job& j = add(job("run-000001", 2));
   send(report());
   Machine& h = *c.find_machine("vm-1");
-  c.book(h, j, *j.take_pending(), c.next_attempt(), now);
+  c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);
   EXPECT_TRUE(send(report()).empty());
   Effects n;
   c.machine_stored(h, c.record_of(h), 21, n);
@@ -89,9 +91,9 @@
   c.set_work_waits(true);
   EXPECT_FALSE(c.hear(report(), now, true, effects).run_soon) << "nothing changed there";
   Machine& h = *c.find_machine("vm-1");
-  c.book(h, j, *j.take_pending(), c.next_attempt(), now);
+  c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);
   const WorkerReport waiting = report();
-  EXPECT_TRUE(c.hear(waiting, now, true, effects).run_soon) << "its booking is being written";
+  EXPECT_TRUE(c.hear(waiting, now, true, effects).run_soon) << "its allocation is being written";
   Effects n;
   c.machine_stored(h, c.record_of(h), 21, n);
   EXPECT_TRUE(n.runs);
@@ -105,7 +107,7 @@
   EXPECT_EQ(c.orders(newer, now, true).kind, ReportResponse::Kind::stale) << "deleted meanwhile";
 }
 
-TEST_F(ClusterTest, ALostResponseIsSaidAgainAndTheBookingStays) {
+TEST_F(ClusterTest, ALostResponseIsSaidAgainAndTheAllocationStays) {
   Job& j = add(job("run-000001"));
   send(report());
   durable(j);
@@ -113,46 +115,46 @@
   const auto again = send(report());  // newer, and without the task: the response was dropped
   ASSERT_EQ(again.size(), 1u);
   EXPECT_EQ(again[0].op, Command::Op::start);
-  EXPECT_EQ(booked(), 1u);
+  EXPECT_EQ(allocated(), 1u);
 }
 
 TEST_F(ClusterTest, ALateReportChangesNothing) {
   Job& j = add(job("run-000001"));
   send(report());
   const WorkerReport late = report();
-  const Booking& b = durable(j);
+  const Allocation& b = durable(j);
   WorkerReport with = report();
   send(with);
   WorkerReport running = report();
   running.tasks = {on(b)};
   send(running);
   EXPECT_TRUE(send(late).empty());
-  EXPECT_EQ(booked(), 1u);
+  EXPECT_EQ(allocated(), 1u);
   WorkerReport old_session = late;
   old_session.session = 0;
   old_session.seq = 1000;
   EXPECT_TRUE(send(old_session).empty());
-  EXPECT_EQ(booked(), 1u);
+  EXPECT_EQ(allocated(), 1u);
 }
 
-TEST_F(ClusterTest, ATaskThatVanishesEndsItsBookingOnlyUnderOurBaton) {
+TEST_F(ClusterTest, ATaskThatVanishesEndsItsAllocationOnlyUnderOurBaton) {
   Job& j = add(job("run-000001"));
   send(report());
-  const Booking& b = durable(j);
+  const Allocation& b = durable(j);
   send(report());
   WorkerReport running = report();
   running.tasks = {on(b)};
   send(running);
   token = 4;  // an older leader's token: its commands may still count there
   send(report());
-  EXPECT_EQ(booked(), 1u);
+  EXPECT_EQ(allocated(), 1u);
   token = 5;
   send(report());
-  EXPECT_EQ(booked(), 0u);
+  EXPECT_EQ(allocated(), 0u);
   EXPECT_EQ(j.pending(), 1u);
 }
 
-TEST_F(ClusterTest, InheritedBookingsStayUntilAReportBearsOurBaton) {
+TEST_F(ClusterTest, InheritedAllocationsStayUntilAReportBearsOurBaton) {
   Job& j = add(job("run-000001", 2));
   wire::MachineRecord r{
       "box", "a", "10.0.0.1:9000", false, {{"run-000001", "red", {2, 0, 4}, false, {{0, 3}}}}};
@@ -161,10 +163,10 @@
   EXPECT_EQ(j.pending(), 1u) << "task 0 may run there and may not be started elsewhere";
   token = 4;
   send(report());
-  EXPECT_EQ(booked(), 1u) << "the former leader's `run` may still arrive";
+  EXPECT_EQ(allocated(), 1u) << "the former leader's `run` may still arrive";
   token = 5;
   send(report());
-  EXPECT_EQ(booked(), 0u);
+  EXPECT_EQ(allocated(), 0u);
   EXPECT_EQ(j.pending(), 2u);
 }
 
@@ -176,10 +178,10 @@
   const Instant answered = now;
   now = answered + seconds(14);
   c.expire(now);
-  EXPECT_EQ(booked(), 1u) << "clocks drift: not on the second";
+  EXPECT_EQ(allocated(), 1u) << "clocks drift: not on the second";
   now = answered + leadership::lease_bound(platform);
   c.expire(now);
-  EXPECT_EQ(booked(), 0u);
+  EXPECT_EQ(allocated(), 0u);
   EXPECT_TRUE(c.find_machine("vm-1")->lost);
   // A report of the old session that was held up on its way brings nothing back.
   EXPECT_EQ(c.on_report(report(), now, true, effects).kind, ReportResponse::Kind::stale);
@@ -195,9 +197,9 @@
   c.load_machine("vm-1", r, 7, now);
   const Nanos wait = leadership::blind_window(platform) + leadership::lease_bound(platform);
   c.expire(now + wait - Millis(1));
-  EXPECT_EQ(booked(), 1u);
+  EXPECT_EQ(allocated(), 1u);
   c.expire(now + wait + seconds(1));
-  EXPECT_EQ(booked(), 0u);
+  EXPECT_EQ(allocated(), 0u);
   // blind window + lease + margin stay inside the time a cancellation has.
   EXPECT_LT(wait + seconds(1), to_nanos(platform.cancel));
 }
@@ -222,14 +224,14 @@
   session = 2;
   seq = 0;
   EXPECT_TRUE(send(report()).empty());
-  EXPECT_EQ(booked(), 0u);
+  EXPECT_EQ(allocated(), 0u);
   EXPECT_EQ(j.pending(), 2u);
 }
 
 TEST_F(ClusterTest, ADoneTaskIsForgottenOnlyWhenItsCompletionIsDurable) {
   Job& j = add(job("run-000001", 2));
   send(report());
-  const Booking b = durable(j);
+  const Allocation b = durable(j);
   send(report());
   WorkerReport ended = report();
   ended.tasks = {on(b, TaskState::exited, ExitCause::done)};
@@ -243,17 +245,17 @@
   EXPECT_EQ(orders[0].op, Command::Op::forget);
 }
 
-TEST_F(ClusterTest, ACancelledJobIsStoppedEverywhereAndStaysBookedUntilGone) {
+TEST_F(ClusterTest, ACancelledJobIsStoppedEverywhereAndStaysAllocatedUntilGone) {
   Job& j = add(job("run-000001", 3));
   send(report());
-  const Booking running = durable(j);
+  const Allocation running = durable(j);
   send(report());
   WorkerReport b = report();
   b.tasks = {on(running)};
   send(b);
   durable(j);  // its run has not gone out
   c.close_job("run-000001", true, now);
-  EXPECT_EQ(booked(), 1u);
+  EXPECT_EQ(allocated(), 1u);
   EXPECT_EQ(c.usage(0).used.cpus, 2) << "its team's limit counts it until it is gone";
   const auto calls = c.take_stop_calls();
   ASSERT_EQ(calls.size(), 1u);
@@ -263,7 +265,7 @@
   ASSERT_EQ(orders.size(), 1u);
   EXPECT_EQ(orders[0].op, Command::Op::stop);
   send(report());
-  EXPECT_EQ(booked(), 0u);
+  EXPECT_EQ(allocated(), 0u);
   EXPECT_EQ(c.usage(0).used.cpus, 0);
 }
 
@@ -274,10 +276,10 @@
   ASSERT_EQ(orders.size(), 1u);
   EXPECT_EQ(orders[0].op, Command::Op::stop);
   EXPECT_EQ(orders[0].grace, Seconds(0));
-  EXPECT_EQ(booked(), 1u);
+  EXPECT_EQ(allocated(), 1u);
 }
 
-TEST_F(ClusterTest, AGangStartsWhenAllItsBookingsStandAndBreaksAsAWhole) {
+TEST_F(ClusterTest, AGangStartsWhenAllItsAllocationsStandAndBreaksAsAWhole) {
   JobSpec g = job("run-000001", 2);
   g.gang = true;
   Job& j = add(g);
@@ -286,16 +288,16 @@
   const uint64_t attempt = c.next_attempt();
   Machine& h1 = *c.find_machine("vm-1");
   Machine& h2 = *c.find_machine("vm-2");
-  c.book(h1, j, *j.take_pending(), attempt, now);
-  c.book(h2, j, *j.take_pending(), attempt, now);
+  c.allocate(h1, j, *j.take_pending(), attempt, now);
+  c.allocate(h2, j, *j.take_pending(), attempt, now);
   Effects n;
   c.machine_stored(h1, c.record_of(h1), 21, n);
-  EXPECT_TRUE(send(report("vm-1")).empty()) << "the other booking does not stand yet";
+  EXPECT_TRUE(send(report("vm-1")).empty()) << "the other allocation does not stand yet";
   c.machine_stored(h2, c.record_of(h2), 22, n);
   EXPECT_EQ(send(report("vm-1")).size(), 1u);
   EXPECT_EQ(send(report("vm-2")).size(), 1u);
   WorkerReport b1 = report("vm-1");
-  b1.tasks = {on(h1.bookings[0], TaskState::waiting)};
+  b1.tasks = {on(h1.allocations[0], TaskState::waiting)};
   send(b1);
   // One machine goes: the rest is stopped at once, and nothing starts before all of it is gone.
   c.remove_machine("vm-2", now);
@@ -314,7 +316,7 @@
     const std::string vm = "vm-" + std::to_string(i);
     for (int k = 0; k < 3; ++k) {
       send(report(vm));
-      const Booking b = durable(j, vm);
+      const Allocation b = durable(j, vm);
       send(report(vm));
       WorkerReport ended = report(vm);
       ended.tasks = {on(b, TaskState::exited, ExitCause::error)};
@@ -329,14 +331,14 @@
 TEST_F(ClusterTest, AMachineFailingWhatOthersCompleteIsDrained) {
   Job& j = add(job("run-000001", 10));
   send(report("vm-2"));
-  const Booking fine = durable(j, "vm-2");
+  const Allocation fine = durable(j, "vm-2");
   send(report("vm-2"));
   WorkerReport ok = report("vm-2");
   ok.tasks = {on(fine, TaskState::exited, ExitCause::done)};
   send(ok);
   for (int k = 0; k < 3; ++k) {
     send(report());
-    const Booking b = durable(j);
+    const Allocation b = durable(j);
     send(report());
     WorkerReport ended = report();
     ended.tasks = {on(b, TaskState::exited, ExitCause::error)};
@@ -347,22 +349,23 @@
 }
 
 TEST_F(ClusterTest, WhatWasNotSentToAMachineThatWillNotGetItGoesElsewhere) {
-  // Found on days of our own: a job waited for good beside free machines, for a booking that was
-  // durable, and unsent, when its machine was drained. So with one that is unreachable, or silent.
+  // Found on days of our own: a job waited for good beside free machines, for an allocation that
+  // was durable, and unsent, when its machine was drained. So with one that is unreachable, or
+  // silent.
   for (const int why : {0, 1, 2, 3}) {
     const std::string vm = "vm-" + std::to_string(why + 1);
     Job& j = add(job("run-00000" + std::to_string(why + 1), 2));
     send(report(vm));
     durable(j, vm);
     Machine& h = *c.find_machine(vm);
-    c.book(h, j, *j.take_pending(), c.next_attempt(), now);  // not even written down
+    c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);  // not even written down
     if (why == 0) h.draining = true;
     if (why == 1) h.unreachable = true;
     if (why == 2) h.deleting = true;
     if (why == 3) now += seconds(5);
     const Effects n = c.tick(now);
     EXPECT_TRUE(n.schedule);
-    EXPECT_EQ(booked(vm), 0u) << why;
+    EXPECT_EQ(allocated(vm), 0u) << why;
     EXPECT_EQ(j.pending(), 2u) << why;
   }
 }
@@ -378,7 +381,7 @@
   s.save = Seconds(3);
   Job& j = add(s);
   send(report());
-  const Booking b = durable(j);
+  const Allocation b = durable(j);
   send(report());
   WorkerReport r = report();
   r.tasks = {on(b)};
@@ -402,12 +405,12 @@
   const uint64_t attempt = c.next_attempt();
   for (const char* vm : {"vm-1", "vm-2"}) {
     send(report(vm));
-    Booking& b = *c.book(*c.find_machine(vm), j, *j.take_pending(), attempt, now);
+    Allocation& b = *c.allocate(*c.find_machine(vm), j, *j.take_pending(), attempt, now);
     b.phase = Phase::seen;
     b.state = TaskState::running;
   }
   WorkerReport r = report("vm-1");
-  r.tasks = {on(c.find_machine("vm-1")->bookings[0])};
+  r.tasks = {on(c.find_machine("vm-1")->allocations[0])};
   r.notice = Seconds(6);
   send(r);
   c.tick(now);
@@ -436,7 +439,7 @@
     return c.record_size(h) + cost.group + cost.task <= c.record_limit();
   };
   while (room_for_one_more() && n < 10'000) {
-    c.book(h, j, *j.take_pending(), c.next_attempt(), now);
+    c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);
     ++n;
   }
   EXPECT_GT(n, 50u);
@@ -458,9 +461,9 @@
   JobSpec big = job("run-000002", 1);
   big.need = {8, 0, 4};
   Job& whole = add(big);
-  const Booking first = durable(whole);
-  c.book_ahead(h, j, *j.take_pending(), c.next_attempt(), {0, 1}, now);
-  c.book_ahead(h, j, *j.take_pending(), c.next_attempt(), {0, 0}, now);
+  const Allocation first = durable(whole);
+  c.allocate_ahead(h, j, *j.take_pending(), c.next_attempt(), {0, 1}, now);
+  c.allocate_ahead(h, j, *j.take_pending(), c.next_attempt(), {0, 0}, now);
   Effects n;
   c.machine_stored(h, c.record_of(h), ++stamp, n);
   EXPECT_EQ(h.used.cpus, 8) << "what waits takes no room";
@@ -501,7 +504,7 @@
   send(report());
   Machine& h = *c.find_machine("vm-1");
   for (int i = 0; i < 3; ++i) {
-    c.book_ahead(h, j, *j.take_pending(), c.next_attempt(), {}, now);
+    c.allocate_ahead(h, j, *j.take_pending(), c.next_attempt(), {}, now);
   }
   Effects n;
   c.machine_stored(h, c.record_of(h), ++stamp, n);
@@ -515,7 +518,7 @@
   Job& j = add(job("run-000001", 2));
   send(report());
   Machine& h = *c.find_machine("vm-1");
-  c.book_ahead(h, j, *j.take_pending(), c.next_attempt(), {}, now);
+  c.allocate_ahead(h, j, *j.take_pending(), c.next_attempt(), {}, now);
   EXPECT_EQ(j.pending(), 1u);
   now += seconds(1);
   c.tick(now);
@@ -523,15 +526,15 @@
   now += seconds(5);
   c.tick(now);
   EXPECT_EQ(j.pending(), 2u) << "its run never went out, so it may go elsewhere at once";
-  EXPECT_TRUE(h.bookings.empty());
+  EXPECT_TRUE(h.allocations.empty());
 }
 
 TEST_F(ClusterTest, ACopyOfAnAnsweredReportIsNoSignOfLife) {
   // Copies of reports may come seconds or more than a lease late. One kept a dead machine's
-  // bookings, because whatever was answered counted as a renewal.
+  // allocations, because whatever was answered counted as a renewal.
   Job& j = add(job("run-000001"));
   send(report());
-  const Booking& b = durable(j);
+  const Allocation& b = durable(j);
   const WorkerReport answered = report();
   send(answered);
   WorkerReport running = report();
@@ -544,7 +547,7 @@
     c.expire(now);
   }
   EXPECT_TRUE(c.find_machine("vm-1")->lost);
-  EXPECT_EQ(booked(), 0u);
+  EXPECT_EQ(allocated(), 0u);
   // And it stays lost, however many copies come.
   EXPECT_EQ(c.on_report(running, now, true, effects).kind, ReportResponse::Kind::stale);
   EXPECT_TRUE(c.find_machine("vm-1")->lost);
@@ -562,9 +565,9 @@
     now += Millis(1500);
   }
   EXPECT_EQ(c.unreachable_machines(), std::vector<std::string>{"vm-1"});
-  EXPECT_EQ(booked(), 1u) << "its booking ends safely only with the machine";
+  EXPECT_EQ(allocated(), 1u) << "its allocation ends safely only with the machine";
   c.tick(now);
-  EXPECT_EQ(booked(), 1u);
+  EXPECT_EQ(allocated(), 1u);
   c.remove_machine("vm-1", now);
   EXPECT_EQ(j.pending(), 1u);
 }
@@ -599,7 +602,7 @@
 TEST_F(ClusterTest, AMachineThatObeysLateIsNotTakenForDeaf) {
   Job& j = add(job("run-000001"));
   send(report());
-  const Booking& b = durable(j);
+  const Allocation& b = durable(j);
   for (int i = 0; i < 2; ++i) {
     send(report());
     now += seconds(5);
@@ -631,7 +634,7 @@
 TEST_F(ClusterTest, AMachineBackWithinAFractionOfASecondHasANewSessionAndNoTasks) {
   Job& j = add(job("run-000001"));
   send(report());
-  const Booking& b = durable(j);
+  const Allocation& b = durable(j);
   send(report());
   WorkerReport running = report();
   running.tasks = {on(b)};
@@ -640,10 +643,10 @@
   ++session;
   seq = 0;
   send(report());
-  EXPECT_EQ(booked(), 0u);
+  EXPECT_EQ(allocated(), 0u);
   EXPECT_EQ(j.pending(), 1u);
   EXPECT_TRUE(send(running).empty()) << "a copy from its former life";
-  EXPECT_EQ(booked(), 0u);
+  EXPECT_EQ(allocated(), 0u);
 }
 
 }  // namespace
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -90,7 +90,7 @@
   static std::string id(size_t n) { return "run-00" + std::to_string(1000 + n); }
 };
 
-TEST_F(LowerLimits, FallBetweenAnyTwoStepsOfAGangsBookings) {
+TEST_F(LowerLimits, FallBetweenAnyTwoStepsOfAGangsAllocations) {
   for (const auto after :
        {Millis(0), Millis(20), Millis(60), Millis(200), Millis(1000), Millis(4000)}) {
     s.state.limits.reset();
@@ -161,7 +161,7 @@
     EXPECT_EQ(s.standing(id(n), *s.leader()), "done") << id(n);
   }
   EXPECT_LT(s.state.malformed, 10u);
-  EXPECT_FALSE(s.state.data.contains("host/vm-old")) << "nothing is booked there any more";
+  EXPECT_FALSE(s.state.data.contains("host/vm-old")) << "nothing is allocated there any more";
   expect_rules(s);
 }
 
@@ -174,9 +174,9 @@
   EXPECT_GE((c.record_limit() - frame) / (cost.group + cost.task), kLeastJobs);
 }
 
-TEST_F(LowerLimits, ALargeJobsProgressDoesNotCrowdOutBookings) {
+TEST_F(LowerLimits, ALargeJobsProgressDoesNotCrowdOutAllocations) {
   // On partsgrid-bc-next the first jobs had new progress before the last were reached, and no
-  // booking was written for half a minute. Here workers report in step and leave pauses: this
+  // allocation was written for half a minute. Here workers report in step and leave pauses: this
   // passes without the pacing of each batch too, so only the bench's day shows that fault.
   for (size_t n = 0; n < 12; ++n) {
     JobSpec array = job(id(n), 400);
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -1,4 +1,4 @@
-// Where the tasks of one job may go, and what happens to bookings that would break that.
+// Where the tasks of one job may go, and what happens to allocations that would break that.
 #include "dunlinknot/cluster/placement_constraints.hpp"
 
 #include <limits>
@@ -75,8 +75,8 @@
   EXPECT_TRUE(kind_allowed(spec, "rig", "b", false));
 }
 
-struct BookingConstraints : test::ZonedCluster {
-  // A report that lists one task, running, whose booking nobody made.
+struct AllocationConstraints : test::ZonedCluster {
+  // A report that lists one task, running, whose allocation nobody made.
   WorkerReport with_orphan(const std::string& id, const std::string& zone, uint32_t index) {
     WorkerReport out = report(id, zone);
     out.tasks.push_back({{"run-000001", index}, 77, TaskState::running, ExitCause::none, false});
@@ -92,72 +92,72 @@
   }
 };
 
-TEST_F(BookingConstraints, ABookingInAnotherZoneIsRefusedAndCounted) {
+TEST_F(AllocationConstraints, AnAllocationInAnotherZoneIsRefusedAndCounted) {
   Job& j = add(zoned(2, true, false));
-  book(j, add_machine("vm-1", "a"));
+  allocate(j, add_machine("vm-1", "a"));
   Machine& other = add_machine("vm-2", "b");
-  EXPECT_EQ(cluster.book(other, j, *j.take_pending(), cluster.next_attempt(), now), nullptr);
-  EXPECT_TRUE(other.bookings.empty());
-  EXPECT_EQ(cluster.refused_bookings(), 1u);
+  EXPECT_EQ(cluster.allocate(other, j, *j.take_pending(), cluster.next_attempt(), now), nullptr);
+  EXPECT_TRUE(other.allocations.empty());
+  EXPECT_EQ(cluster.refused_allocations(), 1u);
   EXPECT_EQ(j.pending(), 1u);
-  EXPECT_EQ(j.take_pending(), 1u) << "it can be booked elsewhere";
+  EXPECT_EQ(j.take_pending(), 1u) << "it can be allocated elsewhere";
 }
 
-TEST_F(BookingConstraints, ABookingAheadInAnotherZoneIsRefused) {
+TEST_F(AllocationConstraints, AnAllocationAheadInAnotherZoneIsRefused) {
   Job& j = add(zoned(2, true, false));
-  book(j, add_machine("vm-1", "a"));
+  allocate(j, add_machine("vm-1", "a"));
   Machine& other = add_machine("vm-2", "b");
-  EXPECT_EQ(cluster.book_ahead(other, j, *j.take_pending(), cluster.next_attempt(), {}, now),
+  EXPECT_EQ(cluster.allocate_ahead(other, j, *j.take_pending(), cluster.next_attempt(), {}, now),
             nullptr);
-  EXPECT_EQ(cluster.refused_bookings(), 1u);
+  EXPECT_EQ(cluster.refused_allocations(), 1u);
 }
 
-TEST_F(BookingConstraints, ABookingOnAKindOfMachineThatIsNotAllowedIsRefused) {
+TEST_F(AllocationConstraints, AnAllocationOnAKindOfMachineThatIsNotAllowedIsRefused) {
   JobSpec spec = zoned(1, false, false);
   spec.types = {"crate"};
   Job& j = add(spec);
-  EXPECT_EQ(cluster.book(add_machine("vm-1", "a"), j, *j.take_pending(), 1, now), nullptr);
-  EXPECT_EQ(cluster.refused_bookings(), 1u);
+  EXPECT_EQ(cluster.allocate(add_machine("vm-1", "a"), j, *j.take_pending(), 1, now), nullptr);
+  EXPECT_EQ(cluster.refused_allocations(), 1u);
 }
 
-// A booking stands and is about to be sent when a task of the job turns up in another zone.
-TEST_F(BookingConstraints, WhatMayNotStartBesideAnOrphanIsUndone) {
+// An allocation stands and is about to be sent when a task of the job turns up in another zone.
+TEST_F(AllocationConstraints, WhatMayNotStartBesideAnOrphanIsUndone) {
   Job& j = add(zoned(2, true, false));
-  book(j, add_machine("vm-1", "a"));
+  allocate(j, add_machine("vm-1", "a"));
   EXPECT_FALSE(stops_any(send(with_orphan("vm-2", "b", 1)))) << "it is there, and may stay";
   EXPECT_FALSE(starts_any(send(report("vm-1", "a"))));
-  EXPECT_TRUE(cluster.find_machine("vm-1")->bookings.empty());
+  EXPECT_TRUE(cluster.find_machine("vm-1")->allocations.empty());
   EXPECT_EQ(j.pending(), 1u);
 }
 
-TEST_F(BookingConstraints, WhatMayStartBesideAnOrphanStays) {
+TEST_F(AllocationConstraints, WhatMayStartBesideAnOrphanStays) {
   Job& j = add(zoned(2, true, false));
-  book(j, add_machine("vm-1", "a"));
+  allocate(j, add_machine("vm-1", "a"));
   send(with_orphan("vm-2", "a", 1));
   EXPECT_TRUE(starts_any(send(report("vm-1", "a"))));
 }
 
-TEST_F(BookingConstraints, TheTaskThatAnOrphanIsDoesNotStartElsewhere) {
+TEST_F(AllocationConstraints, TheTaskThatAnOrphanIsDoesNotStartElsewhere) {
   Job& j = add(zoned(1, false, false));
-  book(j, add_machine("vm-1", "a"));
+  allocate(j, add_machine("vm-1", "a"));
   EXPECT_TRUE(stops_any(send(with_orphan("vm-2", "a", 0))));
   EXPECT_FALSE(starts_any(send(report("vm-1", "a")))) << "not before the orphan is gone";
 }
 
-TEST_F(BookingConstraints, AnOrphanInAnotherZoneThanTheJobsTasksIsStopped) {
+TEST_F(AllocationConstraints, AnOrphanInAnotherZoneThanTheJobsTasksIsStopped) {
   Job& j = add(zoned(2, true, false));
   run(j, add_machine("vm-1", "a"));
   EXPECT_TRUE(stops_any(send(with_orphan("vm-2", "b", 1))));
 }
 
-TEST_F(BookingConstraints, AnOrphanOfAGangBreaksTheAttemptThatIsAboutToStart) {
+TEST_F(AllocationConstraints, AnOrphanOfAGangBreaksTheAttemptThatIsAboutToStart) {
   JobSpec gang = zoned(2, true, false);
   gang.gang = true;
   Job& j = add(gang);
   const uint64_t attempt = cluster.next_attempt();
   Machine& a = add_machine("vm-1", "a");
-  book(j, a, attempt);
-  book(j, a, attempt);
+  allocate(j, a, attempt);
+  allocate(j, a, attempt);
   ASSERT_TRUE(j.gang_go);
   EXPECT_TRUE(stops_any(send(with_orphan("vm-2", "b", 1))));
   EXPECT_FALSE(starts_any(send(report("vm-1", "a"))));
@@ -166,7 +166,7 @@
   EXPECT_FALSE(j.any_live());
 }
 
-TEST_F(BookingConstraints, BookingsThatAreOlderThanTheRecordOfTheirJobCount) {
+TEST_F(AllocationConstraints, AllocationsThatAreOlderThanTheRecordOfTheirJobCount) {
   send(with_orphan("vm-2", "b", 1));
   JobSpec gang = zoned(2, true, false);
   gang.gang = true;
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -7,7 +7,7 @@
 namespace dunlinknot::preemption {
 namespace {
 
-using cluster::Booking;
+using cluster::Allocation;
 using cluster::Cluster;
 using cluster::Effects;
 using cluster::Job;
@@ -50,8 +50,8 @@
     c.load_job({s, WallTime(Millis(seq++))}, 10, now);
     return *c.job(id);
   }
-  Booking& run(Job& j, Machine& h) {
-    Booking& b = *c.book(h, j, *j.take_pending(), c.next_attempt(), now);
+  Allocation& run(Job& j, Machine& h) {
+    Allocation& b = *c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);
     b.phase = Phase::seen;
     b.state = TaskState::running;
     b.running_since = now;
@@ -83,7 +83,7 @@
     b.session = 1;
     b.seq = seq = std::max(seq, h.seq) + 1;
     b.token = 1;
-    for (const Booking& k : h.bookings) {
+    for (const Allocation& k : h.allocations) {
       if (!k.stopping()) b.tasks.push_back({k.task, k.attempt, TaskState::running, {}, false});
     }
     Effects effects;
@@ -154,7 +154,7 @@
   EXPECT_TRUE(plan().evictions.empty()) << "a gang does not preempt";
 }
 
-TEST_F(PreemptionTest, NoSecondPreemptionWhileAVictimIsBooked) {
+TEST_F(PreemptionTest, NoSecondPreemptionWhileAVictimIsAllocated) {
   Machine& h = *c.find_machine("vm-1");
   run(add("run-000001", Priority::low, 8), h);
   Machine& other = machine("vm-2");
@@ -176,7 +176,7 @@
   add("run-000002", Priority::normal, 6);
   carry_out(plan());
   victims_gone(h);
-  ASSERT_TRUE(h.bookings.empty());
+  ASSERT_TRUE(h.allocations.empty());
   c.job("run-000002")->not_before = now + seconds(5);  // the preemptor is not tried this round
   c.job("run-000001")->not_before = now + seconds(5);
   add("run-000003", Priority::normal, 4);
@@ -252,7 +252,7 @@
 
 TEST_F(PreemptionTest, AFailedStopCallEndsTheNominationAndFreesTheVictims) {
   Machine& h = *c.find_machine("vm-1");
-  const Booking& b = run(add("run-000001", Priority::low, 8), h);
+  const Allocation& b = run(add("run-000001", Priority::low, 8), h);
   const Victim v{b.task, b.attempt};
   add("run-000002", Priority::high, 4);
   carry_out(plan());
@@ -306,14 +306,14 @@
 }
 
 TEST_F(PreemptionTest, AVictimWhoseRunNeverWentOutIsUndoneAtOnce) {
-  // Found on a quiet day: such a booking counted as being stopped for ever, and its machine with
-  // it.
+  // Found on a quiet day: such an allocation counted as being stopped for ever, and its machine
+  // with it.
   Machine& h = *c.find_machine("vm-1");
   Job& low = add("run-000001", Priority::low, 8);
-  const Booking b = *c.book(h, low, *low.take_pending(), c.next_attempt(), now);
+  const Allocation b = *c.allocate(h, low, *low.take_pending(), c.next_attempt(), now);
   const auto effects = c.preempt(h, b.task, b.attempt, now);
   EXPECT_TRUE(effects.schedule);
-  EXPECT_TRUE(h.bookings.empty());
+  EXPECT_TRUE(h.allocations.empty());
   EXPECT_EQ(low.pending(), 1u);
 }
 
--- a/tests/random_placements_test.cpp
+++ b/tests/random_placements_test.cpp
@@ -14,7 +14,7 @@
 
   // Nominations over all processes of all controllers, those that crashed too.
   struct Preemptions {
-    uint64_t made = 0, used = 0, cleared = 0, refused_bookings = 0;
+    uint64_t made = 0, used = 0, cleared = 0, refused_allocations = 0;
   };
   Preemptions preemptions() {
     Preemptions sum;
@@ -24,7 +24,7 @@
           sum.made += state.nominations.made();
           sum.used += state.nominations.ended(preemption::End::placed);
           sum.cleared += state.nominations.ended(preemption::End::cleared);
-          sum.refused_bookings += state.cluster.refused_bookings();
+          sum.refused_allocations += state.cluster.refused_allocations();
         });
       }
     }
@@ -121,12 +121,12 @@
     sum.made += p.made;
     sum.used += p.used;
     sum.cleared += p.cleared;
-    sum.refused_bookings += p.refused_bookings;
+    sum.refused_allocations += p.refused_allocations;
     zone_bound_jobs += scenario.zone_bound_jobs;
     lost_machines += scenario.lost_machines;
     services += scenario.services;
   }
-  EXPECT_EQ(sum.refused_bookings, 0u) << "a plan broke its job's constraints";
+  EXPECT_EQ(sum.refused_allocations, 0u) << "a plan broke its job's constraints";
   // A generator that evicts nobody would show nothing.
   EXPECT_GT(sum.made, kScenarios);
   EXPECT_GT(sum.used, kScenarios / 2);
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -216,8 +216,8 @@
     c.load_job({std::move(spec), wall}, 10, now);
     return *c.job(id);
   }
-  cluster::Booking& run(cluster::Machine& h, cluster::Job& j) {
-    cluster::Booking& b = *c.book(h, j, *j.take_pending(), c.next_attempt(), now);
+  cluster::Allocation& run(cluster::Machine& h, cluster::Job& j) {
+    cluster::Allocation& b = *c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);
     b.phase = cluster::Phase::seen;
     b.state = TaskState::running;
     b.running_since = now;
@@ -262,7 +262,7 @@
 TEST_F(ReplicaDecisions, AReplicaIsNoVictimOfAnEqualAndCostsItsGapHoweverLongItRan) {
   cluster::Machine& h = machine("vm-1");
   cluster::Job& api = add(service("run-000001", 1));
-  const cluster::Booking& b = run(h, api);
+  const cluster::Allocation& b = run(h, api);
   const double soon = preemption::lost_work(b, &api, now);
   EXPECT_EQ(preemption::lost_work(b, &api, now + std::chrono::hours(5)), soon);
   EXPECT_GT(soon, 0);
@@ -303,7 +303,7 @@
   EXPECT_TRUE(api.release_held_back(now + seconds(5)));
   EXPECT_EQ(api.take_pending(), 0u);
   api.hold_back(1, now + seconds(5));
-  api.booked(1);  // found on a machine meanwhile
+  api.add_allocation(1);  // found on a machine meanwhile
   EXPECT_EQ(api.pending(), 1u);
   EXPECT_FALSE(api.any_held_back());
 }
@@ -320,12 +320,12 @@
   alive.session = 1;
   alive.seq = ++seq;
   alive.token = 1;
-  alive.tasks = {{sound.bookings[0].task, sound.bookings[0].attempt, TaskState::running}};
+  alive.tasks = {{sound.allocations[0].task, sound.allocations[0].attempt, TaskState::running}};
   (void)c.on_report(alive, now, false, effects);
   EXPECT_TRUE(api.proven);
   for (int n = 1; n <= 5; ++n) {
     cluster::Machine& sick = machine("vm-" + std::to_string(n));
-    const cluster::Booking& b = run(sick, api);
+    const cluster::Allocation& b = run(sick, api);
     WorkerReport failed = alive;
     failed.machine = sick.id;
     failed.seq = ++seq;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,5 @@
 // About 4,000 machines: lists over several pages, answers at the bounds of what a controller takes,
-// a take-over with 100,000 bookings, and the end of the largest job that there can be.
+// a take-over with 100,000 allocations, and the end of the largest job that there can be.
 #include <gtest/gtest.h>
 
 #include "support.hpp"
@@ -27,9 +27,9 @@
   });
 }
 
-size_t bookings(Site& site) {
+size_t allocations(Site& site) {
   return site.daemon(*site.leader()).context().leader_state.with([](cluster::LeaderState& p) {
-    return p.cluster.booking_count();
+    return p.cluster.allocation_count();
   });
 }
 
@@ -164,10 +164,10 @@
   Site& site = cluster.site;
   site.run_for(seconds(5));
   ASSERT_TRUE(site.leader().has_value());
-  EXPECT_EQ(bookings(site), kMaxTasks);
+  EXPECT_EQ(allocations(site), kMaxTasks);
   for (size_t i = 0; i < site.nodes.size(); ++i) site.restart(i);
   site.run_for(seconds(5));
-  EXPECT_EQ(bookings(site), kMaxTasks) << "after a restart of all controllers";
+  EXPECT_EQ(allocations(site), kMaxTasks) << "after a restart of all controllers";
   EXPECT_EQ(cluster.running(), kMaxTasks);
   EXPECT_EQ(site.starts, 0u) << "what runs is not started again";
 
--- a/tests/scenario_api_test.cpp
+++ b/tests/scenario_api_test.cpp
@@ -179,11 +179,11 @@
   for (const auto& [key, e] : s.state.data) EXPECT_FALSE(key.starts_with("done/")) << key;
 }
 
-TEST(Jobs, ACancellationBeatsABookingThatIsUnderWay) {
+TEST(Jobs, ACancellationBeatsAnAllocationThatIsUnderWay) {
   Site s(1);
   s.run_for(seconds(2));
   s.submit(job("run-000001", 2));
-  // The cancellation lands between the decision and the transaction that books it.
+  // The cancellation lands between the decision and the transaction that allocates it.
   bool done = false;
   s.state.fate = [&](const http::Call& c) {
     if (!done && is_commit_of(c, "host/")) {
--- a/tests/scenario_machines_test.cpp
+++ b/tests/scenario_machines_test.cpp
@@ -74,7 +74,7 @@
   EXPECT_EQ(s.copies({"run-000001", 1}), 0u);
 }
 
-TEST(Ledger, BookingsSurviveLostRepliesAndLateTransactions) {
+TEST(Ledger, AllocationsSurviveLostRepliesAndLateTransactions) {
   for (const Fate f : {Fate::lose_reply, Fate::lose_request, Fate::apply_late}) {
     Site s(1);
     s.run_for(seconds(2));
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -1,7 +1,7 @@
 // Random clusters, several rounds in a row with the plans carried out: whatever is planned and
 // whatever starts keeps to the jobs' constraints, the teams' limits and the machines' room. The
 // judges are independent of the scheduler: the checker of rules.hpp for what starts, and counts of
-// their own over the bookings for what is planned.
+// their own over the allocations for what is planned.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -12,7 +12,7 @@
 namespace dunlinknot::scheduler {
 namespace {
 
-using cluster::Booking;
+using cluster::Allocation;
 using cluster::Effects;
 using cluster::Job;
 using cluster::Machine;
@@ -85,7 +85,7 @@
     tally_.used += state_.nominations.ended(End::placed);
     tally_.cleared += state_.nominations.ended(End::cleared);
     for (const auto& broken : rules_.broken()) ADD_FAILURE() << broken;
-    EXPECT_EQ(state_.cluster.refused_bookings(), 0u) << "a plan broke its job's constraints";
+    EXPECT_EQ(state_.cluster.refused_allocations(), 0u) << "a plan broke its job's constraints";
   }
   bool failed() const { return failed_ || !rules_.broken().empty(); }
 
@@ -290,18 +290,18 @@
     check_promises(decided);
   }
 
-  // Every booking of a job that got one in this round.
+  // Every allocation of a job that got one in this round.
   void check_job(const std::string& id) {
     const JobSpec& spec = open_.at(id);
     std::map<std::string, uint32_t> zones;
     std::set<uint32_t> indices;
     Resources team;
     for (const auto& [name, h] : state_.cluster.machines()) {
-      for (const Booking& b : h->bookings) {
+      for (const Allocation& b : h->allocations) {
         if (b.team_name == spec.team && !b.ahead) team += b.need;
         if (b.task.job != id) continue;
         ++zones[h->zone];
-        expect(indices.insert(b.task.index).second, "booked twice: " + b.task.text());
+        expect(indices.insert(b.task.index).second, "allocated twice: " + b.task.text());
         expect(!spec.zone || *spec.zone == h->zone, "zone of " + b.task.text());
         expect(spec.spot || !h->spot, "spot machine for " + b.task.text());
         expect(spec.types.empty() || spec.types[0] == h->type, "type for " + b.task.text());
@@ -313,7 +313,7 @@
     }
     for (const auto& t : platform_.teams) {
       if (t.name != spec.team) continue;
-      // Bookings that a former leader made ahead count too, so a team may be beyond its limit in
+      // Allocations that a former leader made ahead count too, so a team may be beyond its limit in
       // what the job does not use.
       expect(team.cpus <= t.cpus_max + 1e-6, "cpus of team " + t.name + " with " + id);
       expect(spec.need.gpus <= 0 || team.gpus <= t.gpus_max + 1e-6,
@@ -324,7 +324,7 @@
   void check_machine(const std::string& id) {
     const Machine& h = *state_.cluster.find_machine(id);
     Resources used;
-    for (const Booking& b : h.bookings) {
+    for (const Allocation& b : h.allocations) {
       if (!b.ahead) used += b.need;
     }
     expect(used.fits_in(h.size), "machine " + id + " is overbooked");
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -8,7 +8,7 @@
 namespace dunlinknot::scheduler {
 namespace {
 
-using cluster::Booking;
+using cluster::Allocation;
 using cluster::Cluster;
 using cluster::Effects;
 using cluster::Job;
@@ -63,7 +63,7 @@
     return *c.job(id);
   }
   void run(Job& j, Machine& h, uint64_t attempt = 0) {
-    Booking& b = *c.book(h, j, *j.take_pending(), attempt ? attempt : c.next_attempt(), now);
+    Allocation& b = *c.allocate(h, j, *j.take_pending(), attempt ? attempt : c.next_attempt(), now);
     b.phase = Phase::seen;
     b.state = TaskState::running;
   }
@@ -87,7 +87,7 @@
   uint64_t seq = 1;
 };
 
-TEST_F(SchedulerTest, ATeamsLimitCountsEveryBookingEvenOfClosedJobs) {
+TEST_F(SchedulerTest, ATeamsLimitCountsEveryAllocationEvenOfClosedJobs) {
   Machine& h = machine("vm-1");
   JobSpec s = job("run-000001", 2);
   s.team = "tiny";  // at most 4 cpus
@@ -115,7 +115,7 @@
   EXPECT_EQ(on, (std::map<std::string, uint32_t>{{"vm-2", 4}}));
 }
 
-TEST_F(SchedulerTest, TogetherCountsOldBookingsAndApartHalvesRoundedUp) {
+TEST_F(SchedulerTest, TogetherCountsOldAllocationsAndApartHalvesRoundedUp) {
   Machine& a = machine("vm-1", "a");
   machine("vm-2", "b");
   JobSpec s = job("run-000001", 6);
@@ -454,7 +454,7 @@
   EXPECT_EQ(plan().gangs.size(), 1u) << "nothing else is to be had";
 }
 
-TEST_F(SchedulerTest, TasksAreBookedAheadOnFullMachinesThatHaveTheImage) {
+TEST_F(SchedulerTest, TasksAreAllocatedAheadOnFullMachinesThatHaveTheImage) {
   platform.state_limits.write_rps = 0.2;  // far too few for one write a task
   Machine& h = machine("vm-1");
   Job& j = add(job("run-000001", 100));
@@ -467,7 +467,7 @@
   EXPECT_GE(count, 1u);
   EXPECT_LE(count, 16u) << "some seconds of work, no more";
   for (uint32_t i = 0; i < count; ++i) {
-    c.book_ahead(h, j, *j.take_pending(), c.next_attempt(), p.ahead[0].turn, now);
+    c.allocate_ahead(h, j, *j.take_pending(), c.next_attempt(), p.ahead[0].turn, now);
   }
   EXPECT_TRUE(plan().ahead.empty()) << "filled up when half of it is gone";
 }
@@ -553,14 +553,14 @@
   EXPECT_EQ(wait_causes(plan()).at("run-000002"), WaitCause::room_kept);
 }
 
-TEST_F(SchedulerTest, TellsThatAJobIsBookedAheadOnly) {
+TEST_F(SchedulerTest, TellsThatAJobIsAllocatedAheadOnly) {
   Machine& h = machine("vm-1");
   JobSpec large = job("run-000001", 1);
   large.need.cpus = 8;
   run(add(large), h);
   Job& j = add(job("run-000002", 1));
-  c.book_ahead(h, j, *j.take_pending(), c.next_attempt(), {}, now);
-  EXPECT_EQ(wait_causes(plan()).at("run-000002"), WaitCause::booked_ahead);
+  c.allocate_ahead(h, j, *j.take_pending(), c.next_attempt(), {}, now);
+  EXPECT_EQ(wait_causes(plan()).at("run-000002"), WaitCause::allocated_ahead);
 }
 
 TEST_F(SchedulerTest, TellsThatTasksAreBeingStoppedForAJob) {
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,5 +1,5 @@
 // Two versions on each other's data: what a controller of the version before left in the state
-// service, booked halfway, cancelled or sent late, met by this version, and leaders of both in
+// service, allocated halfway, cancelled or sent late, met by this version, and leaders of both in
 // turn. The old side is played by its stored bytes, which golden_test.cpp holds to be those that
 // this version writes too.
 #include <gtest/gtest.h>
@@ -32,8 +32,8 @@
   // Its lease on the key ends with it.
   void old_version_ends() { s.state.erase(std::string(wire::kLeaderKey)); }
   static uint64_t attempt_of(uint64_t epoch, uint64_t n) { return epoch << 24 | n; }
-  void old_version_books(const std::string& machine, const JobSpec& spec, uint64_t attempt,
-                         const std::vector<uint32_t>& tasks) {
+  void old_version_allocates(const std::string& machine, const JobSpec& spec, uint64_t attempt,
+                             const std::vector<uint32_t>& tasks) {
     wire::MachineRecord record;
     const CloudService::Machine& m = s.cloud.machines.at(machine);
     record.type = m.type;
@@ -92,7 +92,7 @@
   expect_done(spec, seconds(120));
 }
 
-TEST_F(Upgrade, AGangThatTheOldVersionBookedHalfwayRunsWholeAndOnce) {
+TEST_F(Upgrade, AGangThatTheOldVersionAllocatedHalfwayRunsWholeAndOnce) {
   const JobSpec warm = job("run-000009", 8);
   ASSERT_EQ(s.submit(warm).status, 201);
   s.run_for(seconds(8));
@@ -101,20 +101,20 @@
   gang.gang = true;
   const uint64_t old_epoch = old_version_takes_over();
   ASSERT_EQ(s.submit(gang, 1).status, 201);
-  old_version_books(s.workers.begin()->first, gang, attempt_of(old_epoch, 1), {0, 1});
+  old_version_allocates(s.workers.begin()->first, gang, attempt_of(old_epoch, 1), {0, 1});
   s.run_for(Millis(500));
   old_version_ends();
   expect_done(gang, seconds(150));
 }
 
-TEST_F(Upgrade, AnArrayBookedByTheOldVersionWhoseRunsNeverWentOutRuns) {
+TEST_F(Upgrade, AnArrayAllocatedByTheOldVersionWhoseRunsNeverWentOutRuns) {
   const JobSpec warm = job("run-000009", 8);
   ASSERT_EQ(s.submit(warm).status, 201);
   s.run_for(seconds(8));
   const JobSpec spec = job("run-000001", 6);
   const uint64_t old_epoch = old_version_takes_over();
   ASSERT_EQ(s.submit(spec, 1).status, 201);
-  old_version_books(s.workers.begin()->first, spec, attempt_of(old_epoch, 7), {0, 1, 2});
+  old_version_allocates(s.workers.begin()->first, spec, attempt_of(old_epoch, 7), {0, 1, 2});
   old_version_ends();
   expect_done(spec, seconds(120));
 }
--- a/tests/zone_constraints_test.cpp
+++ b/tests/zone_constraints_test.cpp
@@ -7,7 +7,7 @@
 namespace dunlinknot::scheduler {
 namespace {
 
-using cluster::Booking;
+using cluster::Allocation;
 using cluster::Job;
 using cluster::Machine;
 using test::job;
@@ -111,7 +111,7 @@
   Job& j = add_preemptor(3, true, false);
   Machine& a = add_machine("vm-1", "a");
   fill(a);
-  const Booking& victim = a.bookings.front();
+  const Allocation& victim = a.allocations.front();
   for (int half = 0; half < 2; ++half) {
     nominations.add(j.spec().id, a.id, j.spec().need, j.spec().priority,
                     {{victim.task, victim.attempt}});
@@ -180,7 +180,7 @@
   gang.id = "run-000002";
   gang.gang = true;
   add(gang);
-  platform.state_limits.write_rps = 0.1;  // work is booked ahead
+  platform.state_limits.write_rps = 0.1;  // work is allocated ahead
   const Plan p = plan();
   EXPECT_FALSE(p.placements.empty());
   EXPECT_TRUE(p.gangs.empty());
--- a/tests/zoned_cluster.hpp
+++ b/tests/zoned_cluster.hpp
@@ -50,19 +50,19 @@
     cluster.load_job({std::move(spec), wall}, 10, now);
     return *cluster.job(id);
   }
-  // Books a task of the job there and writes the booking down.
-  cluster::Booking& book(cluster::Job& j, cluster::Machine& machine, uint64_t attempt = 0) {
-    cluster::Booking* booking = cluster.book(machine, j, *j.take_pending(),
-                                             attempt != 0 ? attempt : cluster.next_attempt(), now);
+  // Allocates a task of the job there and writes the allocation down.
+  cluster::Allocation& allocate(cluster::Job& j, cluster::Machine& machine, uint64_t attempt = 0) {
+    cluster::Allocation* allocation = cluster.allocate(
+        machine, j, *j.take_pending(), attempt != 0 ? attempt : cluster.next_attempt(), now);
     cluster::Effects effects;
     cluster.machine_stored(machine, cluster.record_of(machine), ++stamp, effects);
-    return *booking;
+    return *allocation;
   }
   void run(cluster::Job& j, cluster::Machine& machine) {
-    cluster::Booking& booking = book(j, machine);
-    booking.phase = cluster::Phase::seen;
-    booking.state = TaskState::running;
-    booking.running_since = now;
+    cluster::Allocation& allocation = allocate(j, machine);
+    allocation.phase = cluster::Phase::seen;
+    allocation.state = TaskState::running;
+    allocation.running_since = now;
   }
   scheduler::Plan plan() {
     return scheduler::plan(cluster, nominations, market, platform, op, wall + Millis(100), now);
