--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -77,10 +77,10 @@
   return -1;
 }
 
-void Cluster::load_job(wire::JobRecord record, uint64_t stamp, Instant now) {
+void Cluster::load_job(wire::JobRecord record, uint64_t mod_revision, Instant now) {
   const std::string id = record.spec.id;
   if (jobs_.contains(id)) {
-    jobs_[id]->stamp = stamp;
+    jobs_[id]->mod_revision = mod_revision;
     return;
   }
   const int team = team_index(record.spec.team);
@@ -109,8 +109,8 @@
     std::erase_if(e.arrivals, [&](const auto& a) { return a.first < old; });
     std::erase_if(e.images, [&](const auto& i) { return i.second < old; });
   }
-  auto& loaded = jobs_[id] = std::make_unique<Job>(std::move(record.spec), record.submitted, stamp,
-                                                   team, now, storable_in_chunk_);
+  auto& loaded = jobs_[id] = std::make_unique<Job>(std::move(record.spec), record.submitted,
+                                                   mod_revision, team, now, storable_in_chunk_);
   count_earlier_allocations(*loaded);
 }
 
@@ -124,20 +124,21 @@
   }
 }
 
-void Cluster::load_done(const std::string& id, uint32_t chunk, wire::View value, uint64_t stamp) {
+void Cluster::load_done(const std::string& id, uint32_t chunk, wire::View value,
+                        uint64_t mod_revision) {
   Job* j = job(id);
   if (!j) return;
   std::vector<bool> bits(j->spec().tasks);
-  if (wire::read_done_chunk(value, chunk, bits)) j->load_chunk(chunk, bits, stamp);
+  if (wire::read_done_chunk(value, chunk, bits)) j->load_chunk(chunk, bits, mod_revision);
 }
 
 // Safety 1: a new leader allocates everything that any former leader allocated. What of it really
 // runs is for the workers to say, under our token.
-void Cluster::load_machine(const std::string& id, const wire::MachineRecord& record, uint64_t stamp,
-                           Instant now) {
+void Cluster::load_machine(const std::string& id, const wire::MachineRecord& record,
+                           uint64_t mod_revision, Instant now) {
   Machine& h = register_machine(id, record.type, record.zone, record.spot, now);
   h.address = record.address;
-  h.stamp = stamp;
+  h.mod_revision = mod_revision;
   h.stored.clear();
   for (const auto& g : record.groups) {
     const Job* j = job(g.job);
@@ -174,8 +175,8 @@
   Effects effects;
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return effects;
-  for (const auto& [n, stamp] : it->second->chunk_stamps) {
-    dead_records_.emplace_back(wire::done_key(id, n), stamp);
+  for (const auto& [n, mod_revision] : it->second->chunk_mod_revisions) {
+    dead_records_.emplace_back(wire::done_key(id, n), mod_revision);
   }
   jobs_.erase(it);
   effects.schedule = true;
@@ -251,7 +252,8 @@
   }
   Machine& h = *it->second;
   while (!h.allocations.empty()) effects |= end_allocation(h, h.allocations.size() - 1, now);
-  if (h.stamp != 0 || !h.stamp_known) dead_records_.emplace_back(wire::machine_key(id), h.stamp);
+  if (h.mod_revision != 0 || !h.mod_revision_known)
+    dead_records_.emplace_back(wire::machine_key(id), h.mod_revision);
   std::erase(held_machines_, &h);  // found on reading: it was written to after it was gone
   machines_.erase(it);
   std::erase_if(gone_, [&](const auto& g) { return now - g.second > kRememberGone; });
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -128,8 +128,8 @@
   std::vector<CachedImage> images;  // most recently used last; a guess from what was started there
 
   // Its record in the state service.
-  uint64_t stamp = 0;
-  bool stamp_known = true;
+  uint64_t mod_revision = 0;
+  bool mod_revision_known = true;
   bool dirty = false;     // allocations were added
   bool queued = false;    // in the queue of records to be written
   bool urgent = false;    // in the queue of those that are written first
@@ -187,9 +187,9 @@
 
   // --- take-over
   void begin_term(uint64_t epoch, Instant now);
-  void load_job(wire::JobRecord record, uint64_t stamp, Instant now);
-  void load_done(const std::string& job, uint32_t chunk, wire::View value, uint64_t stamp);
-  void load_machine(const std::string& id, const wire::MachineRecord& record, uint64_t stamp,
+  void load_job(wire::JobRecord record, uint64_t mod_revision, Instant now);
+  void load_done(const std::string& job, uint32_t chunk, wire::View value, uint64_t mod_revision);
+  void load_machine(const std::string& id, const wire::MachineRecord& record, uint64_t mod_revision,
                     Instant now);
   uint64_t epoch() const { return epoch_; }
   Instant term_since() const { return term_since_; }
@@ -278,7 +278,7 @@
   // Puts one that was taken out back to the front.
   void return_dirty_machine(Machine& h);
   size_t dirty_machine_count() const { return urgent_machines_.size() + dirty_machines_.size(); }
-  void machine_stored(Machine& h, const wire::MachineRecord& as_written, uint64_t stamp,
+  void machine_stored(Machine& h, const wire::MachineRecord& as_written, uint64_t mod_revision,
                       Effects& effects);
   // An upper bound of its record's size in JSON.
   size_t record_size(const Machine& h) const;
@@ -297,7 +297,7 @@
   // The machines that hold allocations of a job, open or closed, in no particular order.
   const std::vector<Machine*>& holders(const std::string& job) const;
 
-  // Records of machines that are gone, to be deleted: key and stamp.
+  // Records of machines that are gone, to be deleted: key and mod revision.
   std::vector<std::pair<std::string, uint64_t>> take_dead_records() {
     return std::exchange(dead_records_, {});
   }
--- a/src/dunlinknot/cluster/job.cpp
+++ b/src/dunlinknot/cluster/job.cpp
@@ -4,9 +4,9 @@
 
 namespace dunlinknot::cluster {
 
-Job::Job(JobSpec spec, WallTime submitted, uint64_t record_stamp, int team, Instant known_since,
-         uint32_t storable_in_chunk)
-    : stamp(record_stamp),
+Job::Job(JobSpec spec, WallTime submitted, uint64_t record_mod_revision, int team,
+         Instant known_since, uint32_t storable_in_chunk)
+    : mod_revision(record_mod_revision),
       waiting_since(known_since),
       spec_(std::move(spec)),
       submitted_(submitted),
@@ -76,8 +76,8 @@
   return 0;
 }
 
-void Job::load_chunk(uint32_t chunk, const std::vector<bool>& done, uint64_t record_stamp) {
-  chunk_stamps[chunk] = record_stamp;
+void Job::load_chunk(uint32_t chunk, const std::vector<bool>& done, uint64_t record_mod_revision) {
+  chunk_mod_revisions[chunk] = record_mod_revision;
   if (spec_.service) return;  // nothing that anyone recorded makes a replica done
   const size_t begin = size_t{chunk} * wire::kChunkTasks;
   const size_t end = std::min<size_t>(done.size(), begin + wire::kChunkTasks);
@@ -92,8 +92,9 @@
   }
 }
 
-void Job::chunk_stored(uint32_t chunk, const std::vector<bool>& as_written, uint64_t record_stamp) {
-  chunk_stamps[chunk] = record_stamp;
+void Job::chunk_stored(uint32_t chunk, const std::vector<bool>& as_written,
+                       uint64_t record_mod_revision) {
+  chunk_mod_revisions[chunk] = record_mod_revision;
   const size_t begin = size_t{chunk} * wire::kChunkTasks;
   const size_t end = std::min<size_t>(done_.size(), begin + wire::kChunkTasks);
   bool clean = true;
--- a/src/dunlinknot/cluster/job.hpp
+++ b/src/dunlinknot/cluster/job.hpp
@@ -14,7 +14,7 @@
 class Job {
  public:
   // Of each chunk of its progress, as many tasks can be recorded as `storable_in_chunk` says.
-  Job(JobSpec spec, WallTime submitted, uint64_t stamp, int team, Instant known_since,
+  Job(JobSpec spec, WallTime submitted, uint64_t mod_revision, int team, Instant known_since,
       uint32_t storable_in_chunk = wire::kChunkTasks);
 
   const JobSpec& spec() const { return spec_; }
@@ -24,7 +24,7 @@
   // What it adds to the record of a machine where it has tasks, beside the tasks; never changes.
   size_t record_group_size() const { return record_group_size_; }
 
-  uint64_t stamp;  // of its record; every allocation guards it
+  uint64_t mod_revision;  // of its record; every allocation guards it
 
   // Tasks that are neither done nor allocated anywhere, nor held back.
   uint32_t pending() const {
@@ -59,9 +59,9 @@
   uint32_t storable_in_chunk() const { return storable_in_chunk_; }
   const std::set<uint32_t>& dirty_chunks() const { return dirty_chunks_; }
   const std::vector<bool>& done_bits() const { return done_; }
-  void load_chunk(uint32_t chunk, const std::vector<bool>& done, uint64_t stamp);
-  void chunk_stored(uint32_t chunk, const std::vector<bool>& as_written, uint64_t stamp);
-  std::map<uint32_t, uint64_t> chunk_stamps;
+  void load_chunk(uint32_t chunk, const std::vector<bool>& done, uint64_t mod_revision);
+  void chunk_stored(uint32_t chunk, const std::vector<bool>& as_written, uint64_t mod_revision);
+  std::map<uint32_t, uint64_t> chunk_mod_revisions;
 
   // What went wrong with its tasks.
   std::set<std::string> failed_on;  // machines; bounded
--- a/src/dunlinknot/cluster/leader_context.hpp
+++ b/src/dunlinknot/cluster/leader_context.hpp
@@ -37,7 +37,7 @@
   uint64_t term = 0;
   bool loaded = false;  // taken over: workers may be answered
   uint64_t epoch = 0;
-  uint64_t epoch_stamp = 0;
+  uint64_t epoch_mod_revision = 0;
   bool in_term(uint64_t r) const { return term == r && epoch != 0; }
 
   void follow_up(const Effects& n) {
--- a/src/dunlinknot/cluster/ledger.cpp
+++ b/src/dunlinknot/cluster/ledger.cpp
@@ -20,7 +20,7 @@
     : context_(context), state_(state), hooks_(std::move(hooks)) {}
 
 state::Guard Ledger::epoch_guard() const {
-  return {std::string(wire::kEpochKey), context_.epoch_stamp};
+  return {std::string(wire::kEpochKey), context_.epoch_mod_revision};
 }
 
 Task<bool> Ledger::list_all(uint64_t term, std::string prefix, Visit visit, Reading& reading) {
@@ -53,7 +53,7 @@
                 record->spec.job_class, record->spec.team, record->spec.estimate.count());
   const Instant now = context_.loop.now();
   context_.leader_state.with(
-      [&](LeaderState& p) { p.cluster.load_job(std::move(*record), item.stamp, now); });
+      [&](LeaderState& p) { p.cluster.load_job(std::move(*record), item.mod_revision, now); });
 }
 
 Task<bool> Ledger::load(uint64_t term) {
@@ -66,10 +66,10 @@
     if (!key) return;
     const bool open = context_.leader_state.with([&](LeaderState& p) {
       if (!p.cluster.job(key->first)) return false;
-      p.cluster.load_done(key->first, key->second, i.value, i.stamp);
+      p.cluster.load_done(key->first, key->second, i.value, i.mod_revision);
       return true;
     });
-    if (!open) garbage_.emplace_back(i.key, i.stamp);
+    if (!open) garbage_.emplace_back(i.key, i.mod_revision);
   };
   if (!co_await list_all(term, std::string(wire::kDonePrefix), done, rest)) co_return false;
   const Visit machine = [this](const state::Item& i) {
@@ -81,7 +81,7 @@
       return;
     }
     context_.leader_state.with(
-        [&](LeaderState& p) { p.cluster.load_machine(id, *record, i.stamp, now); });
+        [&](LeaderState& p) { p.cluster.load_machine(id, *record, i.mod_revision, now); });
   };
   if (!co_await list_all(term, std::string(wire::kMachinePrefix), machine, rest)) co_return false;
   jobs_revision_ = jobs.revision;
@@ -96,7 +96,7 @@
   if (got.found) {
     // Only the watch makes a job known: this answer may be older than its end.
     context_.leader_state.with([&](LeaderState& p) {
-      if (Job* j = p.cluster.job(id)) j->stamp = got.item.stamp;
+      if (Job* j = p.cluster.job(id)) j->mod_revision = got.item.mod_revision;
     });
     co_return;
   }
@@ -174,7 +174,7 @@
       if (c.deleted) {
         context_.leader_state.with([&](LeaderState& p) { effects |= close_over(p, id); });
       } else {
-        state::Item item{c.key, c.value, c.stamp, 0};
+        state::Item item{c.key, c.value, c.mod_revision, 0};
         take_job(item);
         effects.schedule = true;
       }
--- a/src/dunlinknot/cluster/ledger.hpp
+++ b/src/dunlinknot/cluster/ledger.hpp
@@ -1,5 +1,6 @@
 // The leader's writing in the state service: allocations before their `run`, completions before
-// they are told or forgotten. Every transaction guards `epoch` and the stamps of what it changes.
+// they are told or forgotten. Every transaction guards `epoch` and the mod revisions of what it
+// changes.
 #pragma once
 #include <algorithm>
 #include <deque>
@@ -40,7 +41,7 @@
   static constexpr Millis kRetry{120};        // after a call that was refused or got no answer
   struct MachineWrite {
     std::string id;
-    uint64_t stamp = 0;
+    uint64_t mod_revision = 0;
     wire::MachineRecord record;
   };
   struct MachineBatch {  // one transaction over the records of machines
@@ -98,7 +99,7 @@
   state::Client& state_;
   Hooks hooks_;
   uint64_t jobs_revision_ = 0;
-  bool stamps_unknown_ = false;
+  bool mod_revisions_unknown_ = false;
   Instant next_partial_{};        // when the progress of open jobs is written next
   std::string last_partial_job_;  // the last one whose progress was written
   std::deque<std::pair<std::string, uint64_t>> garbage_;  // keys to delete when there is time
--- a/src/dunlinknot/cluster/ledger_machines.cpp
+++ b/src/dunlinknot/cluster/ledger_machines.cpp
@@ -36,11 +36,11 @@
 
 // Machines whose record may have been changed by a transaction with an unknown outcome.
 Task<void> Ledger::refresh_machines(uint64_t term) {
-  stamps_unknown_ = false;
+  mod_revisions_unknown_ = false;
   std::vector<std::string> ids = context_.leader_state.with([](LeaderState& p) {
     std::vector<std::string> out;
     for (const auto& [id, h] : p.cluster.machines()) {
-      if (!h->stamp_known) out.push_back(id);
+      if (!h->mod_revision_known) out.push_back(id);
     }
     return out;
   });
@@ -48,7 +48,7 @@
     state::GetResult got = co_await state_.get(wire::machine_key(id), kCommitTime);
     if (!context_.in_term(term)) co_return;
     if (got.outcome != Outcome::ok) {
-      stamps_unknown_ = true;
+      mod_revisions_unknown_ = true;
       continue;
     }
     Effects effects;
@@ -58,7 +58,7 @@
       // What the record says is what is durable, whichever attempt wrote it.
       const auto record = got.found ? wire::read_machine_record(got.item.value) : std::nullopt;
       p.cluster.machine_stored(*h, record.value_or(wire::MachineRecord{}),
-                               got.found ? got.item.stamp : 0, effects);
+                               got.found ? got.item.mod_revision : 0, effects);
     });
     context_.follow_up(effects);
   }
@@ -116,7 +116,7 @@
   for (const std::string& id : batch.jobs) fresh.erase(id);
   const size_t room = guards_left(batch);
   if (fresh.size() > room && !batch.machines.empty()) return false;
-  MachineWrite write{h.id, h.stamp, cluster.record_of(h)};
+  MachineWrite write{h.id, h.mod_revision, cluster.record_of(h)};
   if (fresh.size() > room) {
     // More jobs than one transaction guards: the rest follows with the next one.
     while (fresh.size() > room) fresh.erase(std::prev(fresh.end()));
@@ -124,13 +124,13 @@
   }
   std::string value;
   if (!write.record.groups.empty()) value = wire::write_machine_record(write.record);
-  if (value.empty() && write.stamp == 0) {
+  if (value.empty() && write.mod_revision == 0) {
     h.dirty = h.trailing = false;
     return true;
   }
   batch.jobs.insert(fresh.begin(), fresh.end());
   batch.bytes += value.size() * 2;
-  batch.txn.guards.push_back({wire::machine_key(h.id), write.stamp});
+  batch.txn.guards.push_back({wire::machine_key(h.id), write.mod_revision});
   batch.txn.writes.push_back({wire::machine_key(h.id), std::move(value), 0});
   h.storing = true;
   batch.machines.push_back(std::move(write));
@@ -150,7 +150,7 @@
   while (!full() && unwritable.size() + too_many_jobs.size() < kMostPassedOver) {
     Machine* h = cluster.next_dirty_machine();
     if (!h) break;
-    if (!h->stamp_known || h->storing) {
+    if (!h->mod_revision_known || h->storing) {
       unwritable.push_back(h);
     } else if (!add_machine_record(batch, cluster, *h)) {
       too_many_jobs.push_back(h);
@@ -164,12 +164,12 @@
   if (trailing && cluster.dirty_machine_count() == 0) {
     for (auto& [id, h] : cluster.machines()) {
       if (full()) break;
-      const bool shrank = h->trailing && !h->dirty && h->stamp_known && !h->storing;
+      const bool shrank = h->trailing && !h->dirty && h->mod_revision_known && !h->storing;
       if (shrank && !add_machine_record(batch, cluster, *h)) break;
     }
   }
   for (const auto& id : batch.jobs) {
-    batch.txn.guards.push_back({wire::job_key(id), cluster.job(id)->stamp});
+    batch.txn.guards.push_back({wire::job_key(id), cluster.job(id)->mod_revision});
   }
   return batch;
 }
@@ -191,8 +191,8 @@
     if (r.applied) {
       cluster.machine_stored(*h, w.record, w.record.groups.empty() ? 0 : r.revision, effects);
     } else if (r.outcome == Outcome::unknown || r.guard_failed(wire::machine_key(w.id))) {
-      h->stamp_known = false;
-      stamps_unknown_ = true;
+      h->mod_revision_known = false;
+      mod_revisions_unknown_ = true;
     }
     if (!r.applied && h->dirty) cluster.mark_dirty(*h);
   }
@@ -206,7 +206,7 @@
 
 // Returns whether there may be more to do at once.
 Task<bool> Ledger::store_some_machines(uint64_t term, bool trailing) {
-  if (stamps_unknown_) {
+  if (mod_revisions_unknown_) {
     co_await refresh_machines(term);
     if (!context_.in_term(term)) co_return false;
   }
@@ -262,15 +262,15 @@
     co_return false;
   }
   if (r.applied) co_return !garbage_.empty();
-  for (auto& [key, stamp] : batch) {
+  for (auto& [key, mod_revision] : batch) {
     if (!r.guard_failed(key)) {
-      garbage_.emplace_back(key, stamp);
+      garbage_.emplace_back(key, mod_revision);
       continue;
     }
     // Gone already, or written by a transaction whose answer we never had.
     state::GetResult got = co_await state_.get(key, kCommitTime);
     if (!context_.in_term(term)) co_return false;
-    if (got.outcome == Outcome::ok && got.found) garbage_.emplace_back(key, got.item.stamp);
+    if (got.outcome == Outcome::ok && got.found) garbage_.emplace_back(key, got.item.mod_revision);
   }
   co_return false;
 }
--- a/src/dunlinknot/cluster/ledger_progress.cpp
+++ b/src/dunlinknot/cluster/ledger_progress.cpp
@@ -27,7 +27,7 @@
 void Ledger::add_end(ProgressBatch& batch, const Job& j) const {
   const std::string& id = j.spec().id;
   batch.jobs.insert(id);
-  batch.txn.guards.push_back({wire::job_key(id), j.stamp});
+  batch.txn.guards.push_back({wire::job_key(id), j.mod_revision});
   batch.txn.guards.push_back({wire::final_key(id), 0});
   batch.txn.writes.push_back({wire::final_key(id), wire::write_final({false, j.spec().tasks}), 0});
   batch.txn.writes.push_back({wire::job_key(id), "", 0});
@@ -37,13 +37,13 @@
 void Ledger::add_chunks(ProgressBatch& batch, const Job& j) const {
   const std::string& id = j.spec().id;
   batch.jobs.insert(id);
-  batch.txn.guards.push_back({wire::job_key(id), j.stamp});
+  batch.txn.guards.push_back({wire::job_key(id), j.mod_revision});
   for (const uint32_t n : j.dirty_chunks()) {
     if (batch.txn.writes.size() >= max_ops()) return;
-    const auto stored = j.chunk_stamps.find(n);
-    const uint64_t stamp = stored == j.chunk_stamps.end() ? 0 : stored->second;
+    const auto stored = j.chunk_mod_revisions.find(n);
+    const uint64_t mod_revision = stored == j.chunk_mod_revisions.end() ? 0 : stored->second;
     const std::string key = wire::done_key(id, n);
-    batch.txn.guards.push_back({key, stamp});
+    batch.txn.guards.push_back({key, mod_revision});
     batch.txn.writes.push_back(
         {key, wire::write_done_chunk(j.done_bits(), n, j.storable_in_chunk()), 0});
     batch.chunks.push_back({id, n, j.done_bits()});
@@ -90,7 +90,8 @@
   context_.follow_up(effects);
 }
 
-// Unknown, or a stamp was not what we thought: reads back what stands. False when the term ended.
+// Unknown, or a mod revision was not what we thought: reads back what stands. False when the term
+// ended.
 Task<bool> Ledger::reread_progress(uint64_t term, const ProgressBatch& batch,
                                    const state::TxnResult& r) {
   for (const auto& c : batch.chunks) {
@@ -103,13 +104,13 @@
       Job* j = p.cluster.job(c.job);
       if (!j) return;
       if (!got.found) {
-        j->chunk_stamps.erase(c.chunk);
+        j->chunk_mod_revisions.erase(c.chunk);
         return;
       }
       std::vector<bool> bits(j->spec().tasks);
       if (wire::read_done_chunk(got.item.value, c.chunk, bits)) {
-        j->load_chunk(c.chunk, bits, got.item.stamp);
-        j->chunk_stored(c.chunk, bits, got.item.stamp);
+        j->load_chunk(c.chunk, bits, got.item.mod_revision);
+        j->chunk_stored(c.chunk, bits, got.item.mod_revision);
       }
     });
   }
--- a/src/dunlinknot/cluster/records.cpp
+++ b/src/dunlinknot/cluster/records.cpp
@@ -74,10 +74,10 @@
           wire::machine_task_size(j.spec().tasks, epoch_ << 24 | kMostAttempts)};
 }
 
-void Cluster::machine_stored(Machine& h, const wire::MachineRecord& written, uint64_t stamp,
+void Cluster::machine_stored(Machine& h, const wire::MachineRecord& written, uint64_t mod_revision,
                              Effects& effects) {
-  h.stamp = stamp;
-  h.stamp_known = true;
+  h.mod_revision = mod_revision;
+  h.mod_revision_known = true;
   h.stored.clear();
   for (const auto& g : written.groups) {
     for (const auto& [index, attempt] : g.tasks)
--- a/src/dunlinknot/duties/holder.cpp
+++ b/src/dunlinknot/duties/holder.cpp
@@ -16,7 +16,7 @@
 constexpr int kLateWakeShare = 2;  // of the lease: a timer later than its half is distrusted
 
 state::Guard epoch_guard(const cluster::LeaderContext& context) {
-  return {std::string(wire::kEpochKey), context.epoch_stamp};
+  return {std::string(wire::kEpochKey), context.epoch_mod_revision};
 }
 
 }  // namespace
@@ -36,7 +36,7 @@
 }
 
 std::vector<state::Guard> Holder::guards(Duty duty) const {
-  return {epoch_guard(context_), {duty_key(duty), lease(duty).holding().stamp}};
+  return {epoch_guard(context_), {duty_key(duty), lease(duty).holding().mod_revision}};
 }
 
 void Holder::lose() {
@@ -50,15 +50,15 @@
     lease(duty).proved(sent);
     return;
   }
-  // Our own new stamp came between (settle_writes).
-  if (sent < restamped_[static_cast<size_t>(duty)]) return;
+  // Our own new mod revision came between (settle_writes).
+  if (sent < rewritten_at_[static_cast<size_t>(duty)]) return;
   spdlog::info("duties: {} under token {} is lost: its key was changed or removed", name(duty),
                token(duty));
   lease(duty).lose();
 }
 
-Task<std::optional<Holder::Stamps>> Holder::read_stamps(uint64_t term) {
-  Stamps stamps;
+Task<std::optional<Holder::ModRevisions>> Holder::read_mod_revisions(uint64_t term) {
+  ModRevisions mod_revisions;
   const state::ListResult list = co_await state_.list(std::string(kDutyPrefix), "", kCallTime);
   if (!context_.in_term(term) || list.outcome != Outcome::ok || list.more) co_return std::nullopt;
   for (const state::Item& item : list.items) {
@@ -70,55 +70,56 @@
         halted_ = true;
         co_return std::nullopt;
       }
-      stamps.token = std::get<uint64_t>(read);
-      stamps.token_stamp = item.stamp;
+      mod_revisions.token = std::get<uint64_t>(read);
+      mod_revisions.token_mod_revision = item.mod_revision;
     }
     for (const Duty duty : kAllDuties) {
-      if (item.key == duty_key(duty)) stamps.duty[static_cast<size_t>(duty)] = item.stamp;
+      if (item.key == duty_key(duty))
+        mod_revisions.duty[static_cast<size_t>(duty)] = item.mod_revision;
     }
   }
-  co_return stamps;
+  co_return mod_revisions;
 }
 
 // Takes one duty under the next token. False when that is not known to have worked.
-Task<bool> Holder::take(uint64_t term, Duty duty, Stamps& stamps) {
-  const uint64_t token = stamps.token + 1;
+Task<bool> Holder::take(uint64_t term, Duty duty, ModRevisions& mod_revisions) {
+  const uint64_t token = mod_revisions.token + 1;
   state::Txn txn;
   txn.guards.push_back(epoch_guard(context_));
-  txn.guards.push_back({duty_key(duty), stamps.duty[static_cast<size_t>(duty)]});
-  txn.guards.push_back({std::string(kTokenKey), stamps.token_stamp});
+  txn.guards.push_back({duty_key(duty), mod_revisions.duty[static_cast<size_t>(duty)]});
+  txn.guards.push_back({std::string(kTokenKey), mod_revisions.token_mod_revision});
   txn.writes.push_back({duty_key(duty), write_holder({context_.platform.node, token}), grant_});
   txn.writes.push_back({std::string(kTokenKey), write_token(token), 0});
   Instant sent = context_.loop.boot_now();
   const state::TxnResult result =
       co_await state_.commit(std::move(txn), kCallTime, state::Importance::essential);
   if (!context_.in_term(term)) co_return false;
-  uint64_t stamp = result.revision;
+  uint64_t mod_revision = result.revision;
   if (!result.applied) {
     if (result.outcome != Outcome::unknown) co_return false;
     sent = context_.loop.boot_now();
-    const std::optional<uint64_t> own = co_await stamp_of_own(term, duty, token);
+    const std::optional<uint64_t> own = co_await own_mod_revision(term, duty, token);
     if (!own) co_return false;
-    stamp = *own;
+    mod_revision = *own;
   }
-  stamps.token = token;
-  stamps.token_stamp = stamp;
-  lease(duty).acquired({token, stamp}, sent);
+  mod_revisions.token = token;
+  mod_revisions.token_mod_revision = mod_revision;
+  lease(duty).acquired({token, mod_revision}, sent);
   writes_unsettled_[static_cast<size_t>(duty)] = false;
   spdlog::info("duties: {} held under token {}", name(duty), token);
   co_return true;
 }
 
-// The stamp of the duty's key if it is as this process wrote it under that token: the lease bound
-// to the key tells our own attempt from any other.
-Task<std::optional<uint64_t>> Holder::stamp_of_own(uint64_t term, Duty duty, uint64_t token) {
+// The mod revision of the duty's key if it is as this process wrote it under that token: the lease
+// bound to the key tells our own attempt from any other.
+Task<std::optional<uint64_t>> Holder::own_mod_revision(uint64_t term, Duty duty, uint64_t token) {
   const state::GetResult got =
       co_await state_.get(duty_key(duty), kCallTime, state::Importance::essential);
   if (!context_.in_term(term) || got.outcome != Outcome::ok || !got.found) co_return std::nullopt;
   const auto read = read_holder(got.item.value);
   const auto* record = std::get_if<HolderRecord>(&read);
   if (!record || record->token != token || got.item.lease != grant_) co_return std::nullopt;
-  co_return got.item.stamp;
+  co_return got.item.mod_revision;
 }
 
 Task<bool> Holder::settle_writes(uint64_t term, Duty duty) {
@@ -135,13 +136,14 @@
       co_await state_.commit(std::move(txn), kCallTime, state::Importance::essential);
   if (!context_.in_term(term)) co_return false;
   take_result(duty, result, sent);
-  std::optional<uint64_t> stamp;
-  if (result.applied) stamp = result.revision;
-  if (result.outcome == Outcome::unknown) stamp = co_await stamp_of_own(term, duty, before.token);
-  // An unchanged stamp: this transaction, too, may yet be carried out.
-  if (!stamp || *stamp == before.stamp || !may_act(duty)) co_return false;
-  lease(duty).acquired({before.token, *stamp}, sent);
-  restamped_[static_cast<size_t>(duty)] = context_.loop.boot_now();
+  std::optional<uint64_t> mod_revision;
+  if (result.applied) mod_revision = result.revision;
+  if (result.outcome == Outcome::unknown)
+    mod_revision = co_await own_mod_revision(term, duty, before.token);
+  // An unchanged mod revision: this transaction, too, may yet be carried out.
+  if (!mod_revision || *mod_revision == before.mod_revision || !may_act(duty)) co_return false;
+  lease(duty).acquired({before.token, *mod_revision}, sent);
+  rewritten_at_[static_cast<size_t>(duty)] = context_.loop.boot_now();
   unsettled = false;
   co_return true;
 }
@@ -151,10 +153,10 @@
       co_await state_.grant(to_millis(to_nanos(context_.op.duties_ttl)), kCallTime);
   if (!context_.in_term(term) || granted.outcome != Outcome::ok) co_return false;
   grant_ = granted.lease;
-  std::optional<Stamps> stamps = co_await read_stamps(term);
-  if (!stamps) co_return false;
+  std::optional<ModRevisions> mod_revisions = co_await read_mod_revisions(term);
+  if (!mod_revisions) co_return false;
   for (const Duty duty : kAllDuties) {
-    const bool taken = co_await take(term, duty, *stamps);
+    const bool taken = co_await take(term, duty, *mod_revisions);
     if (!taken) co_return false;
   }
   co_return true;
--- a/src/dunlinknot/duties/holder.hpp
+++ b/src/dunlinknot/duties/holder.hpp
@@ -36,21 +36,21 @@
   std::vector<state::Guard> guards(Duty duty) const;
   // What became of a transaction under the duty: its guards may tell that it is lost.
   void take_result(Duty duty, const state::TxnResult& result, Instant sent);
-  // After a transaction under the duty without an answer: gives the duty's key a new stamp, so that
-  // the transaction cannot be carried out any more. What is read afterwards is final. False when
-  // that is not known to have worked.
+  // After a transaction under the duty without an answer: gives the duty's key a new mod revision,
+  // so that the transaction cannot be carried out any more. What is read afterwards is final. False
+  // when that is not known to have worked.
   Task<bool> settle_writes(uint64_t term, Duty duty);
 
  private:
-  struct Stamps {  // of the duties' keys, as they were read
+  struct ModRevisions {  // of the duties' keys, as they were read
     std::array<uint64_t, kAllDuties.size()> duty{};
-    uint64_t token_stamp = 0;
+    uint64_t token_mod_revision = 0;
     uint64_t token = 0;
   };
   Task<bool> try_acquire(uint64_t term);
-  Task<std::optional<Stamps>> read_stamps(uint64_t term);
-  Task<bool> take(uint64_t term, Duty duty, Stamps& stamps);
-  Task<std::optional<uint64_t>> stamp_of_own(uint64_t term, Duty duty, uint64_t token);
+  Task<std::optional<ModRevisions>> read_mod_revisions(uint64_t term);
+  Task<bool> take(uint64_t term, Duty duty, ModRevisions& mod_revisions);
+  Task<std::optional<uint64_t>> own_mod_revision(uint64_t term, Duty duty, uint64_t token);
   Task<bool> prove();
   bool all_held() const;
   Lease& lease(Duty duty) { return leases_[static_cast<size_t>(duty)]; }
@@ -60,7 +60,8 @@
   state::Client& state_;
   std::array<Lease, kAllDuties.size()> leases_;
   std::array<bool, kAllDuties.size()> writes_unsettled_{};
-  std::array<Instant, kAllDuties.size()> restamped_{};  // when the key last had a new stamp from us
+  std::array<Instant, kAllDuties.size()>
+      rewritten_at_{};   // when the key last had a new mod revision from us
   bool halted_ = false;  // the record of the last token cannot be read
   uint64_t grant_ = 0;   // the state service's lease, to which the duties' keys are bound
 };
--- a/src/dunlinknot/duties/intents.cpp
+++ b/src/dunlinknot/duties/intents.cpp
@@ -20,7 +20,7 @@
     : context_(context), state_(state), holder_(holder), has_ended_(context.loop) {}
 
 void IntentLog::begin_term() {
-  stamps_.clear();
+  mod_revisions_.clear();
   ended_.clear();
   has_ended_.notify();
 }
@@ -56,7 +56,7 @@
         open.unreadable.push_back({item.key, error});
         continue;
       }
-      stamps_[item.key] = item.stamp;
+      mod_revisions_[item.key] = item.mod_revision;
     }
     more = list.more && !list.items.empty();
     if (more) after = list.items.back().key;
@@ -85,7 +85,7 @@
 }
 
 Task<bool> IntentLog::record(uint64_t term, Duty duty, std::vector<Entry> entries) {
-  std::erase_if(entries, [&](const Entry& entry) { return stamps_.contains(entry.key); });
+  std::erase_if(entries, [&](const Entry& entry) { return mod_revisions_.contains(entry.key); });
   if (entries.empty()) co_return true;
   const bool settled = co_await holder_.settle_writes(term, duty);
   if (!settled || !holder_.may_act(duty)) co_return false;
@@ -100,7 +100,7 @@
   if (!context_.in_term(term)) co_return false;
   holder_.take_result(duty, result, sent);
   if (result.applied) {
-    for (const Entry& entry : entries) stamps_[entry.key] = result.revision;
+    for (const Entry& entry : entries) mod_revisions_[entry.key] = result.revision;
     co_return true;
   }
   const bool stands_already = std::any_of(entries.begin(), entries.end(), [&](const Entry& entry) {
@@ -124,7 +124,7 @@
     const state::GetResult got = co_await state_.get(entry.key, kCallTime);
     if (!context_.in_term(term) || got.outcome != Outcome::ok) co_return false;
     if (got.found) {
-      stamps_[entry.key] = got.item.stamp;
+      mod_revisions_[entry.key] = got.item.mod_revision;
     } else {
       all = false;
     }
@@ -133,7 +133,7 @@
 }
 
 void IntentLog::end(Duty duty, std::string key) {
-  if (!stamps_.contains(key)) return;
+  if (!mod_revisions_.contains(key)) return;
   const bool waits = std::any_of(ended_.begin(), ended_.end(),
                                  [&](const Ended& ended) { return ended.key == key; });
   if (waits) return;
@@ -162,7 +162,7 @@
   for (const Ended& ended : ended_) {
     if (ended.duty != duty || batch.size() >= max_batch()) continue;
     batch.push_back(ended);
-    txn.guards.push_back({ended.key, stamps_[ended.key]});
+    txn.guards.push_back({ended.key, mod_revisions_[ended.key]});
     txn.writes.push_back({ended.key, "", 0});
   }
   const Instant sent = context_.loop.boot_now();
@@ -177,7 +177,7 @@
     return std::any_of(batch.begin(), batch.end(),
                        [&](const Ended& removed) { return removed.key == ended.key; });
   });
-  for (const Ended& removed : batch) stamps_.erase(removed.key);
+  for (const Ended& removed : batch) mod_revisions_.erase(removed.key);
   co_return true;
 }
 
@@ -187,10 +187,10 @@
     if (!context_.in_term(term)) co_return;
     if (got.outcome != Outcome::ok) continue;
     if (got.found) {
-      stamps_[ended.key] = got.item.stamp;
+      mod_revisions_[ended.key] = got.item.mod_revision;
       continue;
     }
-    stamps_.erase(ended.key);
+    mod_revisions_.erase(ended.key);
     std::erase_if(ended_, [&](const Ended& each) { return each.key == ended.key; });
   }
 }
--- a/src/dunlinknot/duties/intents.hpp
+++ b/src/dunlinknot/duties/intents.hpp
@@ -46,7 +46,7 @@
   // Removes the records of what is settled, as long as the term lasts.
   Task<void> remove_ended(uint64_t term);
 
-  size_t open() const { return stamps_.size(); }
+  size_t open() const { return mod_revisions_.size(); }
 
  private:
   struct Entry {
@@ -66,7 +66,7 @@
   cluster::LeaderContext& context_;
   state::Client& state_;
   Holder& holder_;
-  std::map<std::string, uint64_t> stamps_;  // of the open intents
+  std::map<std::string, uint64_t> mod_revisions_;  // of the open intents
   std::deque<Ended> ended_;
   Signal has_ended_;
 };
--- a/src/dunlinknot/duties/lease.hpp
+++ b/src/dunlinknot/duties/lease.hpp
@@ -18,8 +18,8 @@
 };
 
 struct Holding {
-  uint64_t token = 0;  // of this holding alone; later holdings have higher ones
-  uint64_t stamp = 0;  // of the duty's key: every transaction under the duty guards it
+  uint64_t token = 0;         // of this holding alone; later holdings have higher ones
+  uint64_t mod_revision = 0;  // of the duty's key: every transaction under the duty guards it
 };
 
 class Lease {
--- a/src/dunlinknot/jobs/request_handler.cpp
+++ b/src/dunlinknot/jobs/request_handler.cpp
@@ -140,7 +140,7 @@
     if (open.outcome != Outcome::ok) continue;
     if (open.found) {
       out.known = Known::open;
-      out.stamp = open.item.stamp;
+      out.mod_revision = open.item.mod_revision;
       out.tasks = static_cast<uint32_t>(open.item.value["job"]["pieces"].count().value_or(0));
       co_return out;
     }
@@ -160,7 +160,7 @@
     }
     out.known = Known::final;
     out.final = *record;
-    learn_final(id, *record, final.item.stamp);
+    learn_final(id, *record, final.item.mod_revision);
     co_return out;
   }
   co_return out;
@@ -276,7 +276,7 @@
     // Safety 3: the job's record goes and its final answer stands in one transaction, before the
     // user is told. From here on every allocation for it fails its guard.
     state::Txn txn;
-    txn.guards.push_back({wire::job_key(id), found.stamp});
+    txn.guards.push_back({wire::job_key(id), found.mod_revision});
     txn.guards.push_back({wire::final_key(id), 0});
     txn.writes.push_back({wire::final_key(id), wire::write_final({true, found.tasks}), 0});
     txn.writes.push_back({wire::job_key(id), "", 0});
--- a/src/dunlinknot/jobs/request_handler.hpp
+++ b/src/dunlinknot/jobs/request_handler.hpp
@@ -64,7 +64,7 @@
   struct Lookup {
     Known known = Known::unclear;
     wire::FinalRecord final;
-    uint64_t stamp = 0;
+    uint64_t mod_revision = 0;
     uint32_t tasks = 0;
   };
   Task<Lookup> look_up(std::string id, Instant deadline);
--- a/src/dunlinknot/leadership/elector.cpp
+++ b/src/dunlinknot/leadership/elector.cpp
@@ -95,12 +95,12 @@
   changed_.notify();
 }
 
-void Elector::win(uint64_t epoch, uint64_t stamp, Instant asked) {
+void Elector::win(uint64_t epoch, uint64_t mod_revision, Instant asked) {
   leading_ = true;
   tenure_ = asked;
   horizon_ = Instant{};  // until the open jobs have been read
   resigning_ = false;
-  term_ = Term{epoch, stamp, loop_.now()};
+  term_ = Term{epoch, mod_revision, loop_.now()};
   known_epoch_ = epoch;
   known_leader_ = platform_.node;
   spdlog::info("leadership: leading epoch {}", epoch);
@@ -126,12 +126,12 @@
         co_await loop_.sleep(kRetry);
         continue;
       }
-      leader_stamp_.reset();
+      leader_mod_revision_.reset();
       leader_is_old_self_ = false;
       revision_ = got.revision;
       if (got.found) {
-        leader_stamp_ = got.item.stamp;
-        revision_ = got.item.stamp;
+        leader_mod_revision_ = got.item.mod_revision;
+        revision_ = got.item.mod_revision;
         if (const auto r = wire::read_leader(got.item.value)) {
           heard_of(r->epoch, r->node, "the state service");
           leader_is_old_self_ = r->node == platform_.node && got.item.lease != lease_;
@@ -139,7 +139,7 @@
       }
       fresh = true;
     }
-    const bool vacant = !leader_stamp_ || leader_is_old_self_;
+    const bool vacant = !leader_mod_revision_ || leader_is_old_self_;
     if (vacant && loop_.now() >= not_before_) co_return;
     const Millis block =
         vacant ? std::clamp(to_millis(not_before_ - loop_.now()), Millis(50), kWatchBlock)
@@ -159,10 +159,10 @@
       if (c.key != wire::kLeaderKey) continue;
       leader_is_old_self_ = false;
       if (c.deleted) {
-        leader_stamp_.reset();
+        leader_mod_revision_.reset();
         known_leader_.reset();
       } else {
-        leader_stamp_ = c.stamp;
+        leader_mod_revision_ = c.mod_revision;
         if (const auto r = wire::read_leader(c.value)) {
           heard_of(r->epoch, r->node, "the state service");
         }
@@ -188,8 +188,8 @@
   const uint64_t before = epoch.found ? wire::read_epoch(epoch.item.value).value_or(0) : 0;
   const uint64_t mine = std::max(before, known_epoch_) + 1;
   state::Txn txn;
-  txn.guards.push_back({std::string(wire::kLeaderKey), leader_stamp_.value_or(0)});
-  txn.guards.push_back({std::string(wire::kEpochKey), epoch.found ? epoch.item.stamp : 0});
+  txn.guards.push_back({std::string(wire::kLeaderKey), leader_mod_revision_.value_or(0)});
+  txn.guards.push_back({std::string(wire::kEpochKey), epoch.found ? epoch.item.mod_revision : 0});
   txn.writes.push_back(
       {std::string(wire::kLeaderKey), wire::write_leader({platform_.node, mine}), lease_});
   txn.writes.push_back({std::string(wire::kEpochKey), wire::write_epoch(mine), 0});
@@ -209,7 +209,7 @@
     if (got.outcome == http::Outcome::ok) {
       const auto record = got.found ? wire::read_leader(got.item.value) : std::nullopt;
       if (record && got.item.lease == lease_ && record->epoch == mine) {
-        win(mine, got.item.stamp, read);
+        win(mine, got.item.mod_revision, read);
       }
       co_return;
     }
@@ -232,7 +232,7 @@
       if (again.outcome == http::Outcome::ok) {
         state::Txn txn;
         txn.guards.push_back({std::string(wire::kLeaderKey), 0});
-        txn.guards.push_back({std::string(wire::kEpochKey), term_.epoch_stamp});
+        txn.guards.push_back({std::string(wire::kEpochKey), term_.epoch_mod_revision});
         txn.writes.push_back({std::string(wire::kLeaderKey),
                               wire::write_leader({platform_.node, term_.epoch}), again.lease});
         const Instant asked = loop_.now();
--- a/src/dunlinknot/leadership/elector.hpp
+++ b/src/dunlinknot/leadership/elector.hpp
@@ -1,6 +1,6 @@
 // Who leads. The key `leader` is bound to a short lease; taking it also bumps `epoch`, and the
-// epoch's number is the token the workers see. Every transaction of a leader guards the stamp of
-// `epoch`, so whatever a former leader still has in flight fails.
+// epoch's number is the token the workers see. Every transaction of a leader guards the mod
+// revision of `epoch`, so whatever a former leader still has in flight fails.
 #pragma once
 #include <algorithm>
 #include <functional>
@@ -14,7 +14,7 @@
 
 struct Term {
   uint64_t epoch = 0;
-  uint64_t epoch_stamp = 0;
+  uint64_t epoch_mod_revision = 0;
   Instant since{};
 };
 
@@ -66,7 +66,7 @@
   Task<void> campaign();
   Task<void> lead();
   void step_down(std::string_view why);
-  void win(uint64_t epoch, uint64_t stamp, Instant asked);
+  void win(uint64_t epoch, uint64_t mod_revision, Instant asked);
 
   Loop& loop_;
   state::Client& state_;
@@ -82,7 +82,7 @@
   uint64_t lease_ = 0;
   uint64_t known_epoch_ = 0;
   std::optional<std::string> known_leader_;
-  std::optional<uint64_t> leader_stamp_;  // of the key, when it exists
+  std::optional<uint64_t> leader_mod_revision_;  // of the key, when it exists
   bool leader_is_old_self_ = false;
   uint64_t revision_ = 0;
   Instant not_before_{};
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -234,7 +234,7 @@
         co_return;
       }
       state::Txn txn;
-      txn.guards.push_back({std::string(wire::kEpochKey), context_.epoch_stamp});
+      txn.guards.push_back({std::string(wire::kEpochKey), context_.epoch_mod_revision});
       txn.guards.push_back({std::string(wire::kCatalogKey), 0});
       txn.writes.push_back({std::string(wire::kCatalogKey), value, 0});
       state::TxnResult r = co_await state_.commit(std::move(txn), std::chrono::seconds(1));
@@ -247,7 +247,7 @@
 void Daemon::gained(const leadership::Term& term) {
   ++context_.term;
   context_.epoch = term.epoch;
-  context_.epoch_stamp = term.epoch_stamp;
+  context_.epoch_mod_revision = term.epoch_mod_revision;
   context_.loaded = false;
   context_.leader_state.with([&](LeaderState& p) {
     p.cluster.begin_term(term.epoch, loop_.now());
@@ -260,7 +260,7 @@
 
 // What a removal of records has to guard; nothing while this node may not do it.
 std::optional<std::vector<state::Guard>> Daemon::cleanup_guards() const {
-  if (!duties_) return {{{std::string(wire::kEpochKey), context_.epoch_stamp}}};
+  if (!duties_) return {{{std::string(wire::kEpochKey), context_.epoch_mod_revision}}};
   if (!duties_->holder.may_act(duties::Duty::cleanup)) return std::nullopt;
   return duties_->holder.guards(duties::Duty::cleanup);
 }
--- a/src/dunlinknot/state/client.cpp
+++ b/src/dunlinknot/state/client.cpp
@@ -24,9 +24,9 @@
 
 std::optional<Item> read_item(View v) {
   const auto key = v["key"].text();
-  const auto stamp = v["stamp"].count();
-  if (!key || !stamp) return std::nullopt;
-  return Item{std::string(*key), v["v"], *stamp, v["tenancy"].count().value_or(0)};
+  const auto mod_revision = v["stamp"].count();
+  if (!key || !mod_revision) return std::nullopt;
+  return Item{std::string(*key), v["v"], *mod_revision, v["tenancy"].count().value_or(0)};
 }
 
 // A reply that should not have come as it did tells nothing about what was done.
@@ -179,7 +179,8 @@
   TxnResult out;
   Writer w;
   w.map(2).key("guards").list(txn.guards.size());
-  for (const auto& g : txn.guards) w.map(2).key("key").text(g.key).key("stamp").count(g.stamp);
+  for (const auto& g : txn.guards)
+    w.map(2).key("key").text(g.key).key("stamp").count(g.mod_revision);
   w.key("writes").list(txn.writes.size());
   for (const auto& op : txn.writes) {
     if (op.value.empty()) {
@@ -304,7 +305,7 @@
       continue;
     }
     c.value = n["v"];
-    c.stamp = n["stamp"].count().value_or(0);
+    c.mod_revision = n["stamp"].count().value_or(0);
     out.changes.push_back(std::move(c));
   }
   co_return out;
--- a/src/dunlinknot/state/client.hpp
+++ b/src/dunlinknot/state/client.hpp
@@ -18,7 +18,7 @@
 struct Item {
   std::string key;
   wire::View value;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
   uint64_t lease = 0;
 };
 
@@ -40,7 +40,7 @@
 
 struct Guard {
   std::string key;
-  uint64_t stamp = 0;  // 0: must not exist
+  uint64_t mod_revision = 0;  // 0: must not exist
 };
 
 struct Write {
@@ -73,7 +73,7 @@
   std::string key;
   bool deleted = false;
   wire::View value;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
 };
 
 struct WatchResult {
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -52,7 +52,7 @@
     Machine& h = *c.find_machine(vm);
     c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);
     Effects n;
-    c.machine_stored(h, c.record_of(h), ++stamp, n);
+    c.machine_stored(h, c.record_of(h), ++mod_revision, n);
     return h.allocations.back();
   }
   size_t allocated(const std::string& vm = "vm-1") {
@@ -63,7 +63,7 @@
   settings::Operator op;
   Cluster c{platform, op};
   Instant now{seconds(100)};
-  uint64_t session = 1, seq = 0, token = 5, stamp = 20;
+  uint64_t session = 1, seq = 0, token = 5, mod_revision = 20;
   Effects effects;
 };
 
@@ -457,7 +457,7 @@
   Job& j = add(job("run-000001", 2));
   send(report());
   Machine& h = *c.find_machine("vm-1");
-  j.stamp = 10;
+  j.mod_revision = 10;
   JobSpec big = job("run-000002", 1);
   big.need = {8, 0, 4};
   Job& whole = add(big);
@@ -465,7 +465,7 @@
   c.allocate_ahead(h, j, *j.take_pending(), c.next_attempt(), {0, 1}, now);
   c.allocate_ahead(h, j, *j.take_pending(), c.next_attempt(), {0, 0}, now);
   Effects n;
-  c.machine_stored(h, c.record_of(h), ++stamp, n);
+  c.machine_stored(h, c.record_of(h), ++mod_revision, n);
   EXPECT_EQ(h.used.cpus, 8) << "what waits takes no room";
   EXPECT_EQ(c.usage(0).used.cpus, 8);
   EXPECT_EQ(j.pending(), 0u);
@@ -507,7 +507,7 @@
     c.allocate_ahead(h, j, *j.take_pending(), c.next_attempt(), {}, now);
   }
   Effects n;
-  c.machine_stored(h, c.record_of(h), ++stamp, n);
+  c.machine_stored(h, c.record_of(h), ++mod_revision, n);
   EXPECT_EQ(send(report()).size(), 2u);
   // Saved up for a gang of the team: nothing more of it is given away.
   c.set_held({}, {Resources{}, Resources{}, Resources{4, 0, 0}});
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -362,7 +362,7 @@
       Effects effects;
       wire::MachineRecord record = state_.cluster.record_of(*h);
       if (const auto m = machines_.find(id); m != machines_.end()) m->second.stored = record;
-      state_.cluster.machine_stored(*h, record, ++stamp_, effects);
+      state_.cluster.machine_stored(*h, record, ++mod_revision_, effects);
     }
   }
 
@@ -379,7 +379,7 @@
   std::map<std::string, WallTime> submitted_;
   std::map<std::string, std::set<uint32_t>> done_;
   uint64_t epoch_ = 0;
-  uint64_t stamp_ = 10;
+  uint64_t mod_revision_ = 10;
   bool failed_ = false;
 };
 
--- a/tests/state_service.cpp
+++ b/tests/state_service.cpp
@@ -152,8 +152,8 @@
   for (size_t i = 0; i < guards.size(); ++i) {
     const std::string key(*guards.at(i)["key"].text());
     const auto it = data.find(key);
-    const uint64_t stamp = it == data.end() ? 0 : it->second.stamp;
-    if (stamp != *guards.at(i)["stamp"].count()) failed.push_back(key);
+    const uint64_t mod_revision = it == data.end() ? 0 : it->second.mod_revision;
+    if (mod_revision != *guards.at(i)["stamp"].count()) failed.push_back(key);
   }
   Writer w;
   if (!failed.empty()) {
@@ -249,7 +249,7 @@
     return reply(404, w.take());
   } else {
     w.map(4).key("key").text(it->first).key("v").raw(it->second.value);
-    w.key("stamp").count(it->second.stamp).key("tenancy");
+    w.key("stamp").count(it->second.mod_revision).key("tenancy");
     it->second.lease ? w.count(it->second.lease) : w.null();
     return reply(200, w.take());
   }
@@ -275,7 +275,7 @@
   Writer w;
   w.map(3).key("rows").list(rows.size());
   for (const auto& [k, e] : rows) {
-    w.map(3).key("key").text(k).key("v").raw(e->value).key("stamp").count(e->stamp);
+    w.map(3).key("key").text(k).key("v").raw(e->value).key("stamp").count(e->mod_revision);
   }
   w.key("more").flag(more).key("ledgerRev").count(revision_);
   return reply(200, w.take());
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -102,7 +102,7 @@
 
   struct Entry {
     std::string value;  // packed
-    uint64_t stamp = 0;
+    uint64_t mod_revision = 0;
     uint64_t lease = 0;
   };
   std::map<std::string, Entry> data;
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -179,7 +179,8 @@
   const auto stored = s.state.data.find(wire::machine_key(machine));
   ASSERT_NE(stored, s.state.data.end());
   for (int k = 0; k < 4; ++k) {
-    // The same contents under another stamp: the new leader's next write meets a guard that fails.
+    // The same contents under another mod revision: the new leader's next write meets a guard that
+    // fails.
     s.state.put(wire::machine_key(machine), std::string(stored->second.value));
     s.run_for(Millis(700));
   }
--- a/tests/zoned_cluster.hpp
+++ b/tests/zoned_cluster.hpp
@@ -55,7 +55,7 @@
     cluster::Allocation* allocation = cluster.allocate(
         machine, j, *j.take_pending(), attempt != 0 ? attempt : cluster.next_attempt(), now);
     cluster::Effects effects;
-    cluster.machine_stored(machine, cluster.record_of(machine), ++stamp, effects);
+    cluster.machine_stored(machine, cluster.record_of(machine), ++mod_revision, effects);
     return *allocation;
   }
   void run(cluster::Job& j, cluster::Machine& machine) {
@@ -77,7 +77,7 @@
   Instant now{seconds(100)};
   WallTime wall{Millis(1'000'000)};
   uint64_t sequence = 1;
-  uint64_t stamp = 20;
+  uint64_t mod_revision = 20;
 };
 
 }  // namespace dunlinknot::test
