--- a/src/dunlinknot/cluster/allocations.cpp
+++ b/src/dunlinknot/cluster/allocations.cpp
@@ -10,8 +10,8 @@
 namespace dunlinknot::cluster {
 
 void Cluster::add_allocation(Machine& h, Allocation b) {
-  if (b.ahead) {
-    ++h.ahead;
+  if (b.queued) {
+    ++h.queued_tasks;
   } else {
     h.used += b.need;
     if (b.team >= 0) usage_[static_cast<size_t>(b.team)].used += b.need;
@@ -26,7 +26,7 @@
 void Cluster::count_for_job(Job& j, const Allocation& b) {
   if (b.task.index >= j.spec().tasks) return;
   j.add_allocation(b.task.index);
-  if (b.ahead) ++j.ahead;
+  if (b.queued) ++j.queued_tasks;
   if (b.state == TaskState::running) ++j.running;
   if (b.gang) j.gang_attempt = std::max(j.gang_attempt, b.attempt);
 }
@@ -41,8 +41,8 @@
   Effects effects;
   const Allocation b = std::move(h.allocations[i]);
   h.allocations.erase(h.allocations.begin() + static_cast<ptrdiff_t>(i));
-  if (b.ahead) {
-    --h.ahead;
+  if (b.queued) {
+    --h.queued_tasks;
   } else {
     h.used -= b.need;
     if (b.team >= 0) usage_[static_cast<size_t>(b.team)].used -= b.need;
@@ -60,7 +60,7 @@
   effects.schedule = true;
   Job* j = job(b.task.job);
   if (!j || b.task.index >= j->spec().tasks) return effects;
-  if (b.ahead) --j->ahead;
+  if (b.queued) --j->queued_tasks;
   if (b.state == TaskState::running && j->running > 0) --j->running;
   if (b.service) count_restart(b, h);
   j->remove_allocation(b.task.index);
@@ -128,11 +128,11 @@
   return &h.allocations.back();
 }
 
-Allocation* Cluster::allocate_ahead(Machine& h, Job& j, uint32_t index, uint64_t attempt, Turn turn,
-                                    Instant now) {
+Allocation* Cluster::queue_on(Machine& h, Job& j, uint32_t index, uint64_t attempt, Turn turn,
+                              Instant now) {
   if (!may_allocate(h, j, index)) return nullptr;
   Allocation b = make_allocation(h, j, index, attempt, now);
-  b.ahead = true;
+  b.queued = true;
   b.turn = turn;
   add_allocation(h, std::move(b));
   return &h.allocations.back();
@@ -157,17 +157,17 @@
   return b;
 }
 
-bool Cluster::take_back_ahead(const std::string& id, Instant now) {
+bool Cluster::withdraw_queued(const std::string& id, Instant now) {
   Machine* most = nullptr;
   for (Machine* h : holders(id)) {
     const bool any = find_where(h->allocations,
-                                [&](const Allocation& b) { return b.ahead && b.task.job == id; });
-    if (any && (!most || h->ahead > most->ahead)) most = h;
+                                [&](const Allocation& b) { return b.queued && b.task.job == id; });
+    if (any && (!most || h->queued_tasks > most->queued_tasks)) most = h;
   }
   if (!most) return false;
   for (size_t i = most->allocations.size(); i-- > 0;) {
     const Allocation& b = most->allocations[i];
-    if (!b.ahead || b.task.job != id) continue;
+    if (!b.queued || b.task.job != id) continue;
     (void)end_allocation(*most, i, now);
     return true;
   }
@@ -190,11 +190,11 @@
 // The room that a task leaves is taken at once by one that waits for it on the machine: its
 // allocation stands already, so its `run` goes out with the answer to the very report that told of
 // the room.
-void Cluster::promote_ahead(Machine& h, Instant now) {
-  if (h.ahead == 0) return;
+void Cluster::start_queued(Machine& h, Instant now) {
+  if (h.queued_tasks == 0) return;
   std::vector<Allocation*> waiting;
   for (Allocation& b : h.allocations) {
-    if (b.ahead && b.phase == Phase::durable) waiting.push_back(&b);
+    if (b.queued && b.phase == Phase::durable) waiting.push_back(&b);
   }
   std::stable_sort(waiting.begin(), waiting.end(), [](const Allocation* a, const Allocation* b) {
     return a->turn.before(b->turn);
@@ -219,9 +219,9 @@
       if (over(team.gpus_max, used.gpus, b->need.gpus)) continue;
       usage_[t].used += b->need;
     }
-    b->ahead = false;
-    --h.ahead;
-    --j->ahead;
+    b->queued = false;
+    --h.queued_tasks;
+    --j->queued_tasks;
     h.used += b->need;
   }
 }
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -65,7 +65,7 @@
   Instant running_since{};  // zero: not seen running
   // Stands in the record, but waits on the machine for room that other tasks there will leave: its
   // `run` has not gone out. It takes no room and none of its team's limit until then.
-  bool ahead = false;
+  bool queued = false;
   Turn turn;
   StopReason stop = StopReason::none;
   Seconds grace{0};
@@ -123,17 +123,18 @@
 
   std::vector<Allocation> allocations;
   Resources used;
-  Resources held;  // promised to others: holds of nominations, headroom; ahead tasks leave it alone
-  uint32_t ahead = 0;
+  Resources
+      held;  // promised to others: holds of nominations, headroom; queued tasks leave it alone
+  uint32_t queued_tasks = 0;
   std::vector<CachedImage> images;  // most recently used last; a guess from what was started there
 
   // Its record in the state service.
   uint64_t mod_revision = 0;
   bool mod_revision_known = true;
-  bool dirty = false;     // allocations were added
-  bool queued = false;    // in the queue of records to be written
-  bool urgent = false;    // in the queue of those that are written first
-  bool trailing = false;  // allocations ended: rewritten when there is time
+  bool dirty = false;         // allocations were added
+  bool write_queued = false;  // in the queue of records to be written
+  bool urgent = false;        // in the queue of those that are written first
+  bool trailing = false;      // allocations ended: rewritten when there is time
   bool storing = false;
   std::vector<std::pair<TaskRef, uint64_t>> stored;
 
@@ -250,12 +251,12 @@
   // an allocation has asked `constraints_of` before, so that is a fault of the plan: it is logged
   // and counted.
   Allocation* allocate(Machine& machine, Job& job, uint32_t index, uint64_t attempt, Instant now);
-  Allocation* allocate_ahead(Machine& machine, Job& job, uint32_t index, uint64_t attempt,
-                             Turn turn, Instant now);
+  Allocation* queue_on(Machine& machine, Job& job, uint32_t index, uint64_t attempt, Turn turn,
+                       Instant now);
   uint64_t refused_allocations() const { return refused_allocations_; }
   // Takes one of the job's tasks that wait on some machine back, so that it can go elsewhere.
-  bool take_back_ahead(const std::string& job, Instant now);
-  // What ahead tasks must leave free: on machines, and of teams' limits.
+  bool withdraw_queued(const std::string& job, Instant now);
+  // What queued tasks must leave free: on machines, and of teams' limits.
   void set_held(const std::map<std::string, Resources>& by_machine, std::vector<Resources> by_team);
   void stop(Machine& machine, Allocation& allocation, StopReason reason, Seconds grace,
             Instant now);
@@ -331,7 +332,7 @@
   void on_error(Machine& h, Job* job, Instant now);
   void suspect(Machine& h, Instant now);
   void clear_suspicion(Machine& h, Instant now) const;
-  void promote_ahead(Machine& h, Instant now);
+  void start_queued(Machine& h, Instant now);
   bool sendable(const Allocation& b) const;
   bool fresh(Machine& h, const WorkerReport& b) const;
   void take_report(Machine& h, const WorkerReport& b, Instant now, bool complete, Effects& effects);
--- a/src/dunlinknot/cluster/job.hpp
+++ b/src/dunlinknot/cluster/job.hpp
@@ -69,7 +69,7 @@
   Nanos backoff{0};
   Instant not_before{};
 
-  uint32_t ahead = 0;         // tasks that wait on machines for room there
+  uint32_t queued_tasks = 0;  // tasks that wait on machines for room there
   uint32_t running = 0;       // tasks reported running
   uint64_t gang_attempt = 0;  // the attempt under way
   bool gang_go = false;       // all its allocations are durable: runs may go out
--- a/src/dunlinknot/cluster/records.cpp
+++ b/src/dunlinknot/cluster/records.cpp
@@ -9,9 +9,9 @@
 
 void Cluster::mark_dirty(Machine& h, bool urgent) {
   h.dirty = true;
-  if (h.urgent || (h.queued && !urgent)) return;
+  if (h.urgent || (h.write_queued && !urgent)) return;
   // One that waits already may become urgent: its other place in the queue is passed over later.
-  (urgent ? h.urgent : h.queued) = true;
+  (urgent ? h.urgent : h.write_queued) = true;
   (urgent ? urgent_machines_ : dirty_machines_).push_back(h.id);
 }
 
@@ -23,7 +23,7 @@
     queue.pop_front();
     Machine* h = find_machine(id);
     if (!h) continue;
-    (urgent ? h->urgent : h->queued) = false;
+    (urgent ? h->urgent : h->write_queued) = false;
     if (h->dirty) return h;
   }
   return nullptr;
@@ -33,7 +33,7 @@
   const bool urgent = std::any_of(
       h.allocations.begin(), h.allocations.end(),
       [](const Allocation& b) { return b.phase == Phase::planned && (b.gang || b.service); });
-  bool& waits = urgent ? h.urgent : h.queued;
+  bool& waits = urgent ? h.urgent : h.write_queued;
   if (waits) return;
   waits = true;
   (urgent ? urgent_machines_ : dirty_machines_).push_front(h.id);
--- a/src/dunlinknot/cluster/reports.cpp
+++ b/src/dunlinknot/cluster/reports.cpp
@@ -69,7 +69,7 @@
   take_report(h, b, now, true, changed);
   effects |= changed;
   if (!may_start || h.draining || h.deleting) return answer;
-  promote_ahead(h, now);
+  start_queued(h, now);
   const auto planned = [](const Allocation& k) { return k.phase == Phase::planned; };
   if (!h.ours || h.unreachable || h.recall_at) return answer;
   if (find_where(h.allocations, [&](const Allocation& k) { return sendable(k); })) return answer;
@@ -79,7 +79,7 @@
 }
 
 bool Cluster::sendable(const Allocation& k) const {
-  if (k.phase != Phase::durable || k.ahead || k.stopping()) return false;
+  if (k.phase != Phase::durable || k.queued || k.stopping()) return false;
   const Job* j = job(k.task.job);
   return j && (!k.gang || (j->gang_go && j->gang_attempt == k.attempt));  // safety 4
 }
--- a/src/dunlinknot/node/cluster_report.cpp
+++ b/src/dunlinknot/node/cluster_report.cpp
@@ -15,8 +15,8 @@
 }
 
 void add_allocation(ClusterTotals& totals, const Allocation& b) {
-  if (b.ahead) {
-    ++totals.ahead;
+  if (b.queued) {
+    ++totals.queued;
     return;
   }
   totals.planned += b.phase == Phase::planned ? 1 : 0;
@@ -63,7 +63,7 @@
     t.size += h->size;
     t.used += h->used;
     for (const Allocation& b : h->allocations) {
-      if (!b.ahead && b.need.gpus <= 0) (b.gang ? t.gangs : t.arrays) += b.need;
+      if (!b.queued && b.need.gpus <= 0) (b.gang ? t.gangs : t.arrays) += b.need;
     }
   }
   return types;
@@ -74,9 +74,9 @@
                 t.durable, t.sent, t.records_to_write);
   spdlog::info(
       "cluster: {} of {} machines up, {:.0f} of {:.0f} cpus and {:.0f} of {:.0f} gpus allocated; "
-      "tasks: {} running, {} fetching, {} starting or stopping, {} ahead, {} waiting",
+      "tasks: {} running, {} fetching, {} starting or stopping, {} queued on machines, {} waiting",
       t.machines_up, t.machines, t.used.cpus, t.size.cpus, t.used.gpus, t.size.gpus, t.running,
-      t.fetching, t.in_transition, t.ahead, t.waiting);
+      t.fetching, t.in_transition, t.queued, t.waiting);
   if (t.replicas_wanted > 0) {
     spdlog::info("services: {} of {} replicas running", t.replicas_running, t.replicas_wanted);
   }
--- a/src/dunlinknot/node/cluster_report.hpp
+++ b/src/dunlinknot/node/cluster_report.hpp
@@ -18,7 +18,7 @@
   size_t running = 0;
   size_t fetching = 0;
   size_t in_transition = 0;  // starting or stopping
-  size_t ahead = 0;
+  size_t queued = 0;
   size_t waiting = 0;
   // Allocations that wait for their record to be written, for a report to answer, for the worker.
   size_t planned = 0;
--- a/src/dunlinknot/preemption/fit.cpp
+++ b/src/dunlinknot/preemption/fit.cpp
@@ -108,7 +108,7 @@
   if (who.beyond) beyond = *who.beyond;
   for (size_t i = 0; i < h.allocations.size(); ++i) {
     const cluster::Allocation& b = h.allocations[i];
-    if (b.gang || b.ahead) continue;  // gangs are never victims; what waits there holds no room
+    if (b.gang || b.queued) continue;  // gangs are never victims; what waits there holds no room
     const bool listed = on_list(list, b);
     if (b.stopping() && !listed) continue;  // leaves for another reason, on its own time
     bool allowed = b.priority < who.priority || listed;
--- a/src/dunlinknot/scheduler/apply.cpp
+++ b/src/dunlinknot/scheduler/apply.cpp
@@ -22,7 +22,7 @@
                 machine.type);
   for (uint32_t i = 0; i < placement.count; ++i) {
     auto index = job.take_pending();
-    if (!index && cluster.take_back_ahead(placement.job, now)) index = job.take_pending();
+    if (!index && cluster.withdraw_queued(placement.job, now)) index = job.take_pending();
     if (!index || !cluster.allocate(machine, job, *index, cluster.next_attempt(), now)) return;
     effects.store_machines = true;
   }
@@ -48,14 +48,15 @@
   effects.store_machines = true;
 }
 
-void allocate_ahead(const Ahead& ahead, LeaderState& state, Instant now, Effects& effects) {
+void queue_tasks(const QueuedPlacement& placement, LeaderState& state, Instant now,
+                 Effects& effects) {
   cluster::Cluster& cluster = state.cluster;
-  Job& job = *cluster.job(ahead.job);
-  Machine& machine = *cluster.find_machine(ahead.machine);
-  for (uint32_t i = 0; i < ahead.count; ++i) {
+  Job& job = *cluster.job(placement.job);
+  Machine& machine = *cluster.find_machine(placement.machine);
+  for (uint32_t i = 0; i < placement.count; ++i) {
     const auto index = job.take_pending();
     if (!index) return;
-    if (!cluster.allocate_ahead(machine, job, *index, cluster.next_attempt(), ahead.turn, now))
+    if (!cluster.queue_on(machine, job, *index, cluster.next_attempt(), placement.turn, now))
       return;
     effects.store_machines = true;
   }
@@ -83,7 +84,7 @@
   for (const uint64_t id : plan.cleared) state.nominations.end(id, preemption::End::cleared);
   for (const Placement& placement : plan.placements) allocate_tasks(placement, state, now, effects);
   for (const GangPlacement& gang : plan.gangs) allocate_gang(gang, state, now, effects);
-  for (const Ahead& ahead : plan.ahead) allocate_ahead(ahead, state, now, effects);
+  for (const QueuedPlacement& placement : plan.queued) queue_tasks(placement, state, now, effects);
   state.cluster.set_held(plan.held, plan.saved);
   state.cluster.set_work_waits(plan.waiting_tasks > 0);
   for (const Eviction& eviction : plan.evictions) evict(eviction, state, now, effects);
--- a/src/dunlinknot/scheduler/arrays.cpp
+++ b/src/dunlinknot/scheduler/arrays.cpp
@@ -5,14 +5,14 @@
 
 namespace {
 
-constexpr uint32_t kAheadTurns = 4;   // at most so many times what fits there
-constexpr uint32_t kFirstShare = 16;  // an overdue job begins with one in so many of its tasks
+constexpr uint32_t kMostQueuedRuns = 4;  // at most so many times what fits there
+constexpr uint32_t kFirstShare = 16;     // an overdue job begins with one in so many of its tasks
 
 }  // namespace
 
 void Round::consider_array(const Waiting& w) {
   const Job& j = *w.job;
-  if (j.pending() + j.ahead == 0) {
+  if (j.pending() + j.queued_tasks == 0) {
     prepare_move(w);
     return;
   }
@@ -49,15 +49,15 @@
   if (placed == 0) note_waiting(j, cause);
   if (placed == j.pending() && placed < allowed) {
     // Room for what waits elsewhere: it need not wait, if that is sooner.
-    (void)place_array(w, std::min(j.ahead, allowed - placed), constraints, ahead_span_);
+    (void)place_array(w, std::min(j.queued_tasks, allowed - placed), constraints, queue_span_);
   } else if (own.empty()) {
-    place_ahead(w, j.pending() - placed);
+    queue_on_busy_machines(w, j.pending() - placed);
   }
 }
 
-void Round::place_ahead(const Waiting& w, uint32_t n) {
+void Round::queue_on_busy_machines(const Waiting& w, uint32_t n) {
   const JobSpec& spec = w.job->spec();
-  if (n == 0 || ahead_span_ <= 0 || w.job->failing || spec.service) return;
+  if (n == 0 || queue_span_ <= 0 || w.job->failing || spec.service) return;
   // Where a task that waits on a machine would be in the way of the others, or they in its way.
   if (PlacementConstraints(spec).zone_bound()) return;
   const cluster::Turn mine = absolute(w.turn());
@@ -67,9 +67,9 @@
     // At its limit only what ends of its own makes room.
     const double running = std::max(spec.need.cpus > 0 ? used.cpus / spec.need.cpus : 0,
                                     spec.need.gpus > 0 ? used.gpus / spec.need.gpus : 0);
-    const auto most = static_cast<uint32_t>(std::ceil(running * ahead_span_ / run));
-    uint32_t& already = limited_ahead_[w.job->team()];
-    already += w.job->ahead;
+    const auto most = static_cast<uint32_t>(std::ceil(running * queue_span_ / run));
+    uint32_t& already = queued_at_limit_[w.job->team()];
+    already += w.job->queued_tasks;
     n = std::min(n, most > already ? most - already : 0);
     already += n;
   }
@@ -78,25 +78,25 @@
     if (!kind.type || !offer_allowed(spec, offer)) continue;
     const uint32_t slots = preemption::tasks_in(kind.type->size, spec.need, 10'000);
     if (slots == 0) continue;
-    const auto cap = std::clamp(static_cast<uint32_t>(std::ceil(slots * ahead_span_ / run)), 1u,
-                                slots * kAheadTurns);
+    const auto cap = std::clamp(static_cast<uint32_t>(std::ceil(slots * queue_span_ / run)), 1u,
+                                slots * kMostQueuedRuns);
     for (Slot* s : kind.ready) {
       if (n == 0) return;
-      if (!s->kept_for.empty() || s->ahead >= cap * 2 || !s->machine->has_image(spec.image))
+      if (!s->kept_for.empty() || s->queued_tasks >= cap * 2 || !s->machine->has_image(spec.image))
         continue;
-      uint32_t before = s->ahead - s->machine->ahead;
-      if (s->machine->ahead > 0) {
+      uint32_t before = s->queued_tasks - s->machine->queued_tasks;
+      if (s->machine->queued_tasks > 0) {
         for (const Allocation& b : s->machine->allocations) {
-          if (b.ahead && !mine.before(b.turn)) ++before;
+          if (b.queued && !mine.before(b.turn)) ++before;
         }
       }
       // Filled up when half is gone, not one by one.
       if (before * 2 > cap || !may_use(*w.job, *s)) continue;
       const uint32_t k = std::min({n, cap - before, record_allows(*w.job, *s)});
-      s->ahead += k;
+      s->queued_tasks += k;
       n -= k;
       take_record(*w.job, *s, k);
-      plan_.ahead.push_back({spec.id, s->machine->id, k, mine});
+      plan_.queued.push_back({spec.id, s->machine->id, k, mine});
     }
   }
 }
--- a/src/dunlinknot/scheduler/gangs.cpp
+++ b/src/dunlinknot/scheduler/gangs.cpp
@@ -163,7 +163,7 @@
       if (!may_use(j, *s)) continue;
       std::vector<std::pair<double, const Allocation*>> ends;
       for (const Allocation& b : s->machine->allocations) {
-        if (!b.gang && !b.ahead && !b.service) ends.emplace_back(ends_in(b), &b);
+        if (!b.gang && !b.queued && !b.service) ends.emplace_back(ends_in(b), &b);
       }
       std::sort(ends.begin(), ends.end());
       Resources room = s->room.free();
--- a/src/dunlinknot/scheduler/queue.cpp
+++ b/src/dunlinknot/scheduler/queue.cpp
@@ -44,7 +44,7 @@
 
 bool Round::overdue(const Job& j) const {
   const double age = waited(j);
-  if (j.done_count() == 0 && j.live_count() == j.ahead) return age > most_wait(j.spec());
+  if (j.done_count() == 0 && j.live_count() == j.queued_tasks) return age > most_wait(j.spec());
   if (j.spec().service) return false;
   const double due = j.spec().deadline ? j.spec().deadline->count() : kNoDeadline.count();
   return age > due + kMostLate.count();
@@ -53,7 +53,7 @@
 std::vector<Round::Waiting> Round::queue() const {
   std::vector<Waiting> q;
   for (const auto& [id, j] : cluster_.jobs()) {
-    const bool waits = j->pending() + j->ahead > 0 || replicas_leaving(*j) > 0;
+    const bool waits = j->pending() + j->queued_tasks > 0 || replicas_leaving(*j) > 0;
     if (!waits || now_ < j->not_before || j->team() < 0) continue;
     const Due d = due(*j);
     q.push_back({j.get(), guaranteed_.contains(id), d.in, d.late, overdue(*j)});
--- a/src/dunlinknot/scheduler/round.cpp
+++ b/src/dunlinknot/scheduler/round.cpp
@@ -5,9 +5,9 @@
 
 namespace {
 
-constexpr double kAheadWrites = 0.5;  // of the state service's writes, for allocations ahead
-constexpr double kMostAhead = 20;     // seconds of work allocated ahead on a machine
-constexpr size_t kMostHeld = 3;       // overdue gangs that room is kept for at a time
+constexpr double kQueuedWriteShare = 0.5;  // of the state service's writes, for queued allocations
+constexpr double kMostQueueSpan = 20;      // seconds of work queued on the machine on a machine
+constexpr size_t kMostHeld = 3;            // overdue gangs that room is kept for at a time
 constexpr double kMostStranded = 1;
 constexpr double kNearLimit = 1.05;   // a team's use from which it counts as being at its limit
 constexpr double kBusyFetches = 0.5;  // a second fetch shares the rate with the first
@@ -32,11 +32,11 @@
   }
   given_up_.resize(usage_.size());
   plan_.saved.resize(usage_.size());
-  // So much work ahead that the state service's writes suffice for the allocations. Where they
+  // So much queued work that the state service's writes suffice for the allocations. Where they
   // suffice for one task at a time, every freed place goes to whatever is due first.
   const double write_rps = platform_.lowest_state_write_rps();
-  ahead_span_ = static_cast<double>(slots_.size()) / (write_rps * kAheadWrites);
-  ahead_span_ = ahead_span_ < platform_.report.count() ? 0 : std::min(ahead_span_, kMostAhead);
+  queue_span_ = static_cast<double>(slots_.size()) / (write_rps * kQueuedWriteShare);
+  queue_span_ = queue_span_ < platform_.report.count() ? 0 : std::min(queue_span_, kMostQueueSpan);
   for (const auto& [id, j] : cluster_.jobs()) {
     if (j->spec().need.gpus <= 0 || j->pending() == 0 || j->team() < 0) continue;
     // What waits for its team's limit rather than for a place wants none; tasks that just ended
@@ -93,9 +93,9 @@
     const bool coming = expected_up(*h);
     if ((!ready && !coming) || h->size.cpus <= 0) continue;
     Slot& s = add_slot(h.get(), *h, kind_of(*h), coming);
-    s.ahead = h->ahead;
+    s.queued_tasks = h->queued_tasks;
     for (const Allocation& b : h->allocations) {
-      if (b.ahead || b.state != TaskState::fetching || b.image.empty()) continue;
+      if (b.queued || b.state != TaskState::fetching || b.image.empty()) continue;
       s.fetching.push_back(b.image);
       s.gang_fetches |= b.gang;
     }
@@ -165,8 +165,9 @@
 }
 
 void Round::note_waiting(const Job& j, WaitCause cause) {
-  if (j.live_count() > j.ahead || j.done_count() > 0) return;
-  plan_.waiting_jobs.push_back({j.spec().id, j.ahead > 0 ? WaitCause::allocated_ahead : cause});
+  if (j.live_count() > j.queued_tasks || j.done_count() > 0) return;
+  plan_.waiting_jobs.push_back(
+      {j.spec().id, j.queued_tasks > 0 ? WaitCause::queued_on_machine : cause});
 }
 
 void Round::consider(const Waiting& w) {
--- a/src/dunlinknot/scheduler/round.hpp
+++ b/src/dunlinknot/scheduler/round.hpp
@@ -57,7 +57,7 @@
   std::string_view kept_for;
   Priority kept_priority = Priority::low;  // of what it is kept for
   std::optional<size_t> record_room;       // bytes left in its record
-  uint32_t ahead = 0;                      // tasks that wait there, this round's included
+  uint32_t queued_tasks = 0;               // tasks that wait there, this round's included
   const std::string& zone() const { return kind->offer.zone; }
 };
 
@@ -180,9 +180,9 @@
 
   void consider_array(const Waiting& w);
 
-  // Seconds of work allocated ahead on a full machine: enough that the budget for writing
+  // Seconds of work queued on the machine on a full machine: enough that the budget for writing
   // allocations down is spent on many at a time, and that a task that ends is followed at once.
-  void place_ahead(const Waiting& w, uint32_t n);
+  void queue_on_busy_machines(const Waiting& w, uint32_t n);
 
   cluster::Turn absolute(cluster::Turn t) const;
 
@@ -329,8 +329,8 @@
   std::set<Shape> hopeless_;
   std::set<const Job*> kept_gangs_;      // room is kept for them
   std::set<const Job*> overdue_placed_;  // before the queue's turn
-  double ahead_span_ = 0;                // seconds of work that may wait on a machine
-  std::map<int, uint32_t> limited_ahead_;
+  double queue_span_ = 0;                // seconds of work that may wait on a machine
+  std::map<int, uint32_t> queued_at_limit_;
   size_t requested_ = 0;
   bool accelerators_wanted_ = false;  // some task that needs them waits
   Plan plan_;
--- a/src/dunlinknot/scheduler/scheduler.cpp
+++ b/src/dunlinknot/scheduler/scheduler.cpp
@@ -8,7 +8,7 @@
   switch (cause) {
     case WaitCause::team_limit:
       return "its team's limit";
-    case WaitCause::allocated_ahead:
+    case WaitCause::queued_on_machine:
       return "a task to end on the machine where it is allocated";
     case WaitCause::machine_coming:
       return "a machine that is coming";
--- a/src/dunlinknot/scheduler/scheduler.hpp
+++ b/src/dunlinknot/scheduler/scheduler.hpp
@@ -36,7 +36,7 @@
 };
 
 // Tasks allocated on a machine that is full: each starts when a task there ends.
-struct Ahead {
+struct QueuedPlacement {
   std::string job;
   std::string machine;
   uint32_t count = 0;
@@ -66,12 +66,12 @@
 
 // What a job that has not begun waits for.
 enum class WaitCause : uint8_t {
-  team_limit,       // its team's limit is used up, or saved up for it
-  allocated_ahead,  // a task to end on the machine where it is allocated
-  machine_coming,   // a machine that boots or was asked for
-  eviction,         // tasks that are being stopped for it
-  room_kept,        // room is kept for it where tasks are to end
-  no_room,          // no allowed machine has room, and none can be rented
+  team_limit,         // its team's limit is used up, or saved up for it
+  queued_on_machine,  // a task to end on the machine where it is allocated
+  machine_coming,     // a machine that boots or was asked for
+  eviction,           // tasks that are being stopped for it
+  room_kept,          // room is kept for it where tasks are to end
+  no_room,            // no allowed machine has room, and none can be rented
 };
 std::string_view text(WaitCause cause);
 
@@ -83,8 +83,8 @@
 struct Plan {
   std::vector<Placement> placements;
   std::vector<GangPlacement> gangs;
-  std::vector<Ahead> ahead;
-  std::map<std::string, Resources> held;  // by machine: room that ahead tasks must leave
+  std::vector<QueuedPlacement> queued;
+  std::map<std::string, Resources> held;  // by machine: room that queued tasks must leave
   std::vector<Resources> saved;           // by team: of its limit, for gangs
   std::vector<CapacityRequest> capacity_requests;
   std::vector<Eviction> evictions;
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -452,7 +452,7 @@
   EXPECT_LT(wire::write_machine_record(c.record_of(h)).size(), platform.state_limits.value_bytes);
 }
 
-TEST_F(ClusterTest, AnAheadTaskStartsWithTheReportThatTellsOfTheRoom) {
+TEST_F(ClusterTest, AQueuedTaskStartsWithTheReportThatTellsOfTheRoom) {
   // Found on the grown deployment: one write a task used the state service's budget up.
   Job& j = add(job("run-000001", 2));
   send(report());
@@ -462,8 +462,8 @@
   big.need = {8, 0, 4};
   Job& whole = add(big);
   const Allocation first = durable(whole);
-  c.allocate_ahead(h, j, *j.take_pending(), c.next_attempt(), {0, 1}, now);
-  c.allocate_ahead(h, j, *j.take_pending(), c.next_attempt(), {0, 0}, now);
+  c.queue_on(h, j, *j.take_pending(), c.next_attempt(), {0, 1}, now);
+  c.queue_on(h, j, *j.take_pending(), c.next_attempt(), {0, 0}, now);
   Effects n;
   c.machine_stored(h, c.record_of(h), ++mod_revision, n);
   EXPECT_EQ(h.used.cpus, 8) << "what waits takes no room";
@@ -497,28 +497,28 @@
   EXPECT_FALSE(c.find_machine("vm-1"));
 }
 
-TEST_F(ClusterTest, AnAheadTaskRespectsItsTeamsLimit) {
+TEST_F(ClusterTest, AQueuedTaskRespectsItsTeamsLimit) {
   JobSpec s = job("run-000001", 3);
   s.team = "tiny";  // at most 4 cpus
   Job& j = add(s);
   send(report());
   Machine& h = *c.find_machine("vm-1");
   for (int i = 0; i < 3; ++i) {
-    c.allocate_ahead(h, j, *j.take_pending(), c.next_attempt(), {}, now);
+    c.queue_on(h, j, *j.take_pending(), c.next_attempt(), {}, now);
   }
   Effects n;
   c.machine_stored(h, c.record_of(h), ++mod_revision, n);
   EXPECT_EQ(send(report()).size(), 2u);
   // Saved up for a gang of the team: nothing more of it is given away.
   c.set_held({}, {Resources{}, Resources{}, Resources{4, 0, 0}});
-  EXPECT_EQ(j.ahead, 1u);
+  EXPECT_EQ(j.queued_tasks, 1u);
 }
 
-TEST_F(ClusterTest, AnAheadTaskLeavesAMachineThatNothingIsHeardOf) {
+TEST_F(ClusterTest, AQueuedTaskLeavesAMachineThatNothingIsHeardOf) {
   Job& j = add(job("run-000001", 2));
   send(report());
   Machine& h = *c.find_machine("vm-1");
-  c.allocate_ahead(h, j, *j.take_pending(), c.next_attempt(), {}, now);
+  c.queue_on(h, j, *j.take_pending(), c.next_attempt(), {}, now);
   EXPECT_EQ(j.pending(), 1u);
   now += seconds(1);
   c.tick(now);
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -103,11 +103,11 @@
   EXPECT_EQ(j.take_pending(), 1u) << "it can be allocated elsewhere";
 }
 
-TEST_F(AllocationConstraints, AnAllocationAheadInAnotherZoneIsRefused) {
+TEST_F(AllocationConstraints, AQueuedAllocationInAnotherZoneIsRefused) {
   Job& j = add(zoned(2, true, false));
   allocate(j, add_machine("vm-1", "a"));
   Machine& other = add_machine("vm-2", "b");
-  EXPECT_EQ(cluster.allocate_ahead(other, j, *j.take_pending(), cluster.next_attempt(), {}, now),
+  EXPECT_EQ(cluster.queue_on(other, j, *j.take_pending(), cluster.next_attempt(), {}, now),
             nullptr);
   EXPECT_EQ(cluster.refused_allocations(), 1u);
 }
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -284,7 +284,7 @@
       jobs.insert(g.job);
       for (const auto& [machine, n] : g.on) machines.insert(machine);
     }
-    for (const auto& x : decided.ahead) jobs.insert(x.job);
+    for (const auto& x : decided.queued) jobs.insert(x.job);
     for (const auto& id : jobs) check_job(id);
     for (const auto& id : machines) check_machine(id);
     check_promises(decided);
@@ -298,7 +298,7 @@
     Resources team;
     for (const auto& [name, h] : state_.cluster.machines()) {
       for (const Allocation& b : h->allocations) {
-        if (b.team_name == spec.team && !b.ahead) team += b.need;
+        if (b.team_name == spec.team && !b.queued) team += b.need;
         if (b.task.job != id) continue;
         ++zones[h->zone];
         expect(indices.insert(b.task.index).second, "allocated twice: " + b.task.text());
@@ -325,7 +325,7 @@
     const Machine& h = *state_.cluster.find_machine(id);
     Resources used;
     for (const Allocation& b : h.allocations) {
-      if (!b.ahead) used += b.need;
+      if (!b.queued) used += b.need;
     }
     expect(used.fits_in(h.size), "machine " + id + " is overbooked");
     expect(state_.cluster.record_size(h) <= state_.cluster.record_limit(), "record of " + id);
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -403,8 +403,8 @@
   const Plan p = plan();
   EXPECT_TRUE(p.gangs.empty());
   EXPECT_TRUE(p.placements.empty()) << "the free half of vm-1 is the gang's";
-  EXPECT_TRUE(p.ahead.empty());
-  EXPECT_EQ(p.held.count("vm-1") + p.held.count("vm-2"), 2u) << "ahead tasks leave it too";
+  EXPECT_TRUE(p.queued.empty());
+  EXPECT_EQ(p.held.count("vm-1") + p.held.count("vm-2"), 2u) << "queued tasks leave it too";
 }
 
 TEST_F(SchedulerTest, AnOverdueGangsRoomIsKeptBeforeTheQueuesTurn) {
@@ -454,22 +454,22 @@
   EXPECT_EQ(plan().gangs.size(), 1u) << "nothing else is to be had";
 }
 
-TEST_F(SchedulerTest, TasksAreAllocatedAheadOnFullMachinesThatHaveTheImage) {
+TEST_F(SchedulerTest, TasksAreQueuedOnFullMachinesThatHaveTheImage) {
   platform.state_limits.write_rps = 0.2;  // far too few for one write a task
   Machine& h = machine("vm-1");
   Job& j = add(job("run-000001", 100));
   for (int i = 0; i < 4; ++i) run(j, h);
   Plan p = plan();
   EXPECT_TRUE(p.placements.empty());
-  ASSERT_EQ(p.ahead.size(), 1u);
-  EXPECT_EQ(p.ahead[0].machine, "vm-1");
-  const uint32_t count = p.ahead[0].count;
+  ASSERT_EQ(p.queued.size(), 1u);
+  EXPECT_EQ(p.queued[0].machine, "vm-1");
+  const uint32_t count = p.queued[0].count;
   EXPECT_GE(count, 1u);
   EXPECT_LE(count, 16u) << "some seconds of work, no more";
   for (uint32_t i = 0; i < count; ++i) {
-    c.allocate_ahead(h, j, *j.take_pending(), c.next_attempt(), p.ahead[0].turn, now);
+    c.queue_on(h, j, *j.take_pending(), c.next_attempt(), p.queued[0].turn, now);
   }
-  EXPECT_TRUE(plan().ahead.empty()) << "filled up when half of it is gone";
+  EXPECT_TRUE(plan().queued.empty()) << "filled up when half of it is gone";
 }
 
 TEST_F(SchedulerTest, AReportWithoutOurBatonMayBeALateCopy) {
@@ -553,14 +553,14 @@
   EXPECT_EQ(wait_causes(plan()).at("run-000002"), WaitCause::room_kept);
 }
 
-TEST_F(SchedulerTest, TellsThatAJobIsAllocatedAheadOnly) {
+TEST_F(SchedulerTest, TellsThatAJobIsQueuedOnly) {
   Machine& h = machine("vm-1");
   JobSpec large = job("run-000001", 1);
   large.need.cpus = 8;
   run(add(large), h);
   Job& j = add(job("run-000002", 1));
-  c.allocate_ahead(h, j, *j.take_pending(), c.next_attempt(), {}, now);
-  EXPECT_EQ(wait_causes(plan()).at("run-000002"), WaitCause::allocated_ahead);
+  c.queue_on(h, j, *j.take_pending(), c.next_attempt(), {}, now);
+  EXPECT_EQ(wait_causes(plan()).at("run-000002"), WaitCause::queued_on_machine);
 }
 
 TEST_F(SchedulerTest, TellsThatTasksAreBeingStoppedForAJob) {
--- a/tests/zone_constraints_test.cpp
+++ b/tests/zone_constraints_test.cpp
@@ -180,7 +180,7 @@
   gang.id = "run-000002";
   gang.gang = true;
   add(gang);
-  platform.state_limits.write_rps = 0.1;  // work is allocated ahead
+  platform.state_limits.write_rps = 0.1;  // work is queued on the machine
   const Plan p = plan();
   EXPECT_FALSE(p.placements.empty());
   EXPECT_TRUE(p.gangs.empty());
