--- a/src/dunlinknot/fleet/fleet.cpp
+++ b/src/dunlinknot/autoscaler/autoscaler.cpp
@@ -1,10 +1,10 @@
-#include "dunlinknot/fleet/fleet.hpp"
+#include "dunlinknot/autoscaler/autoscaler.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-namespace dunlinknot::fleet {
+namespace dunlinknot::autoscaler {
 
 namespace {
 
@@ -20,44 +20,45 @@
 
 }  // namespace
 
-Fleet::Fleet(cluster::LeaderContext& context, cloud::Client& cloud, duties::Duties* duties)
+Autoscaler::Autoscaler(cluster::LeaderContext& context, cloud::Client& cloud,
+                       duties::Duties* duties)
     : context_(context),
       cloud_(cloud),
       duties_(duties),
-      rentals_(context, cloud, duties),
-      returns_(context, cloud, duties, rentals_) {}
+      scale_out_(context, cloud, duties),
+      scale_in_(context, cloud, duties, scale_out_) {}
 
-void Fleet::begin_term() {
-  rentals_.begin_term();
-  returns_.begin_term();
+void Autoscaler::begin_term() {
+  scale_out_.begin_term();
+  scale_in_.begin_term();
   if (duties_) duties_->intents.begin_term();
 }
 
-Task<bool> Fleet::take_duties(uint64_t term) {
+Task<bool> Autoscaler::take_duties(uint64_t term) {
   if (!duties_) co_return true;
   const auto acquired = co_await duties_->holder.acquire(term);
   if (acquired == duties::Holder::Acquired::term_over) co_return false;
   const std::optional<duties::OpenIntents> open = co_await duties_->intents.load(term);
   if (!open) co_return false;
-  rentals_.resume(open->rentals);
-  returns_.resume(*open);
+  scale_out_.resume(open->scale_out);
+  scale_in_.resume(*open);
   context_.loop.spawn(duties_->holder.keep(term));
   context_.loop.spawn(duties_->intents.remove_ended(term));
   co_return true;
 }
 
-Task<void> Fleet::work(uint64_t term) {
+Task<void> Autoscaler::work(uint64_t term) {
   while (context_.in_term(term)) {
-    co_await rentals_.record(term);
-    if (context_.in_term(term)) co_await returns_.record(term);
+    co_await scale_out_.record(term);
+    if (context_.in_term(term)) co_await scale_in_.record(term);
     if (!context_.in_term(term)) co_return;
-    rentals_.send(term);
-    returns_.send(term);
-    (void)co_await context_.rentals.wait();
+    scale_out_.send(term);
+    scale_in_.send(term);
+    (void)co_await context_.scaling.wait();
   }
 }
 
-Task<void> Fleet::watch_machines(uint64_t term) {
+Task<void> Autoscaler::watch_machines(uint64_t term) {
   Instant next_catalog = context_.loop.now() + kCatalogEvery;
   while (context_.in_term(term)) {
     const Instant began = context_.loop.now();
@@ -70,7 +71,7 @@
       ++pages;
       take_list(list->machines, context_.loop.now());
       if (!list->more || list->machines.empty()) {
-        rentals_.list_was_read();
+        scale_out_.list_was_read();
         break;
       }
       after = list->machines.back().id;
@@ -84,14 +85,14 @@
             [&](LeaderState& p) { p.cluster.set_catalog(std::move(*types)); });
       }
     }
-    // A list of many pages leaves half of the cloud's budget to rentals and returns.
+    // A list of many pages leaves half of the cloud's budget to launches and returns.
     const Seconds paced(pages / (context_.platform.cloud_rps * kListShare));
     co_await context_.loop.sleep_until(
         std::max(context_.loop.now() + kListEvery, began + to_nanos(paced)));
   }
 }
 
-void Fleet::take_list(const std::vector<ListedMachine>& machines, Instant now) {
+void Autoscaler::take_list(const std::vector<ListedMachine>& machines, Instant now) {
   bool changed = false;
   std::vector<std::string> failed;
   context_.leader_state.with([&](LeaderState& p) {
@@ -100,7 +101,7 @@
       const bool known = p.cluster.find_machine(m.id) != nullptr;
       Machine& h = p.cluster.register_machine(m.id, m.type, m.zone, m.spot, now);
       if (!known) {
-        // Not rented under this term, or by a request whose answer was lost: used like any other.
+        // Not launched under this term, or by a request whose answer was lost: used like any other.
         h.known_since = now - to_nanos(m.age);
         changed = true;
         spdlog::info("machine {} ({} in {}) found in the list", m.id, m.type, m.zone);
@@ -115,11 +116,11 @@
       }
     }
   });
-  for (const auto& id : failed) returns_.decide(id, "it failed");
+  for (const auto& id : failed) scale_in_.decide(id, "it failed");
   if (changed) context_.schedule.notify();
 }
 
-void Fleet::sweep(std::vector<std::string> wanted, size_t waiting_tasks, Instant now) {
+void Autoscaler::sweep(std::vector<std::string> wanted, size_t waiting_tasks, Instant now) {
   std::sort(wanted.begin(), wanted.end());
   std::vector<std::pair<std::string, std::string>> out;
   const auto& op = context_.op;
@@ -129,7 +130,7 @@
     for (const auto& id : p.cluster.unreachable_machines())
       out.emplace_back(id, "our answers do not reach it");
     for (const auto& [id, h] : p.cluster.machines()) {
-      if (h->deleting || h->unreachable) continue;
+      if (h->terminating || h->unreachable) continue;
       if (!h->heard) {
         // Some take several times as long; some never come up and cost until they are deleted.
         // What is allocated there by a former leader ends with the deletion (the fast fence).
@@ -171,13 +172,13 @@
       }
     }
   });
-  for (const auto& [id, why] : out) returns_.decide(id, why);
-  returns_.release_resumed();
+  for (const auto& [id, why] : out) scale_in_.decide(id, why);
+  scale_in_.release_resumed();
   if (duties_) {
-    rentals_.settle(now);
+    scale_out_.settle(now);
     // What could not be recorded or sent is tried again.
-    context_.rentals.notify();
+    context_.scaling.notify();
   }
 }
 
-}  // namespace dunlinknot::fleet
+}  // namespace dunlinknot::autoscaler
--- a/src/dunlinknot/fleet/fleet.hpp
+++ b/src/dunlinknot/autoscaler/autoscaler.hpp
@@ -1,21 +1,21 @@
-// The machines: what the cloud lists, what is rented, what is returned and why.
+// The machines: what the cloud lists, what is launched, what is returned and why.
 #pragma once
 #include <string>
 #include <vector>
 
+#include "dunlinknot/autoscaler/scale_in.hpp"
+#include "dunlinknot/autoscaler/scale_out.hpp"
 #include "dunlinknot/cloud/client.hpp"
 #include "dunlinknot/cluster/leader_context.hpp"
 #include "dunlinknot/duties/duties.hpp"
-#include "dunlinknot/fleet/rentals.hpp"
-#include "dunlinknot/fleet/returns.hpp"
 #include "dunlinknot/scheduler/scheduler.hpp"
 
-namespace dunlinknot::fleet {
+namespace dunlinknot::autoscaler {
 
-class Fleet {
+class Autoscaler {
  public:
   // `duties` is null when they are off.
-  Fleet(cluster::LeaderContext& context, cloud::Client& cloud, duties::Duties* duties);
+  Autoscaler(cluster::LeaderContext& context, cloud::Client& cloud, duties::Duties* duties);
 
   // Forgets what was of an earlier term.
   void begin_term();
@@ -23,12 +23,14 @@
   // False when the term ended meanwhile.
   Task<bool> take_duties(uint64_t term);
   Task<void> watch_machines(uint64_t term);  // the list, the catalogue
-  Task<void> work(uint64_t term);            // rentals and returns
+  Task<void> work(uint64_t term);            // launches and returns
 
   // What the scheduler needs to know; and its capacity_requests.
-  scheduler::Market market(Instant now) const { return rentals_.market(now); }
+  scheduler::CloudCapacity cloud_capacity(Instant now) const {
+    return scale_out_.cloud_capacity(now);
+  }
   void order(const std::vector<scheduler::CapacityRequest>& capacity_requests) {
-    rentals_.order(capacity_requests);
+    scale_out_.order(capacity_requests);
   }
   // Looks for machines to return; called after each round.
   void sweep(std::vector<std::string> wanted, size_t waiting_tasks, Instant now);
@@ -39,8 +41,8 @@
   cluster::LeaderContext& context_;
   cloud::Client& cloud_;
   duties::Duties* duties_;
-  Rentals rentals_;
-  Returns returns_;
+  ScaleOut scale_out_;
+  ScaleIn scale_in_;
 };
 
-}  // namespace dunlinknot::fleet
+}  // namespace dunlinknot::autoscaler
--- a/src/dunlinknot/fleet/returns.cpp
+++ b/src/dunlinknot/autoscaler/scale_in.cpp
@@ -1,10 +1,10 @@
-#include "dunlinknot/fleet/returns.hpp"
+#include "dunlinknot/autoscaler/scale_in.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-namespace dunlinknot::fleet {
+namespace dunlinknot::autoscaler {
 
 namespace {
 
@@ -19,50 +19,50 @@
 
 }  // namespace
 
-Returns::Returns(cluster::LeaderContext& context, cloud::Client& cloud, duties::Duties* duties,
-                 Rentals& rentals)
-    : context_(context), cloud_(cloud), duties_(duties), rentals_(rentals) {}
+ScaleIn::ScaleIn(cluster::LeaderContext& context, cloud::Client& cloud, duties::Duties* duties,
+                 ScaleOut& scale_out)
+    : context_(context), cloud_(cloud), duties_(duties), scale_out_(scale_out) {}
 
-void Returns::begin_term() {
+void ScaleIn::begin_term() {
   unrecorded_.clear();
   ready_.clear();
   resumed_.clear();
   removing_ = false;
 }
 
-void Returns::resume(const duties::OpenIntents& open) {
+void ScaleIn::resume(const duties::OpenIntents& open) {
   context_.leader_state.with([&](LeaderState& p) {
-    for (const duties::ReturnIntent& intent : open.returns) {
-      p.cluster.mark_returning(intent.machine);
+    for (const duties::ScaleInIntent& intent : open.scale_in) {
+      p.cluster.mark_terminating(intent.machine);
       resumed_.insert(intent.machine);
     }
     // What stands in an unreadable intent is not known, only which machine it is about: it gets no
     // work, and it is not deleted.
     for (const duties::UnreadableIntent& intent : open.unreadable) {
-      const std::string_view machine = duties::return_name(intent.key);
-      if (!machine.empty()) p.cluster.mark_returning(std::string(machine));
+      const std::string_view machine = duties::scale_in_name(intent.key);
+      if (!machine.empty()) p.cluster.mark_terminating(std::string(machine));
     }
   });
 }
 
-void Returns::decide(const std::string& machine, std::string_view why) {
+void ScaleIn::decide(const std::string& machine, std::string_view why) {
   const bool first = context_.leader_state.with([&](LeaderState& p) {
     Machine* h = p.cluster.find_machine(machine);
-    if (!h || h->deleting) return false;
-    h->deleting = true;
+    if (!h || h->terminating) return false;
+    h->terminating = true;
     return true;
   });
   if (!first) return;
-  spdlog::info("returning machine {}: {}", machine, why);
+  spdlog::info("scaling in: terminating machine {}: {}", machine, why);
   if (duties_) {
     unrecorded_.push_back({machine, std::string(why)});
   } else {
     ready_.push_back(machine);
   }
-  context_.rentals.notify();
+  context_.scaling.notify();
 }
 
-void Returns::release_resumed() {
+void ScaleIn::release_resumed() {
   if (resumed_.empty()) return;
   std::vector<std::string> ready;
   context_.leader_state.with([&](LeaderState& p) {
@@ -72,32 +72,32 @@
     }
   });
   for (const std::string& machine : ready) {
-    spdlog::info("returning machine {}: a former holder decided so", machine);
+    spdlog::info("scaling in: terminating machine {}: decided by a former holder", machine);
     resumed_.erase(machine);
     ready_.push_back(machine);
   }
-  if (!ready.empty()) context_.rentals.notify();
+  if (!ready.empty()) context_.scaling.notify();
 }
 
-Task<void> Returns::record(uint64_t term) {
+Task<void> ScaleIn::record(uint64_t term) {
   if (!duties_ || unrecorded_.empty()) co_return;
-  std::vector<duties::ReturnIntent> intents;
+  std::vector<duties::ScaleInIntent> intents;
   for (const Decision& decision : unrecorded_) {
     if (intents.size() >= duties_->intents.max_batch()) break;
     intents.push_back({decision.machine, decision.why, 0});
   }
-  const bool durable = co_await duties_->intents.record_returns(term, intents);
+  const bool durable = co_await duties_->intents.record_scale_in(term, intents);
   if (!context_.in_term(term) || !durable) co_return;
   for (size_t i = 0; i < intents.size(); ++i) {
     ready_.push_back(std::move(unrecorded_.front().machine));
     unrecorded_.pop_front();
   }
-  if (!unrecorded_.empty()) context_.rentals.notify();
+  if (!unrecorded_.empty()) context_.scaling.notify();
 }
 
-void Returns::send(uint64_t term) {
+void ScaleIn::send(uint64_t term) {
   if (removing_ || ready_.empty()) return;
-  if (duties_ && !duties_->holder.may_act(Duty::give_back)) return;
+  if (duties_ && !duties_->holder.may_act(Duty::scale_in)) return;
   const size_t count = std::min(ready_.size(), kMaxDeletion);
   const auto end = ready_.begin() + static_cast<ptrdiff_t>(count);
   std::vector<std::string> batch(std::make_move_iterator(ready_.begin()),
@@ -107,7 +107,7 @@
   context_.loop.spawn(remove(term, std::move(batch)));
 }
 
-Task<void> Returns::remove(uint64_t term, std::vector<std::string> machines) {
+Task<void> ScaleIn::remove(uint64_t term, std::vector<std::string> machines) {
   const Outcome outcome = co_await cloud_.remove(machines);
   if (!context_.in_term(term)) co_return;
   removing_ = false;
@@ -118,22 +118,22 @@
     co_await context_.loop.sleep(kRepeat);
     if (!context_.in_term(term)) co_return;
   }
-  context_.rentals.notify();
+  context_.scaling.notify();
 }
 
 // By the time of the cloud's answer the machines and everything on them are gone.
-void Returns::removed(const std::vector<std::string>& machines) {
+void ScaleIn::removed(const std::vector<std::string>& machines) {
   Effects effects;
   context_.leader_state.with([&](LeaderState& p) {
     for (const auto& id : machines) {
       if (const Machine* h = p.cluster.find_machine(id))
-        rentals_.end_refusal({h->type, h->zone, h->spot});
+        scale_out_.end_refusal({h->type, h->zone, h->spot});
       effects |= p.cluster.remove_machine(id, context_.loop.now());
     }
   });
   context_.follow_up(effects);
   if (!duties_) return;
-  for (const auto& id : machines) duties_->intents.end_return(id);
+  for (const auto& id : machines) duties_->intents.end_scale_in(id);
 }
 
-}  // namespace dunlinknot::fleet
+}  // namespace dunlinknot::autoscaler
--- a/src/dunlinknot/fleet/returns.hpp
+++ b/src/dunlinknot/autoscaler/scale_in.hpp
@@ -9,17 +9,17 @@
 #include <string_view>
 #include <vector>
 
+#include "dunlinknot/autoscaler/scale_out.hpp"
 #include "dunlinknot/cloud/client.hpp"
 #include "dunlinknot/cluster/leader_context.hpp"
 #include "dunlinknot/duties/duties.hpp"
-#include "dunlinknot/fleet/rentals.hpp"
 
-namespace dunlinknot::fleet {
+namespace dunlinknot::autoscaler {
 
-class Returns {
+class ScaleIn {
  public:
-  Returns(cluster::LeaderContext& context, cloud::Client& cloud, duties::Duties* duties,
-          Rentals& rentals);
+  ScaleIn(cluster::LeaderContext& context, cloud::Client& cloud, duties::Duties* duties,
+          ScaleOut& scale_out);
 
   void begin_term();
   // Goes on with what a former holder decided. These machines get no more work; they are deleted
@@ -45,11 +45,11 @@
   cluster::LeaderContext& context_;
   cloud::Client& cloud_;
   duties::Duties* duties_;
-  Rentals& rentals_;
+  ScaleOut& scale_out_;
   std::deque<Decision> unrecorded_;
   std::deque<std::string> ready_;  // to be deleted
   std::set<std::string> resumed_;  // a former holder's, not ready yet
   bool removing_ = false;
 };
 
-}  // namespace dunlinknot::fleet
+}  // namespace dunlinknot::autoscaler
--- /dev/null
+++ b/src/dunlinknot/autoscaler/scale_out.cpp
@@ -0,0 +1,236 @@
+#include "dunlinknot/autoscaler/scale_out.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "dunlinknot/cluster/find.hpp"
+
+namespace dunlinknot::autoscaler {
+
+namespace {
+
+using cluster::LeaderState;
+using cluster::Machine;
+using duties::Duty;
+using http::Outcome;
+
+constexpr auto kRepeat = Millis(1500);
+constexpr uint32_t kMaxLaunches = 24;
+constexpr uint32_t kMaxCount = 50;  // machines, the cloud's limit for one request
+constexpr size_t kMaxInFlight = 4;
+constexpr int kMostPause = 8;         // times the first
+constexpr double kListLagSpread = 2;  // the list lags by up to so many times its usual lag
+
+std::string_view kind(const scheduler::Offer& offer) {
+  return offer.spot ? "spot" : "ordinary";
+}
+
+}  // namespace
+
+ScaleOut::ScaleOut(cluster::LeaderContext& context, cloud::Client& cloud, duties::Duties* duties)
+    : context_(context), cloud_(cloud), duties_(duties) {}
+
+void ScaleOut::begin_term() {
+  counter_ = 0;
+  launches_.clear();
+  in_flight_.clear();
+  refusals_.clear();
+  unseen_.clear();
+  list_read_ = false;
+}
+
+void ScaleOut::resume(const std::vector<duties::ScaleOutIntent>& intents) {
+  for (const duties::ScaleOutIntent& intent : intents) {
+    Launch launch;
+    launch.request = intent.request;
+    launch.offer = {intent.type, intent.zone, intent.spot};
+    launch.count = intent.count;
+    launch.job = intent.job;
+    launch.recorded = true;
+    launch.doubtful = true;
+    spdlog::info("launch {} of {} x {} {} in {} resumes", launch.request, launch.count,
+                 kind(launch.offer), launch.offer.type, launch.offer.zone);
+    launches_.push_back(std::move(launch));
+  }
+}
+
+scheduler::CloudCapacity ScaleOut::cloud_capacity(Instant now) const {
+  scheduler::CloudCapacity m;
+  for (const Launch& launch : launches_) {
+    if (!launch.parked) m.pending.emplace_back(launch.offer, launch.count);
+  }
+  for (const auto& [offer, refusal] : refusals_) {
+    if (refusal.until > now) m.refused.insert(offer);
+  }
+  return m;
+}
+
+// Each refusal in a row doubles the pause: what the cloud does not have it will mostly not have in
+// a moment either, and while the cheapest offers were asked for over and over, dearer ones that
+// were there to be had were never reached. A machine of ours that goes makes room: then the pause
+// ends.
+void ScaleOut::refused(const scheduler::Offer& offer, Instant now) {
+  Refusal& refusal = refusals_[offer];
+  const Nanos first = to_nanos(context_.op.refusal_pause);
+  refusal.pause =
+      refusal.pause == Nanos(0) ? first : std::min(refusal.pause * 2, first * kMostPause);
+  refusal.until = now + refusal.pause;
+  std::erase_if(launches_, [&](const Launch& launch) {
+    const bool unsent = launch.tries == 0 && !in_flight_.contains(launch.request);
+    if (launch.offer != offer || !unsent || launch.doubtful) return false;
+    if (duties_) duties_->intents.end_scale_out(launch.request);
+    return true;
+  });
+}
+
+std::string ScaleOut::next_name() {
+  const std::string number = std::to_string(++counter_);
+  if (!duties_) return "h-" + std::to_string(context_.epoch) + "-" + number;
+  return "d-" + std::to_string(duties_->holder.token(Duty::scale_out)) + "-" + number;
+}
+
+void ScaleOut::order(const std::vector<scheduler::CapacityRequest>& capacity_requests) {
+  if (duties_ && !list_read_) return;
+  for (const auto& request : capacity_requests) {
+    auto* same = cluster::find_where(
+        launches_, [&](const Launch& launch) { return launch.offer == request.offer; });
+    if (same) {
+      same->parked = false;
+      continue;  // one question at a time for each offer
+    }
+    if (launches_.size() >= kMaxLaunches) continue;  // the next round asks again
+    if (duties_ && !duties_->holder.may_act(Duty::scale_out)) return;
+    Launch launch;
+    launch.request = next_name();
+    launch.offer = request.offer;
+    launch.count = std::min(request.count, kMaxCount);
+    launch.job = request.job;
+    launch.recorded = !duties_;
+    spdlog::info("scaling out: launching {} x {} {} in {} for {} as {}", launch.count,
+                 kind(launch.offer), launch.offer.type, launch.offer.zone, launch.job,
+                 launch.request);
+    launches_.push_back(std::move(launch));
+  }
+  if (!launches_.empty()) context_.scaling.notify();
+}
+
+Task<void> ScaleOut::record(uint64_t term) {
+  if (!duties_) co_return;
+  std::vector<duties::ScaleOutIntent> intents;
+  for (const Launch& launch : launches_) {
+    if (launch.recorded || intents.size() >= duties_->intents.max_batch()) continue;
+    intents.push_back({launch.request, launch.offer.type, launch.offer.zone, launch.offer.spot,
+                       launch.count, launch.job, 0});
+  }
+  if (intents.empty()) co_return;
+  const bool durable = co_await duties_->intents.record_scale_out(term, intents);
+  if (!context_.in_term(term) || !durable) co_return;
+  for (const auto& intent : intents) {
+    if (Launch* launch = find(intent.request)) launch->recorded = true;
+  }
+}
+
+bool ScaleOut::may_send(const Launch& launch) const {
+  if (launch.parked || !launch.recorded) return false;
+  return !duties_ || duties_->holder.may_act(Duty::scale_out);
+}
+
+void ScaleOut::send(uint64_t term) {
+  for (const Launch& launch : launches_) {
+    if (in_flight_.size() >= kMaxInFlight) break;
+    if (!may_send(launch)) continue;
+    if (launch.tries > 0 && !in_flight_.empty() && !cloud_.answering()) break;
+    if (in_flight_.insert(launch.request).second) context_.loop.spawn(send_launch(term, launch));
+  }
+}
+
+Task<void> ScaleOut::send_launch(uint64_t term, Launch launch) {
+  const cloud::LaunchResult result = co_await cloud_.launch(
+      launch.request, launch.offer.type, launch.offer.zone, launch.offer.spot, launch.count);
+  if (!context_.in_term(term)) co_return;
+  in_flight_.erase(launch.request);
+  if (result.outcome == Outcome::ok) {
+    take_machines(launch, result.machines);
+    context_.schedule.notify();
+    co_return;
+  }
+  if (result.no_capacity || (result.outcome == Outcome::refused && cloud_.answering())) {
+    take_refusal(launch, result.no_capacity);
+    context_.schedule.notify();
+    co_return;
+  }
+  take_unknown(launch.request);
+  co_await context_.loop.sleep(kRepeat);
+  if (context_.in_term(term)) context_.scaling.notify();
+}
+
+void ScaleOut::take_machines(const Launch& launch, const std::vector<std::string>& machines) {
+  const Instant now = context_.loop.now();
+  const scheduler::Offer& offer = launch.offer;
+  forget(launch.request);
+  spdlog::info("launched {} of {} for {}", machines.size(), launch.count, launch.request);
+  context_.leader_state.with([&](LeaderState& p) {
+    for (const auto& id : machines) {
+      // A repeated answer may name machines that are gone by now.
+      if (p.cluster.is_gone(id)) continue;
+      p.cluster.register_machine(id, offer.type, offer.zone, offer.spot, now);
+    }
+  });
+  if (duties_) {
+    unseen_[launch.request].insert(machines.begin(), machines.end());
+    settle(now);
+  }
+  if (!machines.empty()) refusals_.erase(offer);
+  if (machines.size() < launch.count) refused(offer, now);
+}
+
+// The request was certainly not carried out; the scheduler may ask for something else. If an
+// earlier copy of it may still be under way, its name stays open, for the next need of that kind.
+void ScaleOut::take_refusal(const Launch& launch, bool no_capacity) {
+  Launch* current = find(launch.request);
+  if (duties_ && current && current->doubtful) {
+    current->parked = true;
+  } else {
+    forget(launch.request);
+    if (duties_) duties_->intents.end_scale_out(launch.request);
+  }
+  if (!no_capacity) return;
+  refused(launch.offer, context_.loop.now());
+  spdlog::info("no capacity for {} {} in {}", kind(launch.offer), launch.offer.type,
+               launch.offer.zone);
+}
+
+// Trouble, or no answer: the same request again, under its own name only.
+void ScaleOut::take_unknown(const std::string& request) {
+  Launch* launch = find(request);
+  if (!launch) return;
+  launch->doubtful = true;
+  if (launch->tries++ == 0) spdlog::info("no answer to launch {}: it is retried", request);
+}
+
+void ScaleOut::settle(Instant now) {
+  const Nanos lag = to_nanos(context_.platform.list_lag * kListLagSpread);
+  context_.leader_state.with([&](LeaderState& p) {
+    const auto seen = [&](const std::string& id) {
+      if (p.cluster.is_gone(id)) return true;
+      const Machine* h = p.cluster.find_machine(id);
+      return !h || h->heard || (h->listed && now - h->known_since > lag);
+    };
+    for (auto& [request, machines] : unseen_) {
+      std::erase_if(machines, seen);
+      if (machines.empty()) duties_->intents.end_scale_out(request);
+    }
+    std::erase_if(unseen_, [](const auto& entry) { return entry.second.empty(); });
+  });
+}
+
+ScaleOut::Launch* ScaleOut::find(const std::string& request) {
+  return cluster::find_where(launches_, [&](const Launch& r) { return r.request == request; });
+}
+
+void ScaleOut::forget(const std::string& request) {
+  std::erase_if(launches_, [&](const Launch& launch) { return launch.request == request; });
+}
+
+}  // namespace dunlinknot::autoscaler
--- a/src/dunlinknot/fleet/rentals.hpp
+++ b/src/dunlinknot/autoscaler/scale_out.hpp
@@ -1,4 +1,4 @@
-// Renting machines. A request's name is never used for another request, not even by another node;
+// Launching machines. A request's name is never used for another request, not even by another node;
 // a request without an answer is repeated under its own name.
 //
 // With the duties on, a request is sent only once its intent is durable, and the intent stays open
@@ -12,21 +12,21 @@
 #include "dunlinknot/duties/duties.hpp"
 #include "dunlinknot/scheduler/scheduler.hpp"
 
-namespace dunlinknot::fleet {
+namespace dunlinknot::autoscaler {
 
-class Rentals {
+class ScaleOut {
  public:
   // `duties` is null when they are off.
-  Rentals(cluster::LeaderContext& context, cloud::Client& cloud, duties::Duties* duties);
+  ScaleOut(cluster::LeaderContext& context, cloud::Client& cloud, duties::Duties* duties);
 
   // Forgets what was of an earlier term.
   void begin_term();
   // Goes on with what a former holder decided. Its requests may have been sent, or may yet be.
-  void resume(const std::vector<duties::RentIntent>& intents);
+  void resume(const std::vector<duties::ScaleOutIntent>& intents);
 
   // The whole list of machines was read.
   void list_was_read() { list_read_ = true; }
-  scheduler::Market market(Instant now) const;
+  scheduler::CloudCapacity cloud_capacity(Instant now) const;
   void order(const std::vector<scheduler::CapacityRequest>& capacity_requests);
   // Makes new requests durable; a failure is tried again with the next call.
   Task<void> record(uint64_t term);
@@ -34,11 +34,11 @@
   void send(uint64_t term);
   // A machine of this kind went, so there may be room for another.
   void end_refusal(const scheduler::Offer& offer) { refusals_.erase(offer); }
-  // Ends the intents of answered rentals whose machines everybody can see by now.
+  // Ends the intents of answered launches whose machines everybody can see by now.
   void settle(Instant now);
 
  private:
-  struct Rental {
+  struct Launch {
     std::string request;
     scheduler::Offer offer;
     uint32_t count = 0;
@@ -54,14 +54,14 @@
     Instant until{};
     Nanos pause{0};
   };
-  Task<void> rent(uint64_t term, Rental rental);
-  void take_machines(const Rental& rental, const std::vector<std::string>& machines);
-  void take_refusal(const Rental& rental, bool no_capacity);
+  Task<void> send_launch(uint64_t term, Launch launch);
+  void take_machines(const Launch& launch, const std::vector<std::string>& machines);
+  void take_refusal(const Launch& launch, bool no_capacity);
   void take_unknown(const std::string& request);
   void refused(const scheduler::Offer& offer, Instant now);
-  Rental* find(const std::string& request);
+  Launch* find(const std::string& request);
   void forget(const std::string& request);
-  bool may_send(const Rental& rental) const;
+  bool may_send(const Launch& launch) const;
   std::string next_name();
 
   cluster::LeaderContext& context_;
@@ -69,12 +69,12 @@
   duties::Duties* duties_;
   uint64_t counter_ = 0;
   // Whether the cloud's list was read in this term. A machine is in it, or in an open intent:
-  // before both are known, what a former leader rented would be rented again.
+  // before both are known, what a former leader launched would be launched again.
   bool list_read_ = false;
-  std::vector<Rental> rentals_;      // ordered and not answered
+  std::vector<Launch> launches_;     // ordered and not answered
   std::set<std::string> in_flight_;  // of them, the ones being asked for now
   std::map<scheduler::Offer, Refusal> refusals_;
   std::map<std::string, std::set<std::string>> unseen_;  // machines of answered requests, by name
 };
 
-}  // namespace dunlinknot::fleet
+}  // namespace dunlinknot::autoscaler
--- a/src/dunlinknot/cloud/client.cpp
+++ b/src/dunlinknot/cloud/client.cpp
@@ -39,11 +39,11 @@
   co_return types;
 }
 
-Task<RentResult> Client::rent(std::string request, std::string type, std::string zone, bool spot,
-                              uint32_t count) {
-  RentResult out;
-  http::Reply r =
-      co_await call("POST", "/rentals", wire::write_rental(request, type, zone, spot, count));
+Task<LaunchResult> Client::launch(std::string request, std::string type, std::string zone,
+                                  bool spot, uint32_t count) {
+  LaunchResult out;
+  http::Reply r = co_await call("POST", "/rentals",
+                                wire::write_launch_request(request, type, zone, spot, count));
   out.outcome = r.outcome;
   if (r.status == 503) {
     const auto doc = wire::Document::parse(r.body);
@@ -52,13 +52,13 @@
   }
   if (r.outcome != Outcome::ok) co_return out;
   if (r.status != 200) {
-    spdlog::error("cloud: rental {} refused with status {}", request, r.status);
+    spdlog::error("cloud: launch {} refused with status {}", request, r.status);
     out.outcome = Outcome::refused;
     co_return out;
   }
-  auto machines = wire::read_rented(r.body);
+  auto machines = wire::read_launched(r.body);
   if (!machines) {
-    spdlog::info("cloud: unreadable answer to rental {}, taken as unknown", request);
+    spdlog::info("cloud: unreadable answer to launch {}, taken as unknown", request);
     out.outcome = Outcome::unknown;
     co_return out;
   }
@@ -67,7 +67,8 @@
 }
 
 Task<Outcome> Client::remove(std::vector<std::string> machines) {
-  http::Reply r = co_await call("POST", "/rentals/delete", wire::write_deletion(machines));
+  http::Reply r =
+      co_await call("POST", "/rentals/delete", wire::write_termination_request(machines));
   if (r.outcome == Outcome::ok && r.status != 200) co_return Outcome::unknown;
   co_return r.outcome;
 }
--- a/src/dunlinknot/cloud/client.hpp
+++ b/src/dunlinknot/cloud/client.hpp
@@ -1,4 +1,4 @@
-// The cloud: machine types, renting, deleting, listing.
+// The cloud: machine types, launching, deleting, listing.
 #pragma once
 #include <optional>
 #include <string>
@@ -12,7 +12,7 @@
 
 using http::Outcome;
 
-struct RentResult {
+struct LaunchResult {
   Outcome outcome = Outcome::unknown;
   bool no_capacity = false;
   std::vector<std::string> machines;
@@ -23,8 +23,8 @@
   Client(Loop& loop, http::Transport& transport, http::Endpoint at, double rps);
 
   Task<std::optional<std::vector<MachineType>>> catalog();
-  Task<RentResult> rent(std::string request, std::string type, std::string zone, bool spot,
-                        uint32_t count);
+  Task<LaunchResult> launch(std::string request, std::string type, std::string zone, bool spot,
+                            uint32_t count);
   Task<Outcome> remove(std::vector<std::string> machines);
   Task<std::optional<MachineList>> list(std::string after);
   // When the cloud may next be asked, and whether it answered the last time.
--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -57,7 +57,7 @@
   held_machines_.clear();
   saved_.clear();
   gone_.clear();
-  returning_.clear();
+  terminating_.clear();
   stop_machines_.clear();
   dead_records_.clear();
   held_back_jobs_.clear();
@@ -229,7 +229,7 @@
   slot->spot = spot;
   slot->known_since = now;
   slot->idle_since = now;
-  slot->deleting = returning_.contains(id);
+  slot->terminating = terminating_.contains(id);
   if (const MachineType* t = type(type_name)) {
     slot->size = t->size;
     slot->cache_gb = t->cache_gb;
@@ -238,9 +238,9 @@
   return *slot;
 }
 
-void Cluster::mark_returning(const std::string& id) {
-  returning_.insert(id);
-  if (Machine* h = find_machine(id)) h->deleting = true;
+void Cluster::mark_terminating(const std::string& id) {
+  terminating_.insert(id);
+  if (Machine* h = find_machine(id)) h->terminating = true;
 }
 
 Effects Cluster::remove_machine(const std::string& id, Instant now) {
@@ -295,7 +295,7 @@
     // What waits on a machine that nothing is heard of, or that will not get it, goes elsewhere.
     // Found on days of our own with machines that fail their tasks: a drained one gets no `run`, so
     // what was allocated there and not sent yet stayed for good, and its job with it.
-    if (h->recall_at || h->draining || h->deleting || h->unreachable ||
+    if (h->recall_at || h->draining || h->terminating || h->unreachable ||
         (h->heard && now - h->last_heard >= silent)) {
       for (size_t i = h->allocations.size(); i-- > 0;) {
         if (i < h->allocations.size() && h->allocations[i].unsent())
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -113,7 +113,7 @@
   bool listed = false;
   bool listed_running = false;
   bool listed_failed = false;
-  bool deleting = false;
+  bool terminating = false;
 
   bool draining = false;
   std::string drain_reason;
@@ -220,7 +220,7 @@
   Machine& register_machine(const std::string& id, std::string_view type, std::string_view zone,
                             bool spot, Instant now);
   // The machine is to be returned, also when nothing is known of it yet: it gets no work.
-  void mark_returning(const std::string& id);
+  void mark_terminating(const std::string& id);
   // The cloud confirmed that the machine is gone, or its lease is over and it is not listed.
   Effects remove_machine(const std::string& id, Instant now);
 
@@ -277,7 +277,7 @@
   // Takes the next one out of the queue; null when there is none.
   Machine* next_dirty_machine();
   // Puts one that was taken out back to the front.
-  void return_dirty_machine(Machine& h);
+  void requeue_dirty_machine(Machine& h);
   size_t dirty_machine_count() const { return urgent_machines_.size() + dirty_machines_.size(); }
   void machine_stored(Machine& h, const wire::MachineRecord& as_written, uint64_t mod_revision,
                       Effects& effects);
@@ -367,7 +367,7 @@
   std::vector<TeamUsage> usage_;
   Resources beside_gpu_;
   std::map<std::string, Expected> expected_;  // by class
-  std::set<std::string> returning_;           // by the decision of a former leader
+  std::set<std::string> terminating_;         // by the decision of a former leader
   std::map<std::string, Instant> gone_;  // machines removed of late: late reports are not believed
   std::vector<std::pair<std::string, uint64_t>> dead_records_;
   std::deque<std::string> urgent_machines_;
--- a/src/dunlinknot/cluster/failures.cpp
+++ b/src/dunlinknot/cluster/failures.cpp
@@ -71,7 +71,7 @@
   if (b.unsent()) return;
   uint64_t& count = b.stop == StopReason::preempted ? replica_restarts_.preempted
                     : b.stopping()                  ? replica_restarts_.moved
-                    : h.lost || h.deleting          ? replica_restarts_.machine_lost
+                    : h.lost || h.terminating       ? replica_restarts_.machine_lost
                                                     : replica_restarts_.ended;
   ++count;
 }
--- a/src/dunlinknot/cluster/leader_context.hpp
+++ b/src/dunlinknot/cluster/leader_context.hpp
@@ -25,13 +25,13 @@
         store_done(l),
         stops(l),
         runs(l),
-        rentals(l) {}
+        scaling(l) {}
 
   Loop& loop;
   const settings::Platform& platform;
   const settings::Operator& op;
   Shared<LeaderState> leader_state;
-  Signal schedule, store_machines, store_done, stops, runs, rentals;
+  Signal schedule, store_machines, store_done, stops, runs, scaling;
 
   // Each term has a number; a part that was started for one ends with it.
   uint64_t term = 0;
--- a/src/dunlinknot/cluster/ledger_machines.cpp
+++ b/src/dunlinknot/cluster/ledger_machines.cpp
@@ -158,7 +158,7 @@
   }
   for (Machine* h : unwritable) cluster.mark_dirty(*h);
   while (!too_many_jobs.empty()) {
-    cluster.return_dirty_machine(*too_many_jobs.back());
+    cluster.requeue_dirty_machine(*too_many_jobs.back());
     too_many_jobs.pop_back();
   }
   if (trailing && cluster.dirty_machine_count() == 0) {
--- a/src/dunlinknot/cluster/records.cpp
+++ b/src/dunlinknot/cluster/records.cpp
@@ -29,7 +29,7 @@
   return nullptr;
 }
 
-void Cluster::return_dirty_machine(Machine& h) {
+void Cluster::requeue_dirty_machine(Machine& h) {
   const bool urgent = std::any_of(
       h.allocations.begin(), h.allocations.end(),
       [](const Allocation& b) { return b.phase == Phase::planned && (b.gang || b.service); });
--- a/src/dunlinknot/cluster/reports.cpp
+++ b/src/dunlinknot/cluster/reports.cpp
@@ -68,7 +68,7 @@
   Effects changed;
   take_report(h, b, now, true, changed);
   effects |= changed;
-  if (!may_start || h.draining || h.deleting) return answer;
+  if (!may_start || h.draining || h.terminating) return answer;
   start_queued(h, now);
   const auto planned = [](const Allocation& k) { return k.phase == Phase::planned; };
   if (!h.ours || h.unreachable || h.recall_at) return answer;
@@ -114,7 +114,7 @@
                       t.task.index < j->spec().tasks && !j->is_durable(t.task.index);
     if (!keep) out.push_back({Command::Op::forget, t.task, t.attempt, Seconds(0)});
   }
-  if (may_start && !h.draining && !h.deleting) {
+  if (may_start && !h.draining && !h.terminating) {
     for (Allocation& k : h.allocations) {
       if (!sendable(k) || out.size() >= kMaxCommands) continue;
       out.push_back({Command::Op::start, k.task, k.attempt, Seconds(0)});
--- a/src/dunlinknot/duties/duty.hpp
+++ b/src/dunlinknot/duties/duty.hpp
@@ -7,12 +7,12 @@
 namespace dunlinknot::duties {
 
 enum class Duty : uint8_t {
-  rent,       // renting machines
-  give_back,  // returning and reclaiming machines
+  scale_out,  // launching machines
+  scale_in,   // returning and reclaiming machines
   cleanup,    // removing what is no longer needed from the state service
 };
 
-inline constexpr std::array kAllDuties{Duty::rent, Duty::give_back, Duty::cleanup};
+inline constexpr std::array kAllDuties{Duty::scale_out, Duty::scale_in, Duty::cleanup};
 
 // The duty's name in keys, logs and on the command line.
 constexpr std::string_view name(Duty duty) {
--- a/src/dunlinknot/duties/holder.cpp
+++ b/src/dunlinknot/duties/holder.cpp
@@ -200,7 +200,7 @@
     const Acquired acquired = co_await acquire(term);
     if (acquired == Acquired::term_over) co_return;
     planned = context_.loop.boot_now() + (acquired == Acquired::held ? every : kHaltedRetry);
-    context_.rentals.notify();
+    context_.scaling.notify();
   }
 }
 
--- a/src/dunlinknot/duties/intents.cpp
+++ b/src/dunlinknot/duties/intents.cpp
@@ -42,16 +42,16 @@
       continue;
     }
     for (const state::Item& item : list.items) {
-      const bool rental = !rent_name(item.key).empty();
-      const auto rent = read_rent_intent(item.key, item.value);
-      const auto give_back = read_return_intent(item.key, item.value);
-      if (rental && std::holds_alternative<RentIntent>(rent)) {
-        open.rentals.push_back(std::get<RentIntent>(rent));
-      } else if (!rental && std::holds_alternative<ReturnIntent>(give_back)) {
-        open.returns.push_back(std::get<ReturnIntent>(give_back));
+      const bool launch = !scale_out_name(item.key).empty();
+      const auto scale_out = read_scale_out_intent(item.key, item.value);
+      const auto scale_in = read_scale_in_intent(item.key, item.value);
+      if (launch && std::holds_alternative<ScaleOutIntent>(scale_out)) {
+        open.scale_out.push_back(std::get<ScaleOutIntent>(scale_out));
+      } else if (!launch && std::holds_alternative<ScaleInIntent>(scale_in)) {
+        open.scale_in.push_back(std::get<ScaleInIntent>(scale_in));
       } else {
         const RecordError error =
-            rental ? std::get<RecordError>(rent) : std::get<RecordError>(give_back);
+            launch ? std::get<RecordError>(scale_out) : std::get<RecordError>(scale_in);
         spdlog::error("duties: the intent {} is left alone: {}", item.key, text(error));
         open.unreadable.push_back({item.key, error});
         continue;
@@ -64,23 +64,23 @@
   co_return open;
 }
 
-Task<bool> IntentLog::record_rentals(uint64_t term, std::vector<RentIntent> intents) {
+Task<bool> IntentLog::record_scale_out(uint64_t term, std::vector<ScaleOutIntent> intents) {
   std::vector<Entry> entries;
-  for (RentIntent& intent : intents) {
-    intent.token = holder_.token(Duty::rent);
-    entries.push_back({rent_key(intent.request), write_rent_intent(intent)});
+  for (ScaleOutIntent& intent : intents) {
+    intent.token = holder_.token(Duty::scale_out);
+    entries.push_back({scale_out_key(intent.request), write_scale_out_intent(intent)});
   }
-  const bool durable = co_await record(term, Duty::rent, std::move(entries));
+  const bool durable = co_await record(term, Duty::scale_out, std::move(entries));
   co_return durable;
 }
 
-Task<bool> IntentLog::record_returns(uint64_t term, std::vector<ReturnIntent> intents) {
+Task<bool> IntentLog::record_scale_in(uint64_t term, std::vector<ScaleInIntent> intents) {
   std::vector<Entry> entries;
-  for (ReturnIntent& intent : intents) {
-    intent.token = holder_.token(Duty::give_back);
-    entries.push_back({return_key(intent.machine), write_return_intent(intent)});
+  for (ScaleInIntent& intent : intents) {
+    intent.token = holder_.token(Duty::scale_in);
+    entries.push_back({scale_in_key(intent.machine), write_scale_in_intent(intent)});
   }
-  const bool durable = co_await record(term, Duty::give_back, std::move(entries));
+  const bool durable = co_await record(term, Duty::scale_in, std::move(entries));
   co_return durable;
 }
 
--- a/src/dunlinknot/duties/intents.hpp
+++ b/src/dunlinknot/duties/intents.hpp
@@ -21,8 +21,8 @@
 };
 
 struct OpenIntents {
-  std::vector<RentIntent> rentals;
-  std::vector<ReturnIntent> returns;
+  std::vector<ScaleOutIntent> scale_out;
+  std::vector<ScaleInIntent> scale_in;
   std::vector<UnreadableIntent> unreadable;
 };
 
@@ -36,13 +36,13 @@
 
   // Whether these intents are durable now. If not, nothing may be sent for them; they may be
   // recorded again. No more than `max_batch` at a time.
-  Task<bool> record_rentals(uint64_t term, std::vector<RentIntent> intents);
-  Task<bool> record_returns(uint64_t term, std::vector<ReturnIntent> intents);
+  Task<bool> record_scale_out(uint64_t term, std::vector<ScaleOutIntent> intents);
+  Task<bool> record_scale_in(uint64_t term, std::vector<ScaleInIntent> intents);
   size_t max_batch() const;
 
   // There is evidence that the act is settled: its record may go.
-  void end_rental(const std::string& request) { end(Duty::rent, rent_key(request)); }
-  void end_return(const std::string& machine) { end(Duty::give_back, return_key(machine)); }
+  void end_scale_out(const std::string& request) { end(Duty::scale_out, scale_out_key(request)); }
+  void end_scale_in(const std::string& machine) { end(Duty::scale_in, scale_in_key(machine)); }
   // Removes the records of what is settled, as long as the term lasts.
   Task<void> remove_ended(uint64_t term);
 
--- a/src/dunlinknot/duties/overview.cpp
+++ b/src/dunlinknot/duties/overview.cpp
@@ -44,13 +44,14 @@
 }
 
 void take_intent(Overview& overview, const state::Item& item) {
-  const auto rent = read_rent_intent(item.key, item.value);
-  const auto give_back = read_return_intent(item.key, item.value);
-  if (const auto* intent = std::get_if<RentIntent>(&rent); intent && !rent_name(item.key).empty()) {
-    overview.rentals.push_back(*intent);
-  } else if (const auto* back = std::get_if<ReturnIntent>(&give_back);
-             back && !return_name(item.key).empty()) {
-    overview.returns.push_back(*back);
+  const auto scale_out = read_scale_out_intent(item.key, item.value);
+  const auto scale_in = read_scale_in_intent(item.key, item.value);
+  if (const auto* intent = std::get_if<ScaleOutIntent>(&scale_out);
+      intent && !scale_out_name(item.key).empty()) {
+    overview.scale_out.push_back(*intent);
+  } else if (const auto* back = std::get_if<ScaleInIntent>(&scale_in);
+             back && !scale_in_name(item.key).empty()) {
+    overview.scale_in.push_back(*back);
   } else {
     overview.unreadable.push_back(item.key);
   }
@@ -80,12 +81,12 @@
     if (line.error) who = fmt::format("unreadable: {}", text(*line.error));
     out << fmt::format("{:<8} {}\n", name(line.duty), who);
   }
-  for (const RentIntent& intent : overview.rentals) {
+  for (const ScaleOutIntent& intent : overview.scale_out) {
     out << fmt::format("open: rent {} x {} {} in {} as {} (token {}) for {}\n", intent.count,
                        intent.spot ? "spot" : "ordinary", intent.type, intent.zone, intent.request,
                        intent.token, intent.job);
   }
-  for (const ReturnIntent& intent : overview.returns) {
+  for (const ScaleInIntent& intent : overview.scale_in) {
     out << fmt::format("open: return {} (token {}): {}\n", intent.machine, intent.token,
                        intent.reason);
   }
--- a/src/dunlinknot/duties/overview.hpp
+++ b/src/dunlinknot/duties/overview.hpp
@@ -12,15 +12,15 @@
 namespace dunlinknot::duties {
 
 struct HolderLine {
-  Duty duty = Duty::rent;
+  Duty duty = Duty::scale_out;
   std::optional<HolderRecord> holder;  // empty: vacant, or unreadable
   std::optional<RecordError> error;
 };
 
 struct Overview {
   std::vector<HolderLine> holders;
-  std::vector<RentIntent> rentals;
-  std::vector<ReturnIntent> returns;
+  std::vector<ScaleOutIntent> scale_out;
+  std::vector<ScaleInIntent> scale_in;
   std::vector<std::string> unreadable;  // keys of intents
 };
 
--- a/src/dunlinknot/duties/records.cpp
+++ b/src/dunlinknot/duties/records.cpp
@@ -7,8 +7,8 @@
 using wire::View;
 using wire::Writer;
 
-constexpr std::string_view kRentPrefix = "intent/rent/";
-constexpr std::string_view kReturnPrefix = "intent/return/";
+constexpr std::string_view kScaleOutPrefix = "intent/rent/";
+constexpr std::string_view kScaleInPrefix = "intent/return/";
 constexpr uint64_t kMostMachines = 50;  // that the cloud rents in one request
 
 std::string join(std::string_view a, std::string_view b) {
@@ -39,17 +39,17 @@
 std::string duty_key(Duty duty) {
   return join(kDutyPrefix, name(duty));
 }
-std::string rent_key(std::string_view request) {
-  return join(kRentPrefix, request);
+std::string scale_out_key(std::string_view request) {
+  return join(kScaleOutPrefix, request);
 }
-std::string return_key(std::string_view machine) {
-  return join(kReturnPrefix, machine);
+std::string scale_in_key(std::string_view machine) {
+  return join(kScaleInPrefix, machine);
 }
-std::string_view rent_name(std::string_view key) {
-  return after_prefix(key, kRentPrefix);
+std::string_view scale_out_name(std::string_view key) {
+  return after_prefix(key, kScaleOutPrefix);
 }
-std::string_view return_name(std::string_view key) {
-  return after_prefix(key, kReturnPrefix);
+std::string_view scale_in_name(std::string_view key) {
+  return after_prefix(key, kScaleInPrefix);
 }
 
 std::string write_holder(const HolderRecord& record) {
@@ -77,7 +77,7 @@
   return *value["token"].count();
 }
 
-std::string write_rent_intent(const RentIntent& intent) {
+std::string write_scale_out_intent(const ScaleOutIntent& intent) {
   Writer w;
   w.map(8).key("v").count(kRecordVersion).key("token").count(intent.token);
   w.key("request").text(intent.request).key("type").text(intent.type);
@@ -86,18 +86,18 @@
   return w.take();
 }
 
-Read<RentIntent> read_rent_intent(std::string_view key, View value) {
+Read<ScaleOutIntent> read_scale_out_intent(std::string_view key, View value) {
   if (const auto error = check_version(value)) return *error;
   const auto request = value["request"].text();
   const auto type = value["type"].text();
   const auto zone = value["zone"].text();
   const auto spot = value["spot"].flag();
   const auto count = value["count"].count();
-  if (!request || *request != rent_name(key) || !type || !zone || !spot) {
+  if (!request || *request != scale_out_name(key) || !type || !zone || !spot) {
     return RecordError::damaged;
   }
   if (!count || *count == 0 || *count > kMostMachines) return RecordError::damaged;
-  RentIntent intent;
+  ScaleOutIntent intent;
   intent.request = *request;
   intent.type = *type;
   intent.zone = *zone;
@@ -108,19 +108,19 @@
   return intent;
 }
 
-std::string write_return_intent(const ReturnIntent& intent) {
+std::string write_scale_in_intent(const ScaleInIntent& intent) {
   Writer w;
   w.map(4).key("v").count(kRecordVersion).key("token").count(intent.token);
   w.key("machine").text(intent.machine).key("reason").text(intent.reason);
   return w.take();
 }
 
-Read<ReturnIntent> read_return_intent(std::string_view key, View value) {
+Read<ScaleInIntent> read_scale_in_intent(std::string_view key, View value) {
   if (const auto error = check_version(value)) return *error;
   const auto machine = value["machine"].text();
-  if (!machine || *machine != return_name(key)) return RecordError::damaged;
-  return ReturnIntent{std::string(*machine), std::string(value["reason"].text().value_or("")),
-                      *value["token"].count()};
+  if (!machine || *machine != scale_in_name(key)) return RecordError::damaged;
+  return ScaleInIntent{std::string(*machine), std::string(value["reason"].text().value_or("")),
+                       *value["token"].count()};
 }
 
 }  // namespace dunlinknot::duties
--- a/src/dunlinknot/duties/records.hpp
+++ b/src/dunlinknot/duties/records.hpp
@@ -2,7 +2,7 @@
 //
 //   duty/NAME         lease-bound: who holds the duty, and under which token
 //   duty/token        the highest token given to any holding so far
-//   intent/rent/NAME  a rental that is decided and not settled
+//   intent/rent/NAME  a launch that is decided and not settled
 //   intent/return/VM  a machine that is decided to be returned
 //
 // Each record bears the version of its form. A record of a later version, or one that cannot be
@@ -27,7 +27,7 @@
   uint64_t token = 0;
 };
 
-struct RentIntent {
+struct ScaleOutIntent {
   std::string request;  // the name under which the cloud is asked
   std::string type;
   std::string zone;
@@ -37,7 +37,7 @@
   uint64_t token = 0;
 };
 
-struct ReturnIntent {
+struct ScaleInIntent {
   std::string machine;
   std::string reason;
   uint64_t token = 0;
@@ -50,19 +50,19 @@
 using Read = std::variant<Record, RecordError>;
 
 std::string duty_key(Duty duty);
-std::string rent_key(std::string_view request);
-std::string return_key(std::string_view machine);
+std::string scale_out_key(std::string_view request);
+std::string scale_in_key(std::string_view machine);
 // The request's or machine's name in a key of that kind; empty for any other key.
-std::string_view rent_name(std::string_view key);
-std::string_view return_name(std::string_view key);
+std::string_view scale_out_name(std::string_view key);
+std::string_view scale_in_name(std::string_view key);
 
 std::string write_holder(const HolderRecord& record);
 Read<HolderRecord> read_holder(wire::View value);
 std::string write_token(uint64_t token);
 Read<uint64_t> read_token(wire::View value);
-std::string write_rent_intent(const RentIntent& intent);
-Read<RentIntent> read_rent_intent(std::string_view key, wire::View value);
-std::string write_return_intent(const ReturnIntent& intent);
-Read<ReturnIntent> read_return_intent(std::string_view key, wire::View value);
+std::string write_scale_out_intent(const ScaleOutIntent& intent);
+Read<ScaleOutIntent> read_scale_out_intent(std::string_view key, wire::View value);
+std::string write_scale_in_intent(const ScaleInIntent& intent);
+Read<ScaleInIntent> read_scale_in_intent(std::string_view key, wire::View value);
 
 }  // namespace dunlinknot::duties
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -78,7 +78,7 @@
                  take_cleanup_result(result, sent);
                }}),
       duties_(op.duties ? std::make_unique<duties::Duties>(context_, state_) : nullptr),
-      fleet_(context_, cloud_, duties_.get()) {}
+      autoscaler_(context_, cloud_, duties_.get()) {}
 
 void Daemon::start() {
   http::ServerOptions options;
@@ -254,7 +254,7 @@
     p.cluster.set_catalog(catalog_);
     p.nominations.clear();
   });
-  fleet_.begin_term();
+  autoscaler_.begin_term();
   loop_.spawn(take_over(context_.term));
 }
 
@@ -279,7 +279,7 @@
   ++context_.term;
   // Whoever waits for a signal wakes up, sees that its term is over and ends.
   for (Signal* s : {&context_.schedule, &context_.store_machines, &context_.store_done,
-                    &context_.stops, &context_.runs, &context_.rentals}) {
+                    &context_.stops, &context_.runs, &context_.scaling}) {
     s->notify();
   }
 }
@@ -287,7 +287,7 @@
 Task<void> Daemon::take_over(uint64_t term) {
   const Instant started = loop_.now();
   if (!co_await ledger_.load(term)) co_return;
-  const bool duties_taken = co_await fleet_.take_duties(term);
+  const bool duties_taken = co_await autoscaler_.take_duties(term);
   if (!duties_taken) co_return;
   context_.loaded = true;
   const auto [jobs, machines, allocations] = context_.leader_state.with([](LeaderState& p) {
@@ -303,8 +303,8 @@
   loop_.spawn(ledger_.store_done(term));
   loop_.spawn(workers_.call_stops(term));
   loop_.spawn(workers_.release_responses(term));
-  loop_.spawn(fleet_.work(term));
-  loop_.spawn(fleet_.watch_machines(term));
+  loop_.spawn(autoscaler_.work(term));
+  loop_.spawn(autoscaler_.watch_machines(term));
   loop_.spawn(rounds(term));
   loop_.spawn(keep_catalog(term));
 }
@@ -346,18 +346,18 @@
   Effects effects;
   const scheduler::Plan plan = context_.leader_state.with([&](LeaderState& p) {
     p.nominations.settle(p.cluster);
-    scheduler::Market market = fleet_.market(now);
-    market.machines = p.cluster.machines().size();
-    scheduler::Plan decided =
-        scheduler::plan(p.cluster, p.nominations, market, platform_, op_, loop_.wall(), now);
+    scheduler::CloudCapacity cloud_capacity = autoscaler_.cloud_capacity(now);
+    cloud_capacity.machines = p.cluster.machines().size();
+    scheduler::Plan decided = scheduler::plan(p.cluster, p.nominations, cloud_capacity, platform_,
+                                              op_, loop_.wall(), now);
     effects = scheduler::apply(decided, p, now);
     return decided;
   });
   evictions_ += plan.evictions.size();
   context_.follow_up(effects);
   log_waiting(plan, now);
-  fleet_.order(plan.capacity_requests);
-  fleet_.sweep(plan.wanted, plan.waiting_tasks, now);
+  autoscaler_.order(plan.capacity_requests);
+  autoscaler_.sweep(plan.wanted, plan.waiting_tasks, now);
 }
 
 // At `debug`, now and then, what each job waits for that should have begun long ago.
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -2,10 +2,10 @@
 #pragma once
 #include <memory>
 
+#include "dunlinknot/autoscaler/autoscaler.hpp"
 #include "dunlinknot/cloud/client.hpp"
 #include "dunlinknot/cluster/ledger.hpp"
 #include "dunlinknot/duties/duties.hpp"
-#include "dunlinknot/fleet/fleet.hpp"
 #include "dunlinknot/http/server.hpp"
 #include "dunlinknot/jobs/request_handler.hpp"
 #include "dunlinknot/leadership/elector.hpp"
@@ -65,7 +65,7 @@
   workers::ReportHandler workers_;
   cluster::Ledger ledger_;
   std::unique_ptr<duties::Duties> duties_;  // null when they are off
-  fleet::Fleet fleet_;
+  autoscaler::Autoscaler autoscaler_;
   std::vector<MachineType> catalog_;
   std::unique_ptr<http::Server> server_;
   uint64_t evictions_ = 0;
--- a/src/dunlinknot/scheduler/arrays.cpp
+++ b/src/dunlinknot/scheduler/arrays.cpp
@@ -29,7 +29,7 @@
     placed = place_nominated(j, want, own, constraints);
     placed += place_array(w, want - placed, constraints);
     // What has a nomination waits for its room; the rest may use machines that are coming, then
-    // rent.
+    // launch.
     want -= placed;
     // Tasks that found a place elsewhere need their nominations no more.
     while (own.size() > want) {
@@ -41,7 +41,7 @@
     uint32_t open = wanted;
     PlacementConstraints expected = constraints;
     if (open > 0) open -= place_coming(w, open, expected);
-    if (open > 0) open -= rent_array(w, open, expected);
+    if (open > 0) open -= scale_out_for_array(w, open, expected);
     cause = open < wanted ? WaitCause::machine_coming : WaitCause::no_room;
     if (!own.empty()) cause = WaitCause::eviction;
     preempt(w, own, open, constraints);
@@ -175,7 +175,7 @@
   }
   PlacementConstraints expected(spec);
   if (open > 0) open -= place_coming(w, open, expected);
-  if (open > 0) (void)rent_array(w, open, expected);
+  if (open > 0) (void)scale_out_for_array(w, open, expected);
 }
 
 uint32_t Round::place_array(const Waiting& w, uint32_t want, PlacementConstraints& constraints,
--- a/src/dunlinknot/scheduler/eviction.cpp
+++ b/src/dunlinknot/scheduler/eviction.cpp
@@ -1,4 +1,4 @@
-// Preemption: only when nothing can be rented, on one machine, never by or of gangs.
+// Preemption: only when nothing can be launched, on one machine, never by or of gangs.
 #include "dunlinknot/scheduler/round.hpp"
 
 namespace dunlinknot::scheduler {
@@ -20,15 +20,15 @@
     if (!nominations_.settling(nominations_.all().at(id).machine)) again.push_back(id);
   }
   if (tries == 0 && again.empty()) return;
-  // With machines to be rented, a task whose room was lost is rented for like any other: it does
-  // not wait on a nomination that is neither used nor renewed.
-  const bool can_rent = !deals(j.spec(), promised).empty() && !fleet_full();
+  // With machines to be launched, a task whose room was lost is launched for like any other: it
+  // does not wait on a nomination that is neither used nor renewed.
+  const bool can_scale_out = !ranked_offers(j.spec(), promised).empty() && !machine_limit_reached();
   for (const uint64_t id : again) {
-    if (!can_rent && evict_for(w, id, promised)) continue;
+    if (!can_scale_out && evict_for(w, id, promised)) continue;
     clear_nomination(id);
     promised.remove(zone_of(id), 1);
   }
-  if (can_rent) return;
+  if (can_scale_out) return;
   while (tries-- > 0 && plan_.evictions.size() < kMaxEvictionsPerRound) {
     if (!evict_for(w, 0, promised)) break;
   }
--- a/src/dunlinknot/scheduler/gangs.cpp
+++ b/src/dunlinknot/scheduler/gangs.cpp
@@ -58,7 +58,7 @@
     if (place_gang(j, false, lend)) return std::nullopt;
     const bool last = lend == Lend::any;
     const double boot = last || left <= 0 ? 0 : soonest_boot(j.spec(), lend);
-    if (boot < std::max(left, 0.1) && (place_gang(j, true, lend) || rent_gang(w, lend))) {
+    if (boot < std::max(left, 0.1) && (place_gang(j, true, lend) || scale_out_for_gang(w, lend))) {
       return WaitCause::machine_coming;
     }
     const bool waits =
--- a/src/dunlinknot/scheduler/round.cpp
+++ b/src/dunlinknot/scheduler/round.cpp
@@ -68,7 +68,7 @@
 }
 
 bool Round::usable(const Machine& h) const {
-  if (!h.heard || h.lost || h.draining || h.deleting || h.listed_failed || h.recall_at) {
+  if (!h.heard || h.lost || h.draining || h.terminating || h.listed_failed || h.recall_at) {
     return false;
   }
   // Only a report with our token proves that the machine is alive under us: one without may be a
@@ -83,7 +83,7 @@
 }
 
 bool Round::expected_up(const Machine& h) const {
-  if (h.draining || h.deleting || h.listed_failed) return false;
+  if (h.draining || h.terminating || h.listed_failed) return false;
   return !h.heard || (!h.ours && !h.lost && !h.recall_at && heard_of_late(h));
 }
 
@@ -100,7 +100,7 @@
       s.gang_fetches |= b.gang;
     }
   }
-  for (const auto& [offer, n] : market_.pending) {
+  for (const auto& [offer, n] : cloud_capacity_.pending) {
     for (uint32_t i = 0; i < n; ++i) add_expected(offer);
   }
 }
--- a/src/dunlinknot/scheduler/round.hpp
+++ b/src/dunlinknot/scheduler/round.hpp
@@ -63,12 +63,12 @@
 
 class Round {
  public:
-  Round(const Cluster& cluster, const preemption::Nominations& nominations, const Market& market,
-        const settings::Platform& platform, const settings::Operator& op, WallTime wall,
-        Instant now)
+  Round(const Cluster& cluster, const preemption::Nominations& nominations,
+        const CloudCapacity& cloud_capacity, const settings::Platform& platform,
+        const settings::Operator& op, WallTime wall, Instant now)
       : cluster_(cluster),
         nominations_(nominations),
-        market_(market),
+        cloud_capacity_(cloud_capacity),
         platform_(platform),
         op_(op),
         wall_(wall),
@@ -101,7 +101,7 @@
 
   bool heard_of_late(const Machine& h) const;
 
-  // Not up yet, or just up and about to bear our token: counted on, so that nothing is rented in
+  // Not up yet, or just up and about to bear our token: counted on, so that nothing is launched in
   // its place for that moment.
   bool expected_up(const Machine& h) const;
 
@@ -109,7 +109,7 @@
 
   Kind& kind_of(const Offer& offer);
 
-  // Machines of one kind mostly stand side by side, since they were rented together: the kind of
+  // Machines of one kind mostly stand side by side, since they were launched together: the kind of
   // the one before is tried first.
   Kind& kind_of(const Machine& h);
 
@@ -161,7 +161,7 @@
   // The shortest time in which the job is expected to start.
   double start_within(const Waiting& w) const;
 
-  // Until a machine of a kind that may be used is up, were it rented now.
+  // Until a machine of a kind that may be used is up, were it launched now.
   double soonest_boot(const JobSpec& spec, Lend lend) const;
 
   // A gang that waits for longer than any order may ask of it has its room, and what its team's
@@ -213,12 +213,12 @@
   uint32_t record_allows(const Job& j, const Slot& s) const;
 
   // How many tasks of the job fit there, up to `most`. Single tasks without accelerators leave to
-  // each free accelerator what its next task will need besides; else machines rented for their
+  // each free accelerator what its next task will need besides; else machines launched for their
   // accelerators fill up with work that could run anywhere, and is evicted for a guarantee soon
   // after.
   uint32_t count_on(const Job& j, const Slot& s, uint32_t most) const;
 
-  // The rent per hour of what the task takes of the machine, as the machine's dearest part.
+  // The price per hour of what the task takes of the machine, as the machine's dearest part.
   double share_of(const Resources& need, const Resources& size) const;
 
   // Lower is better: the seconds until the task would run there, and what it would block.
@@ -240,15 +240,15 @@
   // How many of a service's replicas are on machines that the cloud takes back.
   uint32_t replicas_leaving(const Job& j) const;
 
-  // Sees to it that those will find room: on machines that are there, coming, or rented.
+  // Sees to it that those will find room: on machines that are there, coming, or launched.
   void prepare_move(const Waiting& w);
 
   // How often a place on such a machine can be used before the job is due.
   double turns(const Waiting& w, const MachineType& t, double up_in) const;
 
-  // Machines that are not up yet: kept in mind for this round, so that not every round rents anew
-  // for the same work. A place there serves as many tasks as it has time for. What is counted on
-  // is added to `expected`.
+  // Machines that are not up yet: kept in mind for this round, so that not every round launches
+  // anew for the same work. A place there serves as many tasks as it has time for. What is counted
+  // on is added to `expected`.
   uint32_t place_coming(const Waiting& w, uint32_t want, PlacementConstraints& expected);
 
   void put(const Job& j, Slot& s, uint32_t n, std::vector<uint64_t> ends);
@@ -259,26 +259,30 @@
   // placed.
   bool place_gang(const Job& j, bool coming, Lend lend);
 
-  // --- renting
-  struct Deal {
+  // --- launching
+  struct RankedOffer {
     Offer offer;
     uint32_t slots = 0;  // tasks of the job per machine
     double price = 0;    // per task and hour
     const MachineType* type = nullptr;
   };
 
-  // The offers that may be rented for a job, in zones where it may have further tasks.
-  std::vector<Deal> deals(const JobSpec& spec, const PlacementConstraints& constraints) const;
+  // The offers that may be launched for a job, in zones where it may have further tasks.
+  std::vector<RankedOffer> ranked_offers(const JobSpec& spec,
+                                         const PlacementConstraints& constraints) const;
 
-  bool fleet_full() const { return market_.machines + requested_ >= op_.max_machines; }
+  bool machine_limit_reached() const {
+    return cloud_capacity_.machines + requested_ >= op_.max_machines;
+  }
 
   Slot& request_machine(const Offer& offer, const std::string& job);
 
-  // Rents for what is left of an array; returns how many tasks that provides for.
-  uint32_t rent_array(const Waiting& w, uint32_t open, const PlacementConstraints& expected);
+  // Launches machines for what is left of an array; returns how many tasks that provides for.
+  uint32_t scale_out_for_array(const Waiting& w, uint32_t open,
+                               const PlacementConstraints& expected);
 
-  // Where what is missing costs least; false when there is nothing to rent.
-  bool rent_gang(const Waiting& w, Lend lend);
+  // Where what is missing costs least; false when there is nothing to launch.
+  bool scale_out_for_gang(const Waiting& w, Lend lend);
 
   // Seconds until the task ends, as its owner reckons; what runs over may end at any time.
   double ends_in(const Allocation& b) const;
@@ -291,13 +295,12 @@
   // are too few.
   std::vector<Place> soonest_places(const Job& j, std::vector<Place> places) const;
 
-  // No room and nothing to rent: gangs do not evict, so the room that others leave is kept for this
-  // one where it will be enough first. Else single tasks take it piece by piece, and the larger the
-  // gang the longer it waits.
-  // Only if all of it is there within `most` seconds.
+  // No room and nothing to launch: gangs do not evict, so the room that others leave is kept for
+  // this one where it will be enough first. Else single tasks take it piece by piece, and the
+  // larger the gang the longer it waits. Only if all of it is there within `most` seconds.
   bool keep_for_gang(const Job& j, Lend lend, double most = std::numeric_limits<double>::max());
 
-  // --- preemption: only when nothing can be rented, one machine, never by or of gangs
+  // --- preemption: only when nothing can be launched, one machine, never by or of gangs
   // `promised`: what the job holds and is promised; each eviction adds to it.
   void preempt(const Waiting& w, const std::vector<uint64_t>& own, uint32_t open,
                PlacementConstraints& promised);
@@ -311,7 +314,7 @@
 
   const Cluster& cluster_;
   const preemption::Nominations& nominations_;
-  const Market& market_;
+  const CloudCapacity& cloud_capacity_;
   const settings::Platform& platform_;
   const settings::Operator& op_;
   WallTime wall_;
--- a/src/dunlinknot/scheduler/renting.cpp
+++ b/src/dunlinknot/scheduler/scale_out.cpp
@@ -9,9 +9,9 @@
 
 }  // namespace
 
-std::vector<Round::Deal> Round::deals(const JobSpec& spec,
-                                      const PlacementConstraints& constraints) const {
-  std::vector<Deal> out;
+std::vector<Round::RankedOffer> Round::ranked_offers(
+    const JobSpec& spec, const PlacementConstraints& constraints) const {
+  std::vector<RankedOffer> out;
   for (const MachineType& t : cluster_.catalog()) {
     if (!cluster::type_allowed(spec, t.name) || !spec.need.fits_in(t.size)) continue;
     const double share = share_of(spec.need, t.size);
@@ -21,14 +21,14 @@
       for (const bool spot : {true, false}) {
         const Offer offer{t.name, zone, spot};
         if (!offer_allowed(spec, offer)) continue;
-        if (market_.refused.contains(offer)) continue;
+        if (cloud_capacity_.refused.contains(offer)) continue;
         const double price = spot ? t.spot_price : t.price;
         out.push_back({offer, std::max(1u, n), price / std::max(1u, n), &t});
       }
     }
   }
   std::stable_sort(out.begin(), out.end(),
-                   [](const Deal& a, const Deal& b) { return a.price < b.price; });
+                   [](const RankedOffer& a, const RankedOffer& b) { return a.price < b.price; });
   return out;
 }
 
@@ -44,14 +44,15 @@
   return *add_expected(offer);
 }
 
-uint32_t Round::rent_array(const Waiting& w, uint32_t open, const PlacementConstraints& expected) {
+uint32_t Round::scale_out_for_array(const Waiting& w, uint32_t open,
+                                    const PlacementConstraints& expected) {
   const Job& j = *w.job;
   const JobSpec& spec = j.spec();
   if (j.failing) return 0;
-  const auto offers = deals(spec, expected);
-  if (offers.empty() || fleet_full()) return 0;
-  const Deal& d = offers.front();
-  // What the job may not have in one zone has to be rented elsewhere, in the rounds that follow.
+  const auto offers = ranked_offers(spec, expected);
+  if (offers.empty() || machine_limit_reached()) return 0;
+  const RankedOffer& d = offers.front();
+  // What the job may not have in one zone has to be launched elsewhere, in the rounds that follow.
   const uint32_t most_there = expected.tasks_allowed(d.offer.zone);
   // As many machines as finish what is left in time, not one for every task at once.
   const double times = turns(w, *d.type, d.type->boot.count());
@@ -60,7 +61,7 @@
   places = std::min(places, most_there);
   uint32_t machines = (places + d.slots - 1) / d.slots;
   machines = std::clamp(machines, 1u, kMostRequested);
-  for (uint32_t i = 0; i < machines && !fleet_full(); ++i) {
+  for (uint32_t i = 0; i < machines && !machine_limit_reached(); ++i) {
     Slot& s = request_machine(d.offer, spec.id);
     const uint32_t n = s.room.count(spec.need, spec.priority, places);
     s.room.take(spec.need * n);
@@ -69,7 +70,7 @@
   return all_there ? open : std::min(open, static_cast<uint32_t>(most_there * times));
 }
 
-bool Round::rent_gang(const Waiting& w, Lend lend) {
+bool Round::scale_out_for_gang(const Waiting& w, Lend lend) {
   const JobSpec& spec = w.job->spec();
   if (w.job->failing) return true;
   std::map<std::string, uint32_t> zone_free;
@@ -80,17 +81,17 @@
     }
   }
   const PlacementConstraints held = cluster_.constraints_of(*w.job);
-  const auto offers = deals(spec, held);
-  if (offers.empty() || fleet_full()) return false;
+  const auto offers = ranked_offers(spec, held);
+  if (offers.empty() || machine_limit_reached()) return false;
   uint32_t everywhere = 0;
   for (auto& [zone, n] : zone_free) {
     n = std::min(n, held.tasks_allowed(zone));
     everywhere += n;
   }
-  const Deal* best = nullptr;
+  const RankedOffer* best = nullptr;
   uint32_t machines = 0;
   double lowest = 0;
-  for (const Deal& d : offers) {
+  for (const RankedOffer& d : offers) {
     if (!lent(spec, d.type, lend)) continue;
     const uint32_t free_there = zone_free[d.offer.zone];
     const uint32_t allowed_there = held.tasks_allowed(d.offer.zone);
@@ -106,7 +107,7 @@
     lowest = cost;
   }
   if (!best) return false;
-  for (uint32_t i = 0; i < machines && !fleet_full(); ++i)
+  for (uint32_t i = 0; i < machines && !machine_limit_reached(); ++i)
     (void)request_machine(best->offer, spec.id);
   (void)place_gang(*w.job, true, lend);
   return true;
--- a/src/dunlinknot/scheduler/scheduler.cpp
+++ b/src/dunlinknot/scheduler/scheduler.cpp
@@ -17,15 +17,15 @@
     case WaitCause::room_kept:
       return "tasks to end where room is kept for it";
     case WaitCause::no_room:
-      return "room, and none can be rented";
+      return "room, and none can be launched";
   }
   return "";
 }
 
-Plan plan(const Cluster& cluster, const preemption::Nominations& nominations, const Market& market,
-          const settings::Platform& platform, const settings::Operator& op, WallTime wall,
-          Instant now) {
-  return Round(cluster, nominations, market, platform, op, wall, now).run();
+Plan plan(const Cluster& cluster, const preemption::Nominations& nominations,
+          const CloudCapacity& cloud_capacity, const settings::Platform& platform,
+          const settings::Operator& op, WallTime wall, Instant now) {
+  return Round(cluster, nominations, cloud_capacity, platform, op, wall, now).run();
 }
 
 }  // namespace dunlinknot::scheduler
--- a/src/dunlinknot/scheduler/scheduler.hpp
+++ b/src/dunlinknot/scheduler/scheduler.hpp
@@ -1,5 +1,5 @@
-// What should run where: a pure function of the cluster as it is known, the market and the time.
-// It decides; others allocate, rent and stop.
+// What should run where: a pure function of the cluster as it is known, the cloud capacity and the
+// time. It decides; others allocate, launch and stop.
 #pragma once
 #include <set>
 #include <string>
@@ -13,7 +13,7 @@
 
 namespace dunlinknot::scheduler {
 
-// One kind of machine that may be rented in one place.
+// One kind of machine that may be launched in one place.
 struct Offer {
   std::string type;
   std::string zone;
@@ -22,7 +22,7 @@
 };
 
 // What is known of the cloud.
-struct Market {
+struct CloudCapacity {
   std::vector<std::pair<Offer, uint32_t>> pending;  // asked for, not answered yet
   std::set<Offer> refused;                          // of late
   size_t machines = 0;                              // that we have
@@ -71,7 +71,7 @@
   machine_coming,     // a machine that boots or was asked for
   eviction,           // tasks that are being stopped for it
   room_kept,          // room is kept for it where tasks are to end
-  no_room,            // no allowed machine has room, and none can be rented
+  no_room,            // no allowed machine has room, and none can be launched
 };
 std::string_view text(WaitCause cause);
 
@@ -95,8 +95,8 @@
 };
 
 Plan plan(const cluster::Cluster& cluster, const preemption::Nominations& nominations,
-          const Market& market, const settings::Platform& platform, const settings::Operator& op,
-          WallTime wall, Instant now);
+          const CloudCapacity& cloud_capacity, const settings::Platform& platform,
+          const settings::Operator& op, WallTime wall, Instant now);
 
 // The jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
 std::set<std::string> within_guarantee(const cluster::Cluster& cluster);
--- a/src/dunlinknot/wire/messages.cpp
+++ b/src/dunlinknot/wire/messages.cpp
@@ -381,7 +381,7 @@
   return out;
 }
 
-std::optional<std::vector<std::string>> read_rented(std::string_view body) {
+std::optional<std::vector<std::string>> read_launched(std::string_view body) {
   const auto doc = Document::parse(body);
   if (!doc || !doc->root()["hosts"].is_list()) return std::nullopt;
   std::vector<std::string> out;
@@ -394,15 +394,15 @@
   return out;
 }
 
-std::string write_rental(std::string_view request, std::string_view type, std::string_view zone,
-                         bool spot, uint32_t count) {
+std::string write_launch_request(std::string_view request, std::string_view type,
+                                 std::string_view zone, bool spot, uint32_t count) {
   Writer w;
   w.map(5).key("hire").text(request).key("rig").text(type).key("yard").text(zone);
   w.key("loaners").flag(spot).key("count").count(count);
   return w.take();
 }
 
-std::string write_deletion(const std::vector<std::string>& machines) {
+std::string write_termination_request(const std::vector<std::string>& machines) {
   Writer w;
   w.map(1).key("hosts").list(machines.size());
   for (const auto& m : machines) w.text(m);
--- a/src/dunlinknot/wire/messages.hpp
+++ b/src/dunlinknot/wire/messages.hpp
@@ -162,10 +162,10 @@
 std::optional<std::vector<MachineType>> read_catalog(View root);
 std::string write_catalog(const std::vector<MachineType>& types);
 std::optional<MachineList> read_machines(std::string_view body);
-std::optional<std::vector<std::string>> read_rented(std::string_view body);
-std::string write_rental(std::string_view request, std::string_view type, std::string_view zone,
-                         bool spot, uint32_t count);
-std::string write_deletion(const std::vector<std::string>& machines);
+std::optional<std::vector<std::string>> read_launched(std::string_view body);
+std::string write_launch_request(std::string_view request, std::string_view type,
+                                 std::string_view zone, bool spot, uint32_t count);
+std::string write_termination_request(const std::vector<std::string>& machines);
 
 }  // namespace wire
 }  // namespace dunlinknot
--- a/tests/cloud_service.cpp
+++ b/tests/cloud_service.cpp
@@ -1,4 +1,4 @@
-// The scripted cloud: rentals, deletions and a machine list that lags.
+// The scripted cloud: launches, deletions and a machine list that lags.
 #include "support.hpp"
 
 namespace dunlinknot::test {
@@ -18,9 +18,9 @@
     co_await loop_.sleep_until(call.deadline);
     co_return Reply{};
   }
-  const uint64_t rentals_before = rentals;
+  const uint64_t launches_before = launches;
   Reply out = execute(call, sender_token);
-  const bool lost = lose_rental_replies && rentals > rentals_before;
+  const bool lost = lose_launch_replies && launches > launches_before;
   if (f == Fate::lose_reply || lost) {
     co_await loop_.sleep_until(call.deadline);
     co_return Reply{};
@@ -35,12 +35,12 @@
 
 Reply CloudService::execute(const Call& call, uint64_t sender_token) {
   if (call.target == "/catalog") return reply(200, wire::write_catalog(types));
-  if (call.target == "/rentals" && call.method == "POST") return rent(call, sender_token);
+  if (call.target == "/rentals" && call.method == "POST") return launch(call, sender_token);
   if (call.target == "/rentals/delete") return remove(call, sender_token);
   return list(call);
 }
 
-Reply CloudService::rent(const Call& call, uint64_t sender_token) {
+Reply CloudService::launch(const Call& call, uint64_t sender_token) {
   const auto doc = Document::parse(call.body);
   const View root = doc->root();
   const std::string request(*root["hire"].text());
@@ -70,9 +70,9 @@
     Machine m{name, type, zone, spot, loop_.now(), false, {}, machine_address};
     machines[m.id] = m;
     ids.push_back(m.id);
-    if (on_rented) on_rented(m);
+    if (on_launched) on_launched(m);
   }
-  ++rentals;
+  ++launches;
   answered[request] = ids;
   if (on_act) on_act({request, ids, true, sender_token});
   return reply(200, names(ids));
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -361,7 +361,7 @@
     c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);  // not even written down
     if (why == 0) h.draining = true;
     if (why == 1) h.unreachable = true;
-    if (why == 2) h.deleting = true;
+    if (why == 2) h.terminating = true;
     if (why == 3) now += seconds(5);
     const Effects n = c.tick(now);
     EXPECT_TRUE(n.schedule);
--- a/tests/duties_test.cpp
+++ b/tests/duties_test.cpp
@@ -53,30 +53,33 @@
 }
 
 TEST(DutyRecords, AreReadBackAndNeverGuessedAt) {
-  duties::RentIntent rent{"d-3-1", "box", "a", true, 50, "run-000001", 3};
-  const auto read_rent = [](std::string_view key, const std::string& bytes) {
+  duties::ScaleOutIntent scale_out{"d-3-1", "box", "a", true, 50, "run-000001", 3};
+  const auto read_scale_out = [](std::string_view key, const std::string& bytes) {
     const auto document = wire::Document::parse(bytes);
-    return duties::read_rent_intent(key, document->root());
+    return duties::read_scale_out_intent(key, document->root());
   };
-  const std::string key = duties::rent_key(rent.request);
-  const auto back = std::get<duties::RentIntent>(read_rent(key, duties::write_rent_intent(rent)));
+  const std::string key = duties::scale_out_key(scale_out.request);
+  const auto back = std::get<duties::ScaleOutIntent>(
+      read_scale_out(key, duties::write_scale_out_intent(scale_out)));
   EXPECT_EQ(back.type, "box");
   EXPECT_EQ(back.count, 50u);
   EXPECT_TRUE(back.spot);
   EXPECT_EQ(back.token, 3u);
-  EXPECT_EQ(error_of(read_rent(duties::rent_key("d-3-2"), duties::write_rent_intent(rent))),
+  EXPECT_EQ(error_of(read_scale_out(duties::scale_out_key("d-3-2"),
+                                    duties::write_scale_out_intent(scale_out))),
             RecordError::damaged)
       << "a record under a foreign key";
   for (const uint32_t count : {0u, 51u}) {
-    rent.count = count;
-    EXPECT_EQ(error_of(read_rent(key, duties::write_rent_intent(rent))), RecordError::damaged);
+    scale_out.count = count;
+    EXPECT_EQ(error_of(read_scale_out(key, duties::write_scale_out_intent(scale_out))),
+              RecordError::damaged);
   }
   wire::Writer newer;
   newer.map(2).key("v").count(duties::kRecordVersion + 1).key("token").count(3);
-  EXPECT_EQ(error_of(read_rent(key, newer.take())), RecordError::newer);
+  EXPECT_EQ(error_of(read_scale_out(key, newer.take())), RecordError::newer);
   wire::Writer empty;
   empty.map(0);
-  EXPECT_EQ(error_of(read_rent(key, empty.take())), RecordError::damaged);
+  EXPECT_EQ(error_of(read_scale_out(key, empty.take())), RecordError::damaged);
 }
 
 Site& with_duties(Site& site) {
@@ -102,13 +105,13 @@
   ASSERT_TRUE(site.leader().has_value());
   const auto& holder = held(site).holder;
   for (const Duty duty : duties::kAllDuties) EXPECT_TRUE(holder.may_act(duty));
-  EXPECT_LT(holder.token(Duty::rent), holder.token(Duty::give_back));
-  EXPECT_LT(holder.token(Duty::give_back), holder.token(Duty::cleanup));
+  EXPECT_LT(holder.token(Duty::scale_out), holder.token(Duty::scale_in));
+  EXPECT_LT(holder.token(Duty::scale_in), holder.token(Duty::cleanup));
   const uint64_t before = holder.token(Duty::cleanup);
   site.restart(*site.leader());
   site.run_for(seconds(8));
   ASSERT_TRUE(site.leader().has_value());
-  EXPECT_GT(held(site).holder.token(Duty::rent), before) << "tokens only grow";
+  EXPECT_GT(held(site).holder.token(Duty::scale_out), before) << "tokens only grow";
 }
 
 TEST(Duties, NothingIsStoredWhenTheyAreOff) {
@@ -123,16 +126,16 @@
   Site site(1);
   with_duties(site);
   site.cloud.lag = seconds(2);
-  bool rented_with_intent = false;
+  bool launched_with_intent = false;
   site.cloud.on_act = [&](const CloudService::Act& act) {
     if (!act.request.empty() && act.changed) {
-      rented_with_intent = site.state.data.contains(duties::rent_key(act.request));
+      launched_with_intent = site.state.data.contains(duties::scale_out_key(act.request));
     }
   };
   site.run_for(seconds(3));
   site.submit(job("run-000001"));
   site.run_for(seconds(2));
-  EXPECT_TRUE(rented_with_intent);
+  EXPECT_TRUE(launched_with_intent);
   site.run_for(seconds(60));
   EXPECT_EQ(site.standing("run-000001"), "done");
   EXPECT_EQ(site.cloud.deletions.size(), 1u);
@@ -144,25 +147,25 @@
   with_duties(site);
   site.run_for(seconds(5));
   const auto& holder = held(site).holder;
-  ASSERT_TRUE(holder.may_act(Duty::rent));
+  ASSERT_TRUE(holder.may_act(Duty::scale_out));
   site.clock.suspended += seconds(10);
-  EXPECT_FALSE(holder.may_act(Duty::rent)) << "the steady clock did not count the suspension";
-  EXPECT_EQ(holder.state(Duty::rent), LeaseState::doubtful);
+  EXPECT_FALSE(holder.may_act(Duty::scale_out)) << "the steady clock did not count the suspension";
+  EXPECT_EQ(holder.state(Duty::scale_out), LeaseState::doubtful);
   site.run_for(seconds(3));
-  EXPECT_TRUE(held(site).holder.may_act(Duty::rent));
+  EXPECT_TRUE(held(site).holder.may_act(Duty::scale_out));
 }
 
 TEST(Duties, WallClockJumpsChangeNothing) {
   Site site(1);
   with_duties(site);
   site.run_for(seconds(5));
-  const uint64_t token = held(site).holder.token(Duty::rent);
+  const uint64_t token = held(site).holder.token(Duty::scale_out);
   for (const auto jump : {Nanos(seconds(5)), Nanos(std::chrono::hours(3)),
                           Nanos(std::chrono::hours(-6)), Nanos(seconds(-2))}) {
     site.clock.wall_jump += jump;
-    EXPECT_TRUE(held(site).holder.may_act(Duty::rent));
+    EXPECT_TRUE(held(site).holder.may_act(Duty::scale_out));
     site.run_for(seconds(5));
-    EXPECT_EQ(held(site).holder.token(Duty::rent), token);
+    EXPECT_EQ(held(site).holder.token(Duty::scale_out), token);
   }
 }
 
@@ -170,11 +173,11 @@
   Site site(1);
   with_duties(site);
   site.run_for(seconds(5));
-  const uint64_t token = held(site).holder.token(Duty::rent);
-  site.state.erase(duties::duty_key(Duty::rent));
+  const uint64_t token = held(site).holder.token(Duty::scale_out);
+  site.state.erase(duties::duty_key(Duty::scale_out));
   site.run_for(seconds(4));
-  EXPECT_GT(held(site).holder.token(Duty::rent), token);
-  EXPECT_TRUE(held(site).holder.may_act(Duty::rent));
+  EXPECT_GT(held(site).holder.token(Duty::scale_out), token);
+  EXPECT_TRUE(held(site).holder.may_act(Duty::scale_out));
 }
 
 TEST(Duties, ADamagedTokenCounterHaltsThemAndIsNotOverwritten) {
@@ -193,7 +196,7 @@
   site.run_for(seconds(30));
   EXPECT_EQ(site.state.data.at(std::string(duties::kTokenKey)).value, bytes);
   EXPECT_EQ(count_keys(site, "duty/"), 1u) << "no duty was taken";
-  EXPECT_EQ(site.cloud.rentals + site.cloud.deletions.size(), 0u);
+  EXPECT_EQ(site.cloud.launches + site.cloud.deletions.size(), 0u);
   EXPECT_EQ(site.standing("run-000001"), "done") << "what needs no duty goes on";
 }
 
@@ -209,7 +212,7 @@
   wire::Writer newer;
   newer.map(2).key("v").count(duties::kRecordVersion + 1).key("token").count(1);
   const std::string bytes = newer.take();
-  const std::string key = duties::return_key("vm-100001");
+  const std::string key = duties::scale_in_key("vm-100001");
   site.state.put(key, bytes);
   with_duties(site);
   site.run_for(seconds(5));
@@ -227,13 +230,13 @@
   Site site(1);
   with_duties(site);
   site.run_for(seconds(5));
-  site.state.put(duties::rent_key("d-9-1"),
-                 duties::write_rent_intent({"d-9-1", "box", "a", true, 3, "run-000009", 9}));
-  site.state.put(duties::return_key("vm-000007"),
-                 duties::write_return_intent({"vm-000007", "idle", 9}));
+  site.state.put(duties::scale_out_key("d-9-1"),
+                 duties::write_scale_out_intent({"d-9-1", "box", "a", true, 3, "run-000009", 9}));
+  site.state.put(duties::scale_in_key("vm-000007"),
+                 duties::write_scale_in_intent({"vm-000007", "idle", 9}));
   wire::Writer damaged;
   damaged.text("?");
-  site.state.put(duties::return_key("vm-000008"), damaged.take());
+  site.state.put(duties::scale_in_key("vm-000008"), damaged.take());
   const size_t keys = site.state.data.size();
 
   Site::Node& node = *site.nodes.front();
@@ -268,7 +271,7 @@
   site.submit(job("run-000001"));
   site.run_for(seconds(5));
   ASSERT_EQ(worker.started.size(), 1u);
-  site.state.put(duties::return_key(m.id), duties::write_return_intent({m.id, "idle", 1}));
+  site.state.put(duties::scale_in_key(m.id), duties::write_scale_in_intent({m.id, "idle", 1}));
   with_duties(site);
   site.run_for(seconds(8));
   EXPECT_TRUE(worker.on) << "its task runs";
--- a/tests/duty_handover_test.cpp
+++ b/tests/duty_handover_test.cpp
@@ -14,7 +14,7 @@
 bool is_deletion(const http::Call& call) {
   return call.target == "/rentals/delete";
 }
-bool is_rental(const http::Call& call) {
+bool is_launch(const http::Call& call) {
   return call.target == "/rentals" && call.method == "POST";
 }
 
@@ -56,7 +56,7 @@
 
 // The holder decided to return an idle machine, looked at its lease, and stands still before the
 // deletion is sent. Work comes for which the machine would do. Then the holder goes on.
-void pause_amid_a_return(Fixture& f) {
+void pause_amid_a_termination(Fixture& f) {
   f.site.submit(job("run-000001"), 0);
   Site::Node* stopped = f.pause_at(is_deletion);
   ASSERT_NE(stopped, nullptr);
@@ -73,7 +73,7 @@
 
 TEST(DutyHandover, AHolderPausedBeforeItSendsADeletionHarmsNobody) {
   Fixture f;
-  pause_amid_a_return(f);
+  pause_amid_a_termination(f);
   f.expect_clean();
   EXPECT_GE(f.history.counts().fenced_without_effect, 1u) << "it was sent, and changed nothing";
 }
@@ -81,15 +81,15 @@
 // The same without the intents: the checks have to find what they are for.
 TEST(DutyHandover, TheChecksFindWhatHappensWithoutIntents) {
   Fixture f(false);
-  pause_amid_a_return(f);
+  pause_amid_a_termination(f);
   EXPECT_FALSE(f.history.violations().empty());
 }
 
-TEST(DutyHandover, AHolderPausedBeforeItSendsARentalRentsNothingTwice) {
+TEST(DutyHandover, AHolderPausedBeforeItSendsALaunchLaunchesNothingTwice) {
   Fixture f;
   f.site.cloud.capacity["box/a/ordinary"] = 5;
   f.site.submit(job("run-000001"), 0);
-  Site::Node* stopped = f.pause_at(is_rental);
+  Site::Node* stopped = f.pause_at(is_launch);
   ASSERT_NE(stopped, nullptr);
   f.site.run_for(seconds(20));
   EXPECT_EQ(f.site.cloud.machines.size(), 1u);
@@ -100,13 +100,13 @@
   f.expect_clean();
 }
 
-TEST(DutyHandover, ARentalThatIsExecutedMinutesLaterIsTheSameRental) {
+TEST(DutyHandover, ALaunchThatIsExecutedMinutesLaterIsTheSameLaunch) {
   Fixture f;
   f.site.cloud.capacity["box/a/ordinary"] = 5;
   f.site.cloud.late_by = seconds(120);
   bool first = true;
   f.site.cloud.fate = [&](const http::Call& call) {
-    return is_rental(call) && std::exchange(first, false) ? Fate::apply_late : Fate::normal;
+    return is_launch(call) && std::exchange(first, false) ? Fate::apply_late : Fate::normal;
   };
   f.site.submit(job("run-000001"), 0);
   f.site.run_for(seconds(2));
@@ -127,7 +127,7 @@
   f.site.cloud.late_by = seconds(60);
   bool first = true;
   f.site.cloud.fate = [&](const http::Call& call) {
-    return is_rental(call) && std::exchange(first, false) ? Fate::apply_late : Fate::normal;
+    return is_launch(call) && std::exchange(first, false) ? Fate::apply_late : Fate::normal;
   };
   JobSpec spec = job("run-000001");
   spec.types = {"box"};
@@ -145,13 +145,13 @@
   f.expect_clean();
 }
 
-// The rental was answered, its machine boots and is not in the list yet when the leader ends.
-TEST(DutyHandover, AMachineThatOnlyItsRenterKnewIsNotRentedAgain) {
+// The launch was answered, its machine boots and is not in the list yet when the leader ends.
+TEST(DutyHandover, AMachineThatOnlyItsLauncherKnewIsNotLaunchedAgain) {
   Fixture f;
   f.site.cloud.capacity["box/a/ordinary"] = 5;
   f.site.submit(job("run-000001"), 0);
-  for (int i = 0; i < 300 && f.site.cloud.rentals == 0; ++i) f.site.run_for(Millis(10));
-  ASSERT_EQ(f.site.cloud.rentals, 1u);
+  for (int i = 0; i < 300 && f.site.cloud.launches == 0; ++i) f.site.run_for(Millis(10));
+  ASSERT_EQ(f.site.cloud.launches, 1u);
   f.site.run_for(Millis(200));  // the answer arrives
   f.site.restart(*f.site.leader());
   f.site.run_for(seconds(60));
@@ -161,7 +161,7 @@
 }
 
 // An idle machine that a new leader has not heard yet would do for what waits.
-TEST(DutyHandover, OwnRentalsWaitUntilTheMachinesAreKnown) {
+TEST(DutyHandover, OwnLaunchesWaitUntilTheMachinesAreKnown) {
   Fixture f;
   f.site.op.idle_return = Seconds(600);
   for (size_t i = 0; i < kControllers; ++i) f.site.restart(i);
@@ -186,7 +186,7 @@
   refused_alone,    // the state service refuses the leader, and serves the others
   cut_from_state,   // the leader loses the state service
   cut_from_cloud,   // the leader loses the cloud, not the state service
-  late_acts,        // rentals and deletions are executed late
+  late_acts,        // launches and deletions are executed late
   lost_answers,     // they are executed, and their answers are lost
   late_writes,      // transactions are applied late
   crash_successor,  // the leader ends, and the next one during its take-over
@@ -271,7 +271,7 @@
   }
   void some_calls(Fate fate) {
     f_.site.cloud.fate = [this, fate](const http::Call& call) {
-      const bool act = is_rental(call) || is_deletion(call);
+      const bool act = is_launch(call) || is_deletion(call);
       return act && draw(3) == 0 ? fate : Fate::normal;
     };
     for_a_while(15, [this] { f_.site.cloud.fate = nullptr; });
@@ -320,7 +320,7 @@
     for (const std::string& id : accepted_) EXPECT_EQ(f_.site.standing(id, 0), "done") << id;
     EXPECT_EQ(f_.history.machines_held(), 0u) << "paid for and forgotten";
     for (const auto& [key, entry] : f_.site.state.data) {
-      EXPECT_FALSE(key.starts_with(duties::return_key(""))) << key << " is still open";
+      EXPECT_FALSE(key.starts_with(duties::scale_in_key(""))) << key << " is still open";
     }
     EXPECT_GT(f_.history.counts().changed, 0u);
   }
--- a/tests/duty_history.cpp
+++ b/tests/duty_history.cpp
@@ -31,32 +31,32 @@
 }
 
 void DutyHistory::take_act(const CloudService::Act& act) {
-  const bool rental = !act.request.empty();
+  const bool launch = !act.request.empty();
   const std::string key =
-      rental ? duties::rent_key(act.request) : duties::return_key(act.machines.front());
+      launch ? duties::scale_out_key(act.request) : duties::scale_in_key(act.machines.front());
   const bool open = site_.state.data.contains(key);
-  const bool fenced = act.sender_token != present_token(rental ? Duty::rent : Duty::give_back);
+  const bool fenced = act.sender_token != present_token(launch ? Duty::scale_out : Duty::scale_in);
   ++counts_.acts;
   if (act.changed) {
     ++counts_.changed;
     if (!open) violations_.push_back("an act that is not decided: " + key);
     if (open && fenced) ++counts_.fenced_repeats;
-    if (rental) check_rental(act.request);
-    if (!rental) check_return(act.machines.front());
+    if (launch) check_launch(act.request);
+    if (!launch) check_scale_in(act.machines.front());
   } else if (fenced) {
     ++counts_.fenced_without_effect;
   }
 }
 
-// While one rental of a kind of machine is decided and unanswered, another of that kind would be
+// While one launch of a kind of machine is decided and unanswered, another of that kind would be
 // for the same need.
-void DutyHistory::check_rental(const std::string& request) {
-  std::optional<duties::RentIntent> own;
-  std::vector<duties::RentIntent> others;
+void DutyHistory::check_launch(const std::string& request) {
+  std::optional<duties::ScaleOutIntent> own;
+  std::vector<duties::ScaleOutIntent> others;
   for (const auto& [key, entry] : site_.state.data) {
     const auto document = wire::Document::parse(entry.value);
-    const auto read = duties::read_rent_intent(key, document->root());
-    const auto* intent = std::get_if<duties::RentIntent>(&read);
+    const auto read = duties::read_scale_out_intent(key, document->root());
+    const auto* intent = std::get_if<duties::ScaleOutIntent>(&read);
     if (!intent) continue;
     if (intent->request == request) {
       own = *intent;
@@ -65,16 +65,16 @@
     }
   }
   if (!own) return;
-  for (const duties::RentIntent& other : others) {
+  for (const duties::ScaleOutIntent& other : others) {
     if (other.type == own->type && other.zone == own->zone && other.spot == own->spot) {
-      violations_.push_back("rented twice for one need: " + request + " and " + other.request);
+      violations_.push_back("launched twice for one need: " + request + " and " + other.request);
     }
   }
 }
 
 // Whoever leads must not count on a machine that goes: no task may be started there between the
 // decision and the deletion, and none that can be reached may be killed by it.
-void DutyHistory::check_return(const std::string& machine) {
+void DutyHistory::check_scale_in(const std::string& machine) {
   const auto worker = site_.workers.find(machine);
   if (worker == site_.workers.end()) return;
   const Worker& w = *worker->second;
@@ -89,7 +89,7 @@
   if (key.starts_with(wire::kFinalPrefix)) {
     violations_.push_back("a final answer was removed: " + key);
   }
-  if (const auto machine = duties::return_name(key); !machine.empty() && machine_lives(machine)) {
+  if (const auto machine = duties::scale_in_name(key); !machine.empty() && machine_lives(machine)) {
     violations_.push_back("an intent was removed before its machine was gone: " + key);
   }
   if (const auto machine = wire::after_prefix(key, wire::kMachinePrefix); machine_lives(machine)) {
--- a/tests/duty_history.hpp
+++ b/tests/duty_history.hpp
@@ -29,8 +29,8 @@
  private:
   void take_act(const CloudService::Act& act);
   void take_removed_key(const std::string& key);
-  void check_rental(const std::string& request);
-  void check_return(const std::string& machine);
+  void check_launch(const std::string& request);
+  void check_scale_in(const std::string& machine);
   // The token under which the duty is held at this moment; 0 when nobody holds it.
   uint64_t present_token(duties::Duty duty) const;
   bool machine_lives(std::string_view machine) const;
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -25,8 +25,8 @@
     c.begin_term(1, now);
     c.set_catalog({box});
     machine("vm-1");
-    // Nothing can be rented.
-    market.refused = {{"box", "a", false}, {"box", "a", true}};
+    // Nothing can be launched.
+    cloud_capacity.refused = {{"box", "a", false}, {"box", "a", true}};
   }
   Machine& machine(const std::string& id) {
     WorkerReport b;
@@ -59,7 +59,7 @@
   }
   scheduler::Plan plan() {
     n.settle(c);
-    return scheduler::plan(c, n, market, platform, op, WallTime(Millis(100'000)), now);
+    return scheduler::plan(c, n, cloud_capacity, platform, op, WallTime(Millis(100'000)), now);
   }
   // Carries the plan's evictions out, as the leader does.
   void carry_out(const scheduler::Plan& p) {
@@ -106,19 +106,19 @@
   settings::Operator op;
   Cluster c{platform, op};
   Nominations n;
-  scheduler::Market market;
+  scheduler::CloudCapacity cloud_capacity;
   Instant now{seconds(100)};
   uint64_t seq = 1;
 };
 
-TEST_F(PreemptionTest, EvictsOnlyWhenNothingCanBeRented) {
+TEST_F(PreemptionTest, EvictsOnlyWhenNothingCanBeLaunched) {
   Machine& h = *c.find_machine("vm-1");
   run(add("run-000001", Priority::low, 8), h);
   add("run-000002", Priority::high, 4);
-  market.refused.clear();
+  cloud_capacity.refused.clear();
   EXPECT_TRUE(plan().evictions.empty());
   EXPECT_FALSE(plan().capacity_requests.empty());
-  market.refused = {{"box", "a", false}, {"box", "a", true}};
+  cloud_capacity.refused = {{"box", "a", false}, {"box", "a", true}};
   const auto p = plan();
   ASSERT_EQ(p.evictions.size(), 1u);
   EXPECT_EQ(p.evictions[0].room.cpus, 4) << "the exact room, not the victim's";
@@ -276,12 +276,12 @@
   EXPECT_EQ(n.all().begin()->second.machine, "vm-2");
 }
 
-// Found by reading: with machines to be rented the nomination was neither used, renewed nor
-// cleared, and the task that had it was not rented for.
-TEST_F(PreemptionTest, ATaskWhoseRoomIsLostIsRentedForOnceMachinesCanBeRented) {
+// Found by reading: with machines to be launched the nomination was neither used, renewed nor
+// cleared, and the task that had it was not launched for.
+TEST_F(PreemptionTest, ATaskWhoseRoomIsLostIsLaunchedForOnceMachinesCanBeLaunched) {
   const uint64_t first = nominate_and_lose_the_room();
   c.close_job("run-000001", false, now);
-  market.refused.clear();
+  cloud_capacity.refused.clear();
   const auto p = plan();
   EXPECT_TRUE(p.evictions.empty());
   EXPECT_EQ(p.cleared, std::vector<uint64_t>{first});
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -176,7 +176,7 @@
   for (const auto& [id, n] : by_machine) EXPECT_LE(n, api.tasks / 2) << id;
 }
 
-TEST_F(Replicas, StartBeforeWorkOfLowerPriorityWhereNothingCanBeRented) {
+TEST_F(Replicas, StartBeforeWorkOfLowerPriorityWhereNothingCanBeLaunched) {
   s.cloud.capacity = {{"box/a/ordinary", 1}};
   JobSpec batch = job("run-000005", 40);
   ASSERT_EQ(s.submit(batch).status, 201);
@@ -224,20 +224,20 @@
     return b;
   }
   scheduler::Plan plan() {
-    return scheduler::plan(c, nominations, market, platform, op, wall + Millis(100), now);
+    return scheduler::plan(c, nominations, cloud_capacity, platform, op, wall + Millis(100), now);
   }
   settings::Platform platform = Site::platform(0, 1);
   settings::Operator op;
   cluster::Cluster c{platform, op};
   preemption::Nominations nominations;
-  scheduler::Market market;
+  scheduler::CloudCapacity cloud_capacity;
   cluster::Effects effects;
   Instant now{seconds(100)};
   WallTime wall{Millis(1'000'000)};
   uint64_t seq = 0;
 };
 
-TEST_F(ReplicaDecisions, RoomIsRentedForAllAtOnceSinceNoPlaceIsUsedTwice) {
+TEST_F(ReplicaDecisions, RoomIsLaunchedForAllAtOnceSinceNoPlaceIsUsedTwice) {
   JobSpec spec = service("run-000001", 16);  // four fit on a machine
   add(spec);
   uint32_t machines = 0;
@@ -246,7 +246,7 @@
 }
 
 TEST_F(ReplicaDecisions, NoRoomIsKeptWhereOnlyReplicasWouldHaveToEnd) {
-  market.refused = {{"box", "a", false}, {"box", "b", false}};
+  cloud_capacity.refused = {{"box", "a", false}, {"box", "b", false}};
   cluster::Machine& taken = machine("vm-1");
   cluster::Job& api = add(service("run-000001", 4));
   for (int i = 0; i < 4; ++i) run(taken, api);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -87,7 +87,7 @@
   EXPECT_EQ(open_jobs(site), kJobs);
 }
 
-TEST(Scale, AListOf6000MachinesIsReadPageByPageAndLeavesRoomForRentals) {
+TEST(Scale, AListOf6000MachinesIsReadPageByPageAndLeavesRoomForLaunches) {
   Site site;
   constexpr size_t kListed = 6000;
   for (size_t i = 1; i <= kListed; ++i) {
@@ -102,7 +102,7 @@
   ASSERT_EQ(site.submit(job(kLargest)).status, 201);
   constexpr auto kWatched = seconds(20);
   site.run_for(kWatched);
-  EXPECT_GE(site.cloud.rentals, 1u) << "the job allows no spot machine, so one is rented for it";
+  EXPECT_GE(site.cloud.launches, 1u) << "the job allows no spot machine, so one is launched for it";
   const double budget = kWatched.count() * site.rules_platform.cloud_rps;
   EXPECT_LT(static_cast<double>(site.cloud.lists - lists_before), budget * 0.7);
 }
--- a/tests/scenario_machines_test.cpp
+++ b/tests/scenario_machines_test.cpp
@@ -36,16 +36,16 @@
   expect_rules(s);
 }
 
-TEST(Machines, ARentalWithoutAnAnswerIsRepeatedUnderItsOwnName) {
+TEST(Machines, ALaunchWithoutAnAnswerIsRepeatedUnderItsOwnName) {
   Site s(1);
-  s.cloud.lose_rental_replies = true;
+  s.cloud.lose_launch_replies = true;
   s.run_for(seconds(2));
   s.submit(job("run-000001", 4));
   s.run_for(seconds(12));
-  s.cloud.lose_rental_replies = false;
+  s.cloud.lose_launch_replies = false;
   s.run_for(seconds(60));
   EXPECT_EQ(s.standing("run-000001"), "done");
-  EXPECT_LE(s.cloud.machines.size(), 2u) << "no machine was rented twice for one request_machine";
+  EXPECT_LE(s.cloud.machines.size(), 2u) << "no machine was launched twice for one request_machine";
 }
 
 TEST(Machines, ACancelledJobsTasksAreGoneWithinTheTimeEvenBehindACutLeader) {
@@ -175,7 +175,7 @@
 }
 
 TEST(Machines, ARunGoesOutWithTheAnswerToTheReportThatToldOfTheRoom) {
-  // Found on a fleet: every task waited for the report after the one that told of the room.
+  // Found on a autoscaler: every task waited for the report after the one that told of the room.
   Site s(1);
   s.run_for(seconds(2));
   std::map<std::string, std::vector<Instant>> starts;
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -265,16 +265,16 @@
   }
 
   void round() {
-    Market market;
+    CloudCapacity cloud_capacity;
     for (const auto& t : types_) {
       for (const auto& zone : t.zones) {
         for (const bool spot : {false, true}) {
-          if (chance(0.95)) market.refused.insert({t.name, zone, spot});
+          if (chance(0.95)) cloud_capacity.refused.insert({t.name, zone, spot});
         }
       }
     }
     state_.nominations.settle(state_.cluster);
-    const Plan decided = plan(state_.cluster, state_.nominations, market, platform_, op_,
+    const Plan decided = plan(state_.cluster, state_.nominations, cloud_capacity, platform_, op_,
                               clock_.wall(), clock_.now());
     tally_.evictions += decided.evictions.size();
     (void)apply(decided, state_, clock_.now());
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -33,12 +33,12 @@
     rig.spot_price = 2;
     c.begin_term(1, now);
     c.set_catalog({box, rig});
-    none_to_rent();
+    none_to_launch();
   }
-  void none_to_rent() {
+  void none_to_launch() {
     for (const char* t : {"box", "rig"}) {
       for (const char* z : {"a", "b"}) {
-        for (const bool spot : {false, true}) market.refused.insert({t, z, spot});
+        for (const bool spot : {false, true}) cloud_capacity.refused.insert({t, z, spot});
       }
     }
   }
@@ -67,7 +67,9 @@
     b.phase = Phase::seen;
     b.state = TaskState::running;
   }
-  Plan plan() { return scheduler::plan(c, n, market, platform, op, wall + Millis(100), now); }
+  Plan plan() {
+    return scheduler::plan(c, n, cloud_capacity, platform, op, wall + Millis(100), now);
+  }
   static std::map<std::string, uint32_t> by_machine(const Plan& p) {
     std::map<std::string, uint32_t> out;
     for (const auto& x : p.placements) out[x.machine] += x.count;
@@ -81,7 +83,7 @@
   settings::Operator op;
   Cluster c{platform, op};
   preemption::Nominations n;
-  Market market;
+  CloudCapacity cloud_capacity;
   Instant now{seconds(100)};
   WallTime wall{Millis(1'000'000)};
   uint64_t seq = 1;
@@ -204,8 +206,9 @@
 }
 
 TEST_F(SchedulerTest, ARushThatIsOverKeepsNoMachineWhereATaskStrandsSeveralAccelerators) {
-  // Found on a fleet: more than half of the large accelerator machines stood free for gangs that
-  // might come like the day's first ones, while a thousand tasks waited for their accelerators.
+  // Found on a autoscaler: more than half of the large accelerator machines stood free for gangs
+  // that might come like the day's first ones, while a thousand tasks waited for their
+  // accelerators.
   platform.objectives.push_back({"wait", "quick", Seconds(10), 0.9, 1});
   machine("vm-1", "a", "rig");
   JobSpec q = job("run-000001", 1);
@@ -223,8 +226,8 @@
 }
 
 TEST_F(SchedulerTest, WorkAtItsTeamsLimitWantsNoAcceleratorsFromOthers) {
-  // Found on a fleet: gangs waited beside machines whose accelerators nobody could use, since the
-  // only team that asked for them was at its limit.
+  // Found on a autoscaler: gangs waited beside machines whose accelerators nobody could use, since
+  // the only team that asked for them was at its limit.
   platform.teams[0].gpus_max = 2;
   Machine& full = machine("vm-1", "a", "rig");
   Job& others = add(job("run-000005", 4));
@@ -245,8 +248,8 @@
 }
 
 TEST_F(SchedulerTest, AnAimForTheLastOfAClassBringsTheBoundOnWaitingForward) {
-  // Found on a fleet: with 99% to begin within two minutes, two minutes were also the bound after
-  // which a gang went before all else, too late for the aim.
+  // Found on a autoscaler: with 99% to begin within two minutes, two minutes were also the bound
+  // after which a gang went before all else, too late for the aim.
   const auto placed_after = [&](Seconds waited) {
     const WallTime before = wall;
     wall += std::chrono::duration_cast<Millis>(waited);
@@ -271,8 +274,8 @@
 }
 
 TEST_F(SchedulerTest, AMachineThatJustCameUpIsCountedOnBeforeItBearsOurBaton) {
-  // Its first report bears none: for the moment until the next, another was rented in its place.
-  market.refused.erase({"box", "a", false});
+  // Its first report bears none: for the moment until the next, another was launched in its place.
+  cloud_capacity.refused.erase({"box", "a", false});
   add(job("run-000001", 2));
   EXPECT_EQ(plan().capacity_requests.size(), 1u);
   WorkerReport b;
@@ -326,16 +329,16 @@
   EXPECT_EQ(p.placements[0].job, "run-000001");
 }
 
-TEST_F(SchedulerTest, RentsTheCheapestThatIsAllowedAndNotRefused) {
-  market.refused.clear();
+TEST_F(SchedulerTest, LaunchesTheCheapestThatIsAllowedAndNotRefused) {
+  cloud_capacity.refused.clear();
   add(job("run-000001", 4));
   auto p = plan();
   ASSERT_EQ(p.capacity_requests.size(), 1u);
   EXPECT_EQ(p.capacity_requests[0].offer, (Offer{"box", "a", false}))
       << "its job takes no spot machines";
-  market.refused.insert({"box", "a", false});
+  cloud_capacity.refused.insert({"box", "a", false});
   EXPECT_EQ(plan().capacity_requests[0].offer, (Offer{"box", "b", false}));
-  market.pending = {{{"box", "b", false}, 1}};
+  cloud_capacity.pending = {{{"box", "b", false}, 1}};
   EXPECT_TRUE(plan().capacity_requests.empty()) << "what is asked for counts as coming";
 }
 
@@ -445,12 +448,12 @@
   g.priority = Priority::high;
   g.need = {6, 0, 4};
   add(g);
-  market.refused.erase({"box", "a", false});
+  cloud_capacity.refused.erase({"box", "a", false});
   Plan p = plan();
   EXPECT_TRUE(p.gangs.empty());
   ASSERT_FALSE(p.capacity_requests.empty());
   EXPECT_EQ(p.capacity_requests[0].offer.type, "box");
-  none_to_rent();
+  none_to_launch();
   EXPECT_EQ(plan().gangs.size(), 1u) << "nothing else is to be had";
 }
 
@@ -506,7 +509,7 @@
   EXPECT_TRUE(wait_causes(plan()).empty());
 }
 
-TEST_F(SchedulerTest, TellsThatNoMachineHasRoomAndNoneCanBeRented) {
+TEST_F(SchedulerTest, TellsThatNoMachineHasRoomAndNoneCanBeLaunched) {
   run(add(job("run-000001", 1)), machine("vm-1"));
   JobSpec large = job("run-000002", 1);
   large.need.cpus = 8;
@@ -539,7 +542,7 @@
 }
 
 TEST_F(SchedulerTest, TellsThatAMachineIsComing) {
-  market.refused.clear();
+  cloud_capacity.refused.clear();
   add(job("run-000001", 1));
   EXPECT_EQ(wait_causes(plan()).at("run-000001"), WaitCause::machine_coming);
 }
--- a/tests/support.cpp
+++ b/tests/support.cpp
@@ -70,8 +70,8 @@
       co_await site.loop.sleep_until(call.deadline);
       co_return Reply{};
     }
-    const bool rental = call.target == "/rentals" && call.method == "POST";
-    const auto duty = rental ? duties::Duty::rent : duties::Duty::give_back;
+    const bool launch = call.target == "/rentals" && call.method == "POST";
+    const auto duty = launch ? duties::Duty::scale_out : duties::Duty::scale_in;
     const uint64_t token = daemon->duties() ? daemon->duties()->holder.token(duty) : 0;
     co_return co_await site.cloud.serve(std::move(call), token);
   }
@@ -149,7 +149,7 @@
   crate.zones = {"a"};
   cloud.types = {box, crate};
   cloud.capacity["box/a/ordinary"] = 2;
-  cloud.on_rented = [this](const CloudService::Machine& m) { add_worker(m); };
+  cloud.on_launched = [this](const CloudService::Machine& m) { add_worker(m); };
   cloud.on_deleted = [this](const std::string& id) {
     if (const auto it = workers.find(id); it != workers.end()) it->second->power_off();
   };
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -153,7 +153,7 @@
 
   // A request that was carried out, whether or not it changed anything.
   struct Act {
-    std::string request;  // of a rental; empty: a deletion
+    std::string request;  // of a launch; empty: a deletion
     std::vector<std::string> machines;
     bool changed = false;
     uint64_t sender_token = 0;
@@ -171,22 +171,22 @@
     std::string address;
   };
   std::vector<MachineType> types;
-  std::string machine_address = "10.1.0.1:9000";  // of each machine that is rented
+  std::string machine_address = "10.1.0.1:9000";  // of each machine that is launched
   std::map<std::string, uint32_t> capacity;       // "type/zone/spot|ordinary"; absent: 0
   bool trouble = false;
-  bool lose_rental_replies = false;
+  bool lose_launch_replies = false;
   Nanos lag = seconds(8);
   std::map<std::string, Machine> machines;
   std::map<std::string, std::vector<std::string>> answered;  // by request name
-  uint64_t rentals = 0, refusals = 0, lists = 0;
-  std::function<void(const Machine&)> on_rented;
+  uint64_t launches = 0, refusals = 0, lists = 0;
+  std::function<void(const Machine&)> on_launched;
   std::function<void(const std::string&)> on_deleted;
   std::vector<std::string> deletions;
 
  private:
   Task<void> execute_later(http::Call call, uint64_t sender_token);
   http::Reply execute(const http::Call& call, uint64_t sender_token);
-  http::Reply rent(const http::Call& call, uint64_t sender_token);
+  http::Reply launch(const http::Call& call, uint64_t sender_token);
   http::Reply remove(const http::Call& call, uint64_t sender_token);
   http::Reply list(const http::Call& call);
 
--- a/tests/zone_constraints_test.cpp
+++ b/tests/zone_constraints_test.cpp
@@ -122,14 +122,14 @@
   EXPECT_EQ(evicted_by_zone(plan()), (Zones{{"a", 1}}));
 }
 
-TEST_F(ZoneConstraints, MachinesAreRentedWhereTheJobMayHaveMoreTasks) {
+TEST_F(ZoneConstraints, MachinesAreLaunchedWhereTheJobMayHaveMoreTasks) {
   for (const bool spread : {false, true}) {
     const std::string held = spread ? "a" : "b";  // the offers of zone a come first
     Job& j = add_preemptor(4, !spread, spread);
     Machine& machine = add_machine("vm-" + held, held);
     run(j, machine);
     run(j, machine);
-    market.refused.clear();
+    cloud_capacity.refused.clear();
     const Plan p = plan();
     ASSERT_EQ(p.capacity_requests.size(), 1u);
     EXPECT_EQ(p.capacity_requests[0].offer.zone, "b");
@@ -138,18 +138,18 @@
   }
 }
 
-TEST_F(ZoneConstraints, MachinesForASpreadGangAreRentedInSeveralZones) {
+TEST_F(ZoneConstraints, MachinesForASpreadGangAreLaunchedInSeveralZones) {
   JobSpec gang = job("run-000002", 4);
   gang.gang = true;
   gang.need = {8, 0, 4};
   gang.spread = true;
   add(gang);
-  market.refused.clear();
+  cloud_capacity.refused.clear();
   Plan p = plan();
   ASSERT_EQ(p.capacity_requests.size(), 1u);
   EXPECT_EQ(p.capacity_requests[0].offer.zone, "a");
   EXPECT_EQ(p.capacity_requests[0].count, 2u);
-  market.pending = {{p.capacity_requests[0].offer, 2}};
+  cloud_capacity.pending = {{p.capacity_requests[0].offer, 2}};
   p = plan();
   ASSERT_EQ(p.capacity_requests.size(), 1u);
   EXPECT_EQ(p.capacity_requests[0].offer.zone, "b");
--- a/tests/zoned_cluster.hpp
+++ b/tests/zoned_cluster.hpp
@@ -1,5 +1,5 @@
-// A cluster of equal machines in two zones, none of them to be rented, for tests of where the tasks
-// of a job may go.
+// A cluster of equal machines in two zones, none of them to be launched, for tests of where the
+// tasks of a job may go.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -23,7 +23,7 @@
     cluster.begin_term(1, now);
     cluster.set_catalog({box});
     for (const char* zone : {"a", "b"}) {
-      for (const bool spot : {false, true}) market.refused.insert({"box", zone, spot});
+      for (const bool spot : {false, true}) cloud_capacity.refused.insert({"box", zone, spot});
     }
   }
   WorkerReport report(const std::string& id, const std::string& zone) {
@@ -65,7 +65,8 @@
     allocation.running_since = now;
   }
   scheduler::Plan plan() {
-    return scheduler::plan(cluster, nominations, market, platform, op, wall + Millis(100), now);
+    return scheduler::plan(cluster, nominations, cloud_capacity, platform, op, wall + Millis(100),
+                           now);
   }
 
   settings::Platform platform = Site::platform(0, 1);
@@ -73,7 +74,7 @@
   cluster::LeaderState state{platform, op};
   cluster::Cluster& cluster = state.cluster;
   preemption::Nominations& nominations = state.nominations;
-  scheduler::Market market;
+  scheduler::CloudCapacity cloud_capacity;
   Instant now{seconds(100)};
   WallTime wall{Millis(1'000'000)};
   uint64_t sequence = 1;
--- a/tools/handover_run.cpp
+++ b/tools/handover_run.cpp
@@ -57,7 +57,7 @@
   bool stopped = false;
   bool cut_state = false;
   bool cut_cloud = false;
-  uint64_t return_token = 0;  // the last one under which it held the duty
+  uint64_t scale_in_token = 0;  // the last one under which it held the duty
 };
 
 struct Handover {
@@ -72,11 +72,11 @@
     history_ << "time_s,event,node,token,name,changed\n";
     began_ = loop_.now();
     holder_key_ =
-        options_.duties ? duties::duty_key(duties::Duty::give_back) : std::string(wire::kLeaderKey);
+        options_.duties ? duties::duty_key(duties::Duty::scale_in) : std::string(wire::kLeaderKey);
     state_.on_change = [this](const std::string& key) { take_change(key); };
     state_.on_removed = [this](const std::string& key) { take_removed(key); };
     cloud_.on_act = [this](const CloudService::Act& act) { take_act(act); };
-    cloud_.on_rented = [this](const CloudService::Machine& m) { add_worker(m); };
+    cloud_.on_launched = [this](const CloudService::Machine& m) { add_worker(m); };
     cloud_.on_deleted = [this](const std::string& id) { workers_.at(id)->power_off(); };
     cloud_.machine_address = "127.0.0.1:1";  // refuses: stops travel with the answers to reports
     cloud_.lag = seconds(3);
@@ -151,7 +151,7 @@
     });
     c.cloud = serve([this, &c](http::Call call) -> Task<http::Reply> {
       while (c.cut_cloud) co_await loop_.sleep(Millis(50));
-      co_return co_await cloud_.serve(std::move(call), c.return_token);
+      co_return co_await cloud_.serve(std::move(call), c.scale_in_token);
     });
   }
 
@@ -319,19 +319,19 @@
     if (!present) return note("vacant", "", 0, "", false);
     const duties::HolderRecord& record = *present;
     for (Controller& c : controllers_) {
-      if (c.name == record.node) c.return_token = record.token;
+      if (c.name == record.node) c.scale_in_token = record.token;
     }
     if (record.token != holder_token_) note("holder", record.node, record.token, "", false);
     holder_token_ = record.token;
   }
 
   void take_act(const CloudService::Act& act) {
-    const bool rental = !act.request.empty();
-    const std::string& name = rental ? act.request : act.machines.front();
-    const std::string key = rental ? duties::rent_key(name) : duties::return_key(name);
+    const bool launch = !act.request.empty();
+    const std::string& name = launch ? act.request : act.machines.front();
+    const std::string key = launch ? duties::scale_out_key(name) : duties::scale_in_key(name);
     const bool open = state_.data.contains(key);
     const bool fenced = act.sender_token != present_token();
-    note(rental ? "rent" : "return", node_of(act.sender_token), act.sender_token, name,
+    note(launch ? "rent" : "return", node_of(act.sender_token), act.sender_token, name,
          act.changed);
     ++acts_;
     if (!act.changed) {
@@ -341,17 +341,17 @@
     ++changed_;
     if (!open && options_.duties) violation("an act that is not decided: " + key);
     if (fenced && open) ++fenced_repeats_;
-    if (!rental) check_return(name);
+    if (!launch) check_scale_in(name);
   }
 
   std::string node_of(uint64_t token) const {
     for (const Controller& c : controllers_) {
-      if (c.return_token == token) return c.name;
+      if (c.scale_in_token == token) return c.name;
     }
     return "";
   }
 
-  void check_return(const std::string& machine) {
+  void check_scale_in(const std::string& machine) {
     const Worker& worker = *workers_.at(machine);
     for (const auto& [key, task] : worker.tasks) {
       if (task.state == TaskState::exited) continue;
@@ -365,7 +365,7 @@
       return found != cloud_.machines.end() && !found->second.gone;
     };
     if (key.starts_with(wire::kFinalPrefix)) violation("a final answer was removed: " + key);
-    if (const auto machine = duties::return_name(key); !machine.empty() && lives(machine)) {
+    if (const auto machine = duties::scale_in_name(key); !machine.empty() && lives(machine)) {
       violation("an intent was removed before its machine was gone: " + key);
     }
   }
@@ -378,7 +378,7 @@
   Controller* holder() {
     const uint64_t token = present_token();
     for (Controller& c : controllers_) {
-      if (token != 0 && c.return_token == token && c.pid != 0 && !c.stopped) return &c;
+      if (token != 0 && c.scale_in_token == token && c.pid != 0 && !c.stopped) return &c;
     }
     return nullptr;
   }
@@ -513,7 +513,7 @@
                                     [](const auto& entry) { return !entry.second.gone; });
     std::cout << "acts at the cloud " << acts_ << ", of them with effect " << changed_
               << "\nby fenced holders: of what is decided still, with effect " << fenced_repeats_
-              << "; without effect " << fenced_without_effect_ << "\nmachines rented "
+              << "; without effect " << fenced_without_effect_ << "\nmachines launched "
               << cloud_.machines.size() << ", held at the end " << held << "\njobs accepted "
               << accepted_.size() << ", all settled: " << (settled_ ? "yes" : "no")
               << "\nstate service requests " << state_.requests << "\nviolations "
