--- a/src/dunlinknot/autoscaler/autoscaler.cpp
+++ b/src/dunlinknot/autoscaler/autoscaler.cpp
@@ -21,29 +21,29 @@
 }  // namespace
 
 Autoscaler::Autoscaler(cluster::LeaderContext& context, cloud::Client& cloud,
-                       duties::Duties* duties)
+                       roles::SingletonRoles* roles)
     : context_(context),
       cloud_(cloud),
-      duties_(duties),
-      scale_out_(context, cloud, duties),
-      scale_in_(context, cloud, duties, scale_out_) {}
+      roles_(roles),
+      scale_out_(context, cloud, roles),
+      scale_in_(context, cloud, roles, scale_out_) {}
 
 void Autoscaler::begin_term() {
   scale_out_.begin_term();
   scale_in_.begin_term();
-  if (duties_) duties_->intents.begin_term();
+  if (roles_) roles_->intents.begin_term();
 }
 
-Task<bool> Autoscaler::take_duties(uint64_t term) {
-  if (!duties_) co_return true;
-  const auto acquired = co_await duties_->holder.acquire(term);
-  if (acquired == duties::Holder::Acquired::term_over) co_return false;
-  const std::optional<duties::OpenIntents> open = co_await duties_->intents.load(term);
+Task<bool> Autoscaler::acquire_roles(uint64_t term) {
+  if (!roles_) co_return true;
+  const auto acquired = co_await roles_->holder.acquire(term);
+  if (acquired == roles::RoleHolder::Acquired::term_over) co_return false;
+  const std::optional<roles::OpenIntents> open = co_await roles_->intents.load(term);
   if (!open) co_return false;
   scale_out_.resume(open->scale_out);
   scale_in_.resume(*open);
-  context_.loop.spawn(duties_->holder.keep(term));
-  context_.loop.spawn(duties_->intents.remove_ended(term));
+  context_.loop.spawn(roles_->holder.keep(term));
+  context_.loop.spawn(roles_->intents.remove_ended(term));
   co_return true;
 }
 
@@ -174,7 +174,7 @@
   });
   for (const auto& [id, why] : out) scale_in_.decide(id, why);
   scale_in_.release_resumed();
-  if (duties_) {
+  if (roles_) {
     scale_out_.settle(now);
     // What could not be recorded or sent is tried again.
     context_.scaling.notify();
--- a/src/dunlinknot/autoscaler/autoscaler.hpp
+++ b/src/dunlinknot/autoscaler/autoscaler.hpp
@@ -7,7 +7,7 @@
 #include "dunlinknot/autoscaler/scale_out.hpp"
 #include "dunlinknot/cloud/client.hpp"
 #include "dunlinknot/cluster/leader_context.hpp"
-#include "dunlinknot/duties/duties.hpp"
+#include "dunlinknot/roles/singleton_roles.hpp"
 #include "dunlinknot/scheduler/scheduler.hpp"
 
 namespace dunlinknot::autoscaler {
@@ -15,13 +15,13 @@
 class Autoscaler {
  public:
   // `duties` is null when they are off.
-  Autoscaler(cluster::LeaderContext& context, cloud::Client& cloud, duties::Duties* duties);
+  Autoscaler(cluster::LeaderContext& context, cloud::Client& cloud, roles::SingletonRoles* roles);
 
   // Forgets what was of an earlier term.
   void begin_term();
-  // Takes the duties and goes on with what a former holder decided; before anything is planned.
-  // False when the term ended meanwhile.
-  Task<bool> take_duties(uint64_t term);
+  // Takes the singleton roles and goes on with what a former holder decided; before anything is
+  // planned. False when the term ended meanwhile.
+  Task<bool> acquire_roles(uint64_t term);
   Task<void> watch_machines(uint64_t term);  // the list, the catalogue
   Task<void> work(uint64_t term);            // launches and returns
 
@@ -40,7 +40,7 @@
 
   cluster::LeaderContext& context_;
   cloud::Client& cloud_;
-  duties::Duties* duties_;
+  roles::SingletonRoles* roles_;
   ScaleOut scale_out_;
   ScaleIn scale_in_;
 };
--- a/src/dunlinknot/autoscaler/scale_in.cpp
+++ b/src/dunlinknot/autoscaler/scale_in.cpp
@@ -11,17 +11,17 @@
 using cluster::Effects;
 using cluster::LeaderState;
 using cluster::Machine;
-using duties::Duty;
 using http::Outcome;
+using roles::Role;
 
 constexpr auto kRepeat = Millis(1500);
 constexpr size_t kMaxDeletion = 100;  // the cloud takes no more in one call
 
 }  // namespace
 
-ScaleIn::ScaleIn(cluster::LeaderContext& context, cloud::Client& cloud, duties::Duties* duties,
-                 ScaleOut& scale_out)
-    : context_(context), cloud_(cloud), duties_(duties), scale_out_(scale_out) {}
+ScaleIn::ScaleIn(cluster::LeaderContext& context, cloud::Client& cloud,
+                 roles::SingletonRoles* roles, ScaleOut& scale_out)
+    : context_(context), cloud_(cloud), roles_(roles), scale_out_(scale_out) {}
 
 void ScaleIn::begin_term() {
   unrecorded_.clear();
@@ -30,16 +30,16 @@
   removing_ = false;
 }
 
-void ScaleIn::resume(const duties::OpenIntents& open) {
+void ScaleIn::resume(const roles::OpenIntents& open) {
   context_.leader_state.with([&](LeaderState& p) {
-    for (const duties::ScaleInIntent& intent : open.scale_in) {
+    for (const roles::ScaleInIntent& intent : open.scale_in) {
       p.cluster.mark_terminating(intent.machine);
       resumed_.insert(intent.machine);
     }
     // What stands in an unreadable intent is not known, only which machine it is about: it gets no
     // work, and it is not deleted.
-    for (const duties::UnreadableIntent& intent : open.unreadable) {
-      const std::string_view machine = duties::scale_in_name(intent.key);
+    for (const roles::UnreadableIntent& intent : open.unreadable) {
+      const std::string_view machine = roles::scale_in_name(intent.key);
       if (!machine.empty()) p.cluster.mark_terminating(std::string(machine));
     }
   });
@@ -54,7 +54,7 @@
   });
   if (!first) return;
   spdlog::info("scaling in: terminating machine {}: {}", machine, why);
-  if (duties_) {
+  if (roles_) {
     unrecorded_.push_back({machine, std::string(why)});
   } else {
     ready_.push_back(machine);
@@ -80,13 +80,13 @@
 }
 
 Task<void> ScaleIn::record(uint64_t term) {
-  if (!duties_ || unrecorded_.empty()) co_return;
-  std::vector<duties::ScaleInIntent> intents;
+  if (!roles_ || unrecorded_.empty()) co_return;
+  std::vector<roles::ScaleInIntent> intents;
   for (const Decision& decision : unrecorded_) {
-    if (intents.size() >= duties_->intents.max_batch()) break;
+    if (intents.size() >= roles_->intents.max_batch()) break;
     intents.push_back({decision.machine, decision.why, 0});
   }
-  const bool durable = co_await duties_->intents.record_scale_in(term, intents);
+  const bool durable = co_await roles_->intents.record_scale_in(term, intents);
   if (!context_.in_term(term) || !durable) co_return;
   for (size_t i = 0; i < intents.size(); ++i) {
     ready_.push_back(std::move(unrecorded_.front().machine));
@@ -97,7 +97,7 @@
 
 void ScaleIn::send(uint64_t term) {
   if (removing_ || ready_.empty()) return;
-  if (duties_ && !duties_->holder.may_act(Duty::scale_in)) return;
+  if (roles_ && !roles_->holder.may_act(Role::scale_in)) return;
   const size_t count = std::min(ready_.size(), kMaxDeletion);
   const auto end = ready_.begin() + static_cast<ptrdiff_t>(count);
   std::vector<std::string> batch(std::make_move_iterator(ready_.begin()),
@@ -132,8 +132,8 @@
     }
   });
   context_.follow_up(effects);
-  if (!duties_) return;
-  for (const auto& id : machines) duties_->intents.end_scale_in(id);
+  if (!roles_) return;
+  for (const auto& id : machines) roles_->intents.end_scale_in(id);
 }
 
 }  // namespace dunlinknot::autoscaler
--- a/src/dunlinknot/autoscaler/scale_in.hpp
+++ b/src/dunlinknot/autoscaler/scale_in.hpp
@@ -1,7 +1,7 @@
 // Returning machines to the cloud: what was decided is deleted, again and again until the cloud
 // answered. A decision is never taken back.
 //
-// With the duties on, a machine's deletion is sent only once its intent is durable.
+// With the singleton roles on, a machine's deletion is sent only once its intent is durable.
 #pragma once
 #include <deque>
 #include <set>
@@ -12,19 +12,20 @@
 #include "dunlinknot/autoscaler/scale_out.hpp"
 #include "dunlinknot/cloud/client.hpp"
 #include "dunlinknot/cluster/leader_context.hpp"
-#include "dunlinknot/duties/duties.hpp"
+#include "dunlinknot/roles/singleton_roles.hpp"
 
 namespace dunlinknot::autoscaler {
 
 class ScaleIn {
  public:
-  ScaleIn(cluster::LeaderContext& context, cloud::Client& cloud, duties::Duties* duties,
+  ScaleIn(cluster::LeaderContext& context, cloud::Client& cloud, roles::SingletonRoles* roles,
           ScaleOut& scale_out);
 
   void begin_term();
   // Goes on with what a former holder decided. These machines get no more work; they are deleted
-  // once nothing is allocated there: a controller whose duties are off may have led in between.
-  void resume(const duties::OpenIntents& open);
+  // once nothing is allocated there: a controller whose singleton roles are off may have led in
+  // between.
+  void resume(const roles::OpenIntents& open);
 
   // Decides that the machine is returned.
   void decide(const std::string& machine, std::string_view why);
@@ -44,7 +45,7 @@
 
   cluster::LeaderContext& context_;
   cloud::Client& cloud_;
-  duties::Duties* duties_;
+  roles::SingletonRoles* roles_;
   ScaleOut& scale_out_;
   std::deque<Decision> unrecorded_;
   std::deque<std::string> ready_;  // to be deleted
--- a/src/dunlinknot/autoscaler/scale_out.cpp
+++ b/src/dunlinknot/autoscaler/scale_out.cpp
@@ -12,8 +12,8 @@
 
 using cluster::LeaderState;
 using cluster::Machine;
-using duties::Duty;
 using http::Outcome;
+using roles::Role;
 
 constexpr auto kRepeat = Millis(1500);
 constexpr uint32_t kMaxLaunches = 24;
@@ -28,8 +28,9 @@
 
 }  // namespace
 
-ScaleOut::ScaleOut(cluster::LeaderContext& context, cloud::Client& cloud, duties::Duties* duties)
-    : context_(context), cloud_(cloud), duties_(duties) {}
+ScaleOut::ScaleOut(cluster::LeaderContext& context, cloud::Client& cloud,
+                   roles::SingletonRoles* roles)
+    : context_(context), cloud_(cloud), roles_(roles) {}
 
 void ScaleOut::begin_term() {
   counter_ = 0;
@@ -40,8 +41,8 @@
   list_read_ = false;
 }
 
-void ScaleOut::resume(const std::vector<duties::ScaleOutIntent>& intents) {
-  for (const duties::ScaleOutIntent& intent : intents) {
+void ScaleOut::resume(const std::vector<roles::ScaleOutIntent>& intents) {
+  for (const roles::ScaleOutIntent& intent : intents) {
     Launch launch;
     launch.request = intent.request;
     launch.offer = {intent.type, intent.zone, intent.spot};
@@ -79,19 +80,19 @@
   std::erase_if(launches_, [&](const Launch& launch) {
     const bool unsent = launch.tries == 0 && !in_flight_.contains(launch.request);
     if (launch.offer != offer || !unsent || launch.doubtful) return false;
-    if (duties_) duties_->intents.end_scale_out(launch.request);
+    if (roles_) roles_->intents.end_scale_out(launch.request);
     return true;
   });
 }
 
 std::string ScaleOut::next_name() {
   const std::string number = std::to_string(++counter_);
-  if (!duties_) return "h-" + std::to_string(context_.epoch) + "-" + number;
-  return "d-" + std::to_string(duties_->holder.token(Duty::scale_out)) + "-" + number;
+  if (!roles_) return "h-" + std::to_string(context_.epoch) + "-" + number;
+  return "d-" + std::to_string(roles_->holder.token(Role::scale_out)) + "-" + number;
 }
 
 void ScaleOut::order(const std::vector<scheduler::CapacityRequest>& capacity_requests) {
-  if (duties_ && !list_read_) return;
+  if (roles_ && !list_read_) return;
   for (const auto& request : capacity_requests) {
     auto* same = cluster::find_where(
         launches_, [&](const Launch& launch) { return launch.offer == request.offer; });
@@ -100,13 +101,13 @@
       continue;  // one question at a time for each offer
     }
     if (launches_.size() >= kMaxLaunches) continue;  // the next round asks again
-    if (duties_ && !duties_->holder.may_act(Duty::scale_out)) return;
+    if (roles_ && !roles_->holder.may_act(Role::scale_out)) return;
     Launch launch;
     launch.request = next_name();
     launch.offer = request.offer;
     launch.count = std::min(request.count, kMaxCount);
     launch.job = request.job;
-    launch.recorded = !duties_;
+    launch.recorded = !roles_;
     spdlog::info("scaling out: launching {} x {} {} in {} for {} as {}", launch.count,
                  kind(launch.offer), launch.offer.type, launch.offer.zone, launch.job,
                  launch.request);
@@ -116,15 +117,15 @@
 }
 
 Task<void> ScaleOut::record(uint64_t term) {
-  if (!duties_) co_return;
-  std::vector<duties::ScaleOutIntent> intents;
+  if (!roles_) co_return;
+  std::vector<roles::ScaleOutIntent> intents;
   for (const Launch& launch : launches_) {
-    if (launch.recorded || intents.size() >= duties_->intents.max_batch()) continue;
+    if (launch.recorded || intents.size() >= roles_->intents.max_batch()) continue;
     intents.push_back({launch.request, launch.offer.type, launch.offer.zone, launch.offer.spot,
                        launch.count, launch.job, 0});
   }
   if (intents.empty()) co_return;
-  const bool durable = co_await duties_->intents.record_scale_out(term, intents);
+  const bool durable = co_await roles_->intents.record_scale_out(term, intents);
   if (!context_.in_term(term) || !durable) co_return;
   for (const auto& intent : intents) {
     if (Launch* launch = find(intent.request)) launch->recorded = true;
@@ -133,7 +134,7 @@
 
 bool ScaleOut::may_send(const Launch& launch) const {
   if (launch.parked || !launch.recorded) return false;
-  return !duties_ || duties_->holder.may_act(Duty::scale_out);
+  return !roles_ || roles_->holder.may_act(Role::scale_out);
 }
 
 void ScaleOut::send(uint64_t term) {
@@ -177,7 +178,7 @@
       p.cluster.register_machine(id, offer.type, offer.zone, offer.spot, now);
     }
   });
-  if (duties_) {
+  if (roles_) {
     unseen_[launch.request].insert(machines.begin(), machines.end());
     settle(now);
   }
@@ -189,11 +190,11 @@
 // earlier copy of it may still be under way, its name stays open, for the next need of that kind.
 void ScaleOut::take_refusal(const Launch& launch, bool no_capacity) {
   Launch* current = find(launch.request);
-  if (duties_ && current && current->doubtful) {
+  if (roles_ && current && current->doubtful) {
     current->parked = true;
   } else {
     forget(launch.request);
-    if (duties_) duties_->intents.end_scale_out(launch.request);
+    if (roles_) roles_->intents.end_scale_out(launch.request);
   }
   if (!no_capacity) return;
   refused(launch.offer, context_.loop.now());
@@ -219,7 +220,7 @@
     };
     for (auto& [request, machines] : unseen_) {
       std::erase_if(machines, seen);
-      if (machines.empty()) duties_->intents.end_scale_out(request);
+      if (machines.empty()) roles_->intents.end_scale_out(request);
     }
     std::erase_if(unseen_, [](const auto& entry) { return entry.second.empty(); });
   });
--- a/src/dunlinknot/autoscaler/scale_out.hpp
+++ b/src/dunlinknot/autoscaler/scale_out.hpp
@@ -1,15 +1,15 @@
 // Launching machines. A request's name is never used for another request, not even by another node;
 // a request without an answer is repeated under its own name.
 //
-// With the duties on, a request is sent only once its intent is durable, and the intent stays open
-// until whoever leads next would learn of its machines without it.
+// With the singleton roles on, a request is sent only once its intent is durable, and the intent
+// stays open until whoever leads next would learn of its machines without it.
 #pragma once
 #include <map>
 #include <set>
 
 #include "dunlinknot/cloud/client.hpp"
 #include "dunlinknot/cluster/leader_context.hpp"
-#include "dunlinknot/duties/duties.hpp"
+#include "dunlinknot/roles/singleton_roles.hpp"
 #include "dunlinknot/scheduler/scheduler.hpp"
 
 namespace dunlinknot::autoscaler {
@@ -17,12 +17,12 @@
 class ScaleOut {
  public:
   // `duties` is null when they are off.
-  ScaleOut(cluster::LeaderContext& context, cloud::Client& cloud, duties::Duties* duties);
+  ScaleOut(cluster::LeaderContext& context, cloud::Client& cloud, roles::SingletonRoles* roles);
 
   // Forgets what was of an earlier term.
   void begin_term();
   // Goes on with what a former holder decided. Its requests may have been sent, or may yet be.
-  void resume(const std::vector<duties::ScaleOutIntent>& intents);
+  void resume(const std::vector<roles::ScaleOutIntent>& intents);
 
   // The whole list of machines was read.
   void list_was_read() { list_read_ = true; }
@@ -44,7 +44,7 @@
     uint32_t count = 0;
     std::string job;
     uint32_t tries = 0;
-    bool recorded = false;  // its intent is durable; always so when the duties are off
+    bool recorded = false;  // its intent is durable; always so when the singleton roles are off
     // A copy of the request may be under way whose answer nobody has: the cloud's "no capacity"
     // settles nothing, and the name stays open.
     bool doubtful = false;
@@ -66,7 +66,7 @@
 
   cluster::LeaderContext& context_;
   cloud::Client& cloud_;
-  duties::Duties* duties_;
+  roles::SingletonRoles* roles_;
   uint64_t counter_ = 0;
   // Whether the cloud's list was read in this term. A machine is in it, or in an open intent:
   // before both are known, what a former leader launched would be launched again.
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -77,8 +77,8 @@
                [this](const state::TxnResult& result, Instant sent) {
                  take_cleanup_result(result, sent);
                }}),
-      duties_(op.duties ? std::make_unique<duties::Duties>(context_, state_) : nullptr),
-      autoscaler_(context_, cloud_, duties_.get()) {}
+      roles_(op.roles ? std::make_unique<roles::SingletonRoles>(context_, state_) : nullptr),
+      autoscaler_(context_, cloud_, roles_.get()) {}
 
 void Daemon::start() {
   http::ServerOptions options;
@@ -260,19 +260,19 @@
 
 // What a removal of records has to guard; nothing while this node may not do it.
 std::optional<std::vector<state::Guard>> Daemon::cleanup_guards() const {
-  if (!duties_) return {{{std::string(wire::kEpochKey), context_.epoch_mod_revision}}};
-  if (!duties_->holder.may_act(duties::Duty::cleanup)) return std::nullopt;
-  return duties_->holder.guards(duties::Duty::cleanup);
+  if (!roles_) return {{{std::string(wire::kEpochKey), context_.epoch_mod_revision}}};
+  if (!roles_->holder.may_act(roles::Role::cleanup)) return std::nullopt;
+  return roles_->holder.guards(roles::Role::cleanup);
 }
 
 void Daemon::take_cleanup_result(const state::TxnResult& result, Instant sent) {
-  if (duties_) duties_->holder.take_result(duties::Duty::cleanup, result, sent);
+  if (roles_) roles_->holder.take_result(roles::Role::cleanup, result, sent);
 }
 
 void Daemon::lost(uint64_t) {
-  if (duties_) {
-    duties_->holder.lose();
-    loop_.spawn(duties_->holder.release());
+  if (roles_) {
+    roles_->holder.lose();
+    loop_.spawn(roles_->holder.release());
   }
   context_.epoch = 0;
   context_.loaded = false;
@@ -287,8 +287,8 @@
 Task<void> Daemon::take_over(uint64_t term) {
   const Instant started = loop_.now();
   if (!co_await ledger_.load(term)) co_return;
-  const bool duties_taken = co_await autoscaler_.take_duties(term);
-  if (!duties_taken) co_return;
+  const bool roles_acquired = co_await autoscaler_.acquire_roles(term);
+  if (!roles_acquired) co_return;
   context_.loaded = true;
   const auto [jobs, machines, allocations] = context_.leader_state.with([](LeaderState& p) {
     return std::tuple(p.cluster.jobs().size(), p.cluster.machines().size(),
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -5,11 +5,11 @@
 #include "dunlinknot/autoscaler/autoscaler.hpp"
 #include "dunlinknot/cloud/client.hpp"
 #include "dunlinknot/cluster/ledger.hpp"
-#include "dunlinknot/duties/duties.hpp"
 #include "dunlinknot/http/server.hpp"
 #include "dunlinknot/jobs/request_handler.hpp"
 #include "dunlinknot/leadership/elector.hpp"
 #include "dunlinknot/leadership/peers.hpp"
+#include "dunlinknot/roles/singleton_roles.hpp"
 #include "dunlinknot/workers/report_handler.hpp"
 
 namespace dunlinknot::node {
@@ -30,7 +30,7 @@
   const leadership::Elector& elector() const { return elector_; }
   cluster::LeaderContext& context() { return context_; }
   leadership::Peers& peers() { return peers_; }
-  const duties::Duties* duties() const { return duties_.get(); }
+  const roles::SingletonRoles* roles() const { return roles_.get(); }
   wire::peer::Status status() const;
   void heard_cancelled(const std::string& id);  // a peer told its user so
 
@@ -64,7 +64,7 @@
   jobs::RequestHandler jobs_;
   workers::ReportHandler workers_;
   cluster::Ledger ledger_;
-  std::unique_ptr<duties::Duties> duties_;  // null when they are off
+  std::unique_ptr<roles::SingletonRoles> roles_;  // null when they are off
   autoscaler::Autoscaler autoscaler_;
   std::vector<MachineType> catalog_;
   std::unique_ptr<http::Server> server_;
--- a/src/dunlinknot/duties/intents.cpp
+++ b/src/dunlinknot/roles/intent_log.cpp
@@ -1,10 +1,10 @@
-#include "dunlinknot/duties/intents.hpp"
+#include "dunlinknot/roles/intent_log.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-namespace dunlinknot::duties {
+namespace dunlinknot::roles {
 
 namespace {
 
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-IntentLog::IntentLog(cluster::LeaderContext& context, state::Client& state, Holder& holder)
+IntentLog::IntentLog(cluster::LeaderContext& context, state::Client& state, RoleHolder& holder)
     : context_(context), state_(state), holder_(holder), has_ended_(context.loop) {}
 
 void IntentLog::begin_term() {
@@ -52,7 +52,7 @@
       } else {
         const RecordError error =
             launch ? std::get<RecordError>(scale_out) : std::get<RecordError>(scale_in);
-        spdlog::error("duties: the intent {} is left alone: {}", item.key, text(error));
+        spdlog::error("singleton roles: the intent {} is left alone: {}", item.key, text(error));
         open.unreadable.push_back({item.key, error});
         continue;
       }
@@ -67,30 +67,30 @@
 Task<bool> IntentLog::record_scale_out(uint64_t term, std::vector<ScaleOutIntent> intents) {
   std::vector<Entry> entries;
   for (ScaleOutIntent& intent : intents) {
-    intent.token = holder_.token(Duty::scale_out);
+    intent.token = holder_.token(Role::scale_out);
     entries.push_back({scale_out_key(intent.request), write_scale_out_intent(intent)});
   }
-  const bool durable = co_await record(term, Duty::scale_out, std::move(entries));
+  const bool durable = co_await record(term, Role::scale_out, std::move(entries));
   co_return durable;
 }
 
 Task<bool> IntentLog::record_scale_in(uint64_t term, std::vector<ScaleInIntent> intents) {
   std::vector<Entry> entries;
   for (ScaleInIntent& intent : intents) {
-    intent.token = holder_.token(Duty::scale_in);
+    intent.token = holder_.token(Role::scale_in);
     entries.push_back({scale_in_key(intent.machine), write_scale_in_intent(intent)});
   }
-  const bool durable = co_await record(term, Duty::scale_in, std::move(entries));
+  const bool durable = co_await record(term, Role::scale_in, std::move(entries));
   co_return durable;
 }
 
-Task<bool> IntentLog::record(uint64_t term, Duty duty, std::vector<Entry> entries) {
+Task<bool> IntentLog::record(uint64_t term, Role role, std::vector<Entry> entries) {
   std::erase_if(entries, [&](const Entry& entry) { return mod_revisions_.contains(entry.key); });
   if (entries.empty()) co_return true;
-  const bool settled = co_await holder_.settle_writes(term, duty);
-  if (!settled || !holder_.may_act(duty)) co_return false;
+  const bool settled = co_await holder_.settle_writes(term, role);
+  if (!settled || !holder_.may_act(role)) co_return false;
   state::Txn txn;
-  txn.guards = holder_.guards(duty);
+  txn.guards = holder_.guards(role);
   for (const Entry& entry : entries) {
     txn.guards.push_back({entry.key, 0});
     txn.writes.push_back({entry.key, entry.value, 0});
@@ -98,7 +98,7 @@
   const Instant sent = context_.loop.boot_now();
   const state::TxnResult result = co_await state_.commit(std::move(txn), kCallTime);
   if (!context_.in_term(term)) co_return false;
-  holder_.take_result(duty, result, sent);
+  holder_.take_result(role, result, sent);
   if (result.applied) {
     for (const Entry& entry : entries) mod_revisions_[entry.key] = result.revision;
     co_return true;
@@ -110,7 +110,7 @@
     co_return false;
   }
   // Found by a test: applied late, it brought back an intent that was settled and removed by then.
-  const bool final = co_await holder_.settle_writes(term, duty);
+  const bool final = co_await holder_.settle_writes(term, role);
   if (!final) co_return false;
   const bool durable = co_await read_back(term, entries);
   co_return durable;
@@ -132,12 +132,12 @@
   co_return all;
 }
 
-void IntentLog::end(Duty duty, std::string key) {
+void IntentLog::end(Role role, std::string key) {
   if (!mod_revisions_.contains(key)) return;
   const bool waits = std::any_of(ended_.begin(), ended_.end(),
                                  [&](const Ended& ended) { return ended.key == key; });
   if (waits) return;
-  ended_.push_back({duty, std::move(key)});
+  ended_.push_back({role, std::move(key)});
   has_ended_.notify();
 }
 
@@ -151,16 +151,16 @@
   }
 }
 
-// One transaction over ended intents of one duty.
+// One transaction over ended intents of one role.
 Task<bool> IntentLog::remove_batch(uint64_t term) {
-  const Duty duty = ended_.front().duty;
-  const bool settled = co_await holder_.settle_writes(term, duty);
-  if (!settled || !holder_.may_act(duty)) co_return false;
+  const Role role = ended_.front().role;
+  const bool settled = co_await holder_.settle_writes(term, role);
+  if (!settled || !holder_.may_act(role)) co_return false;
   std::vector<Ended> batch;
   state::Txn txn;
-  txn.guards = holder_.guards(duty);
+  txn.guards = holder_.guards(role);
   for (const Ended& ended : ended_) {
-    if (ended.duty != duty || batch.size() >= max_batch()) continue;
+    if (ended.role != role || batch.size() >= max_batch()) continue;
     batch.push_back(ended);
     txn.guards.push_back({ended.key, mod_revisions_[ended.key]});
     txn.writes.push_back({ended.key, "", 0});
@@ -168,7 +168,7 @@
   const Instant sent = context_.loop.boot_now();
   const state::TxnResult result = co_await state_.commit(std::move(txn), kCallTime);
   if (!context_.in_term(term)) co_return false;
-  holder_.take_result(duty, result, sent);
+  holder_.take_result(role, result, sent);
   if (!result.applied) {
     if (result.outcome != Outcome::refused) co_await reread_ended(term, batch);
     co_return false;
@@ -195,4 +195,4 @@
   }
 }
 
-}  // namespace dunlinknot::duties
+}  // namespace dunlinknot::roles
--- a/src/dunlinknot/duties/intents.hpp
+++ b/src/dunlinknot/roles/intent_log.hpp
@@ -1,5 +1,6 @@
-// The log of what the duties decided: each act on the cloud is durable here before it is sent, in a
-// transaction that guards the duty's key, and stays until there is evidence of how it ended.
+// The log of what the singleton roles decided: each act on the cloud is durable here before it is
+// sent, in a transaction that guards the role's key, and stays until there is evidence of how it
+// ended.
 //
 // A successor reads the open intents and goes on with the same acts under the same names before it
 // decides anything of its own. So whatever a former holder still sends, however late, repeats what
@@ -10,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "dunlinknot/duties/holder.hpp"
+#include "dunlinknot/roles/role_holder.hpp"
 
-namespace dunlinknot::duties {
+namespace dunlinknot::roles {
 
 // An intent that cannot be taken as it is. Its name is known from its key.
 struct UnreadableIntent {
@@ -28,7 +29,7 @@
 
 class IntentLog {
  public:
-  IntentLog(cluster::LeaderContext& context, state::Client& state, Holder& holder);
+  IntentLog(cluster::LeaderContext& context, state::Client& state, RoleHolder& holder);
 
   void begin_term();
   // All that is open; nothing when the term ended meanwhile.
@@ -41,8 +42,8 @@
   size_t max_batch() const;
 
   // There is evidence that the act is settled: its record may go.
-  void end_scale_out(const std::string& request) { end(Duty::scale_out, scale_out_key(request)); }
-  void end_scale_in(const std::string& machine) { end(Duty::scale_in, scale_in_key(machine)); }
+  void end_scale_out(const std::string& request) { end(Role::scale_out, scale_out_key(request)); }
+  void end_scale_in(const std::string& machine) { end(Role::scale_in, scale_in_key(machine)); }
   // Removes the records of what is settled, as long as the term lasts.
   Task<void> remove_ended(uint64_t term);
 
@@ -54,21 +55,21 @@
     std::string value;
   };
   struct Ended {
-    Duty duty;
+    Role role;
     std::string key;
   };
-  Task<bool> record(uint64_t term, Duty duty, std::vector<Entry> entries);
+  Task<bool> record(uint64_t term, Role role, std::vector<Entry> entries);
   Task<bool> read_back(uint64_t term, const std::vector<Entry>& entries);
   Task<bool> remove_batch(uint64_t term);
   Task<void> reread_ended(uint64_t term, const std::vector<Ended>& batch);
-  void end(Duty duty, std::string key);
+  void end(Role role, std::string key);
 
   cluster::LeaderContext& context_;
   state::Client& state_;
-  Holder& holder_;
+  RoleHolder& holder_;
   std::map<std::string, uint64_t> mod_revisions_;  // of the open intents
   std::deque<Ended> ended_;
   Signal has_ended_;
 };
 
-}  // namespace dunlinknot::duties
+}  // namespace dunlinknot::roles
--- a/src/dunlinknot/duties/overview.cpp
+++ b/src/dunlinknot/roles/overview.cpp
@@ -1,8 +1,8 @@
-#include "dunlinknot/duties/overview.hpp"
+#include "dunlinknot/roles/overview.hpp"
 
 #include <fmt/format.h>
 
-namespace dunlinknot::duties {
+namespace dunlinknot::roles {
 
 namespace {
 
@@ -30,13 +30,13 @@
   }
 }
 
-HolderLine read_line(Duty duty, const std::vector<state::ListResult>& pages) {
-  HolderLine line{duty, std::nullopt, std::nullopt};
+RoleStatus read_line(Role role, const std::vector<state::ListResult>& pages) {
+  RoleStatus line{role, std::nullopt, std::nullopt};
   for (const state::ListResult& page : pages) {
     for (const state::Item& item : page.items) {
-      if (item.key != duty_key(duty)) continue;
+      if (item.key != role_key(role)) continue;
       const auto read = read_holder(item.value);
-      if (const auto* record = std::get_if<HolderRecord>(&read)) line.holder = *record;
+      if (const auto* record = std::get_if<RoleHolderRecord>(&read)) line.holder = *record;
       if (const auto* error = std::get_if<RecordError>(&read)) line.error = *error;
     }
   }
@@ -60,14 +60,14 @@
 }  // namespace
 
 Task<std::optional<Overview>> read_overview(Loop& loop, state::Client& state) {
-  std::vector<state::ListResult> duty_pages;
+  std::vector<state::ListResult> role_pages;
   std::vector<state::ListResult> intent_pages;
-  const bool duties = co_await list_all(loop, state, std::string(kDutyPrefix), duty_pages);
-  if (!duties) co_return std::nullopt;
+  const bool roles = co_await list_all(loop, state, std::string(kRolePrefix), role_pages);
+  if (!roles) co_return std::nullopt;
   const bool intents = co_await list_all(loop, state, std::string(kIntentPrefix), intent_pages);
   if (!intents) co_return std::nullopt;
   Overview overview;
-  for (const Duty duty : kAllDuties) overview.holders.push_back(read_line(duty, duty_pages));
+  for (const Role role : kAllRoles) overview.holders.push_back(read_line(role, role_pages));
   for (const state::ListResult& page : intent_pages) {
     for (const state::Item& item : page.items) take_intent(overview, item);
   }
@@ -75,11 +75,11 @@
 }
 
 void print(std::ostream& out, const Overview& overview) {
-  for (const HolderLine& line : overview.holders) {
+  for (const RoleStatus& line : overview.holders) {
     std::string who = "nobody";
     if (line.holder) who = fmt::format("{} under token {}", line.holder->node, line.holder->token);
     if (line.error) who = fmt::format("unreadable: {}", text(*line.error));
-    out << fmt::format("{:<8} {}\n", name(line.duty), who);
+    out << fmt::format("{:<8} {}\n", name(line.role), who);
   }
   for (const ScaleOutIntent& intent : overview.scale_out) {
     out << fmt::format("open: rent {} x {} {} in {} as {} (token {}) for {}\n", intent.count,
@@ -95,4 +95,4 @@
   }
 }
 
-}  // namespace dunlinknot::duties
+}  // namespace dunlinknot::roles
--- a/src/dunlinknot/duties/holder.cpp
+++ b/src/dunlinknot/roles/role_holder.cpp
@@ -1,10 +1,10 @@
-#include "dunlinknot/duties/holder.hpp"
+#include "dunlinknot/roles/role_holder.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-namespace dunlinknot::duties {
+namespace dunlinknot::roles {
 
 namespace {
 
@@ -21,74 +21,75 @@
 
 }  // namespace
 
-Holder::Holder(cluster::LeaderContext& context, state::Client& state)
+RoleHolder::RoleHolder(cluster::LeaderContext& context, state::Client& state)
     : context_(context),
       state_(state),
-      leases_{Lease(to_nanos(context.op.duties_ttl)), Lease(to_nanos(context.op.duties_ttl)),
-              Lease(to_nanos(context.op.duties_ttl))} {}
+      leases_{RoleLease(to_nanos(context.op.roles_ttl)), RoleLease(to_nanos(context.op.roles_ttl)),
+              RoleLease(to_nanos(context.op.roles_ttl))} {}
 
-bool Holder::may_act(Duty duty) const {
-  return lease(duty).may_act(context_.loop.boot_now());
+bool RoleHolder::may_act(Role role) const {
+  return lease(role).may_act(context_.loop.boot_now());
 }
 
-LeaseState Holder::state(Duty duty) const {
-  return lease(duty).state(context_.loop.boot_now());
+LeaseState RoleHolder::state(Role role) const {
+  return lease(role).state(context_.loop.boot_now());
 }
 
-std::vector<state::Guard> Holder::guards(Duty duty) const {
-  return {epoch_guard(context_), {duty_key(duty), lease(duty).holding().mod_revision}};
+std::vector<state::Guard> RoleHolder::guards(Role role) const {
+  return {epoch_guard(context_), {role_key(role), lease(role).grant().mod_revision}};
 }
 
-void Holder::lose() {
-  for (Lease& each : leases_) each.lose();
+void RoleHolder::lose() {
+  for (RoleLease& each : leases_) each.lose();
 }
 
-void Holder::take_result(Duty duty, const state::TxnResult& result, Instant sent) {
-  if (result.outcome == Outcome::unknown) writes_unsettled_[static_cast<size_t>(duty)] = true;
+void RoleHolder::take_result(Role role, const state::TxnResult& result, Instant sent) {
+  if (result.outcome == Outcome::unknown) writes_unsettled_[static_cast<size_t>(role)] = true;
   if (result.outcome != Outcome::ok) return;
-  if (!result.guard_failed(duty_key(duty))) {
-    lease(duty).proved(sent);
+  if (!result.guard_failed(role_key(role))) {
+    lease(role).proved(sent);
     return;
   }
   // Our own new mod revision came between (settle_writes).
-  if (sent < rewritten_at_[static_cast<size_t>(duty)]) return;
-  spdlog::info("duties: {} under token {} is lost: its key was changed or removed", name(duty),
-               token(duty));
-  lease(duty).lose();
+  if (sent < rewritten_at_[static_cast<size_t>(role)]) return;
+  spdlog::info("singleton roles: {} under token {} is lost: its key was changed or removed",
+               name(role), token(role));
+  lease(role).lose();
 }
 
-Task<std::optional<Holder::ModRevisions>> Holder::read_mod_revisions(uint64_t term) {
+Task<std::optional<RoleHolder::ModRevisions>> RoleHolder::read_mod_revisions(uint64_t term) {
   ModRevisions mod_revisions;
-  const state::ListResult list = co_await state_.list(std::string(kDutyPrefix), "", kCallTime);
+  const state::ListResult list = co_await state_.list(std::string(kRolePrefix), "", kCallTime);
   if (!context_.in_term(term) || list.outcome != Outcome::ok || list.more) co_return std::nullopt;
   for (const state::Item& item : list.items) {
     if (item.key == kTokenKey) {
       const auto read = read_token(item.value);
       if (const auto* error = std::get_if<RecordError>(&read)) {
         // Without it no token is known to be higher than all before.
-        spdlog::error("duties: {} is left alone, and no duty is taken: {}", item.key, text(*error));
+        spdlog::error("singleton roles: {} is left alone, and no role is acquired: {}", item.key,
+                      text(*error));
         halted_ = true;
         co_return std::nullopt;
       }
       mod_revisions.token = std::get<uint64_t>(read);
       mod_revisions.token_mod_revision = item.mod_revision;
     }
-    for (const Duty duty : kAllDuties) {
-      if (item.key == duty_key(duty))
-        mod_revisions.duty[static_cast<size_t>(duty)] = item.mod_revision;
+    for (const Role role : kAllRoles) {
+      if (item.key == role_key(role))
+        mod_revisions.role[static_cast<size_t>(role)] = item.mod_revision;
     }
   }
   co_return mod_revisions;
 }
 
-// Takes one duty under the next token. False when that is not known to have worked.
-Task<bool> Holder::take(uint64_t term, Duty duty, ModRevisions& mod_revisions) {
+// Takes one role under the next token. False when that is not known to have worked.
+Task<bool> RoleHolder::take(uint64_t term, Role role, ModRevisions& mod_revisions) {
   const uint64_t token = mod_revisions.token + 1;
   state::Txn txn;
   txn.guards.push_back(epoch_guard(context_));
-  txn.guards.push_back({duty_key(duty), mod_revisions.duty[static_cast<size_t>(duty)]});
+  txn.guards.push_back({role_key(role), mod_revisions.role[static_cast<size_t>(role)]});
   txn.guards.push_back({std::string(kTokenKey), mod_revisions.token_mod_revision});
-  txn.writes.push_back({duty_key(duty), write_holder({context_.platform.node, token}), grant_});
+  txn.writes.push_back({role_key(role), write_holder({context_.platform.node, token}), grant_});
   txn.writes.push_back({std::string(kTokenKey), write_token(token), 0});
   Instant sent = context_.loop.boot_now();
   const state::TxnResult result =
@@ -98,74 +99,75 @@
   if (!result.applied) {
     if (result.outcome != Outcome::unknown) co_return false;
     sent = context_.loop.boot_now();
-    const std::optional<uint64_t> own = co_await own_mod_revision(term, duty, token);
+    const std::optional<uint64_t> own = co_await own_mod_revision(term, role, token);
     if (!own) co_return false;
     mod_revision = *own;
   }
   mod_revisions.token = token;
   mod_revisions.token_mod_revision = mod_revision;
-  lease(duty).acquired({token, mod_revision}, sent);
-  writes_unsettled_[static_cast<size_t>(duty)] = false;
-  spdlog::info("duties: {} held under token {}", name(duty), token);
+  lease(role).acquired({token, mod_revision}, sent);
+  writes_unsettled_[static_cast<size_t>(role)] = false;
+  spdlog::info("singleton roles: {} held under token {}", name(role), token);
   co_return true;
 }
 
-// The mod revision of the duty's key if it is as this process wrote it under that token: the lease
+// The mod revision of the role's key if it is as this process wrote it under that token: the lease
 // bound to the key tells our own attempt from any other.
-Task<std::optional<uint64_t>> Holder::own_mod_revision(uint64_t term, Duty duty, uint64_t token) {
+Task<std::optional<uint64_t>> RoleHolder::own_mod_revision(uint64_t term, Role role,
+                                                           uint64_t token) {
   const state::GetResult got =
-      co_await state_.get(duty_key(duty), kCallTime, state::Importance::essential);
+      co_await state_.get(role_key(role), kCallTime, state::Importance::essential);
   if (!context_.in_term(term) || got.outcome != Outcome::ok || !got.found) co_return std::nullopt;
   const auto read = read_holder(got.item.value);
-  const auto* record = std::get_if<HolderRecord>(&read);
+  const auto* record = std::get_if<RoleHolderRecord>(&read);
   if (!record || record->token != token || got.item.lease != grant_) co_return std::nullopt;
   co_return got.item.mod_revision;
 }
 
-Task<bool> Holder::settle_writes(uint64_t term, Duty duty) {
-  bool& unsettled = writes_unsettled_[static_cast<size_t>(duty)];
+Task<bool> RoleHolder::settle_writes(uint64_t term, Role role) {
+  bool& unsettled = writes_unsettled_[static_cast<size_t>(role)];
   if (!unsettled) co_return true;
-  if (!may_act(duty)) co_return false;
-  const Holding before = lease(duty).holding();
+  if (!may_act(role)) co_return false;
+  const RoleGrant before = lease(role).grant();
   state::Txn txn;
-  txn.guards = guards(duty);
+  txn.guards = guards(role);
   txn.writes.push_back(
-      {duty_key(duty), write_holder({context_.platform.node, before.token}), grant_});
+      {role_key(role), write_holder({context_.platform.node, before.token}), grant_});
   const Instant sent = context_.loop.boot_now();
   const state::TxnResult result =
       co_await state_.commit(std::move(txn), kCallTime, state::Importance::essential);
   if (!context_.in_term(term)) co_return false;
-  take_result(duty, result, sent);
+  take_result(role, result, sent);
   std::optional<uint64_t> mod_revision;
   if (result.applied) mod_revision = result.revision;
   if (result.outcome == Outcome::unknown)
-    mod_revision = co_await own_mod_revision(term, duty, before.token);
+    mod_revision = co_await own_mod_revision(term, role, before.token);
   // An unchanged mod revision: this transaction, too, may yet be carried out.
-  if (!mod_revision || *mod_revision == before.mod_revision || !may_act(duty)) co_return false;
-  lease(duty).acquired({before.token, *mod_revision}, sent);
-  rewritten_at_[static_cast<size_t>(duty)] = context_.loop.boot_now();
+  if (!mod_revision || *mod_revision == before.mod_revision || !may_act(role)) co_return false;
+  lease(role).acquired({before.token, *mod_revision}, sent);
+  rewritten_at_[static_cast<size_t>(role)] = context_.loop.boot_now();
   unsettled = false;
   co_return true;
 }
 
-Task<bool> Holder::try_acquire(uint64_t term) {
+Task<bool> RoleHolder::try_acquire(uint64_t term) {
   const state::LeaseResult granted =
-      co_await state_.grant(to_millis(to_nanos(context_.op.duties_ttl)), kCallTime);
+      co_await state_.grant(to_millis(to_nanos(context_.op.roles_ttl)), kCallTime);
   if (!context_.in_term(term) || granted.outcome != Outcome::ok) co_return false;
   grant_ = granted.lease;
   std::optional<ModRevisions> mod_revisions = co_await read_mod_revisions(term);
   if (!mod_revisions) co_return false;
-  for (const Duty duty : kAllDuties) {
-    const bool taken = co_await take(term, duty, *mod_revisions);
+  for (const Role role : kAllRoles) {
+    const bool taken = co_await take(term, role, *mod_revisions);
     if (!taken) co_return false;
   }
   co_return true;
 }
 
-Task<Holder::Acquired> Holder::acquire(uint64_t term) {
+Task<RoleHolder::Acquired> RoleHolder::acquire(uint64_t term) {
   halted_ = false;
   while (context_.in_term(term)) {
-    for (Lease& each : leases_) {
+    for (RoleLease& each : leases_) {
       each.lose();
       each.stand_again();
     }
@@ -177,9 +179,9 @@
   co_return Acquired::term_over;
 }
 
-Task<void> Holder::keep(uint64_t term) {
-  const Nanos ttl = to_nanos(context_.op.duties_ttl);
-  const Nanos every = to_nanos(context_.op.duties_renew);
+Task<void> RoleHolder::keep(uint64_t term) {
+  const Nanos ttl = to_nanos(context_.op.roles_ttl);
+  const Nanos every = to_nanos(context_.op.roles_renew);
   Instant planned = context_.loop.boot_now() + every;
   while (context_.in_term(term)) {
     co_await context_.loop.sleep(
@@ -187,7 +189,7 @@
     if (!context_.in_term(term)) co_return;
     const Instant woke = context_.loop.boot_now();
     if (woke > planned + ttl / kLateWakeShare) {
-      for (Lease& each : leases_) each.distrust();
+      for (RoleLease& each : leases_) each.distrust();
     }
     const state::LeaseResult renewed = co_await state_.extend(grant_, kCallTime);
     if (!context_.in_term(term)) co_return;
@@ -196,7 +198,7 @@
     if (!context_.in_term(term)) co_return;
     planned = woke + (proved ? every : std::min<Nanos>(every, kRetry * 2));
     if (!renewed.gone && all_held()) continue;
-    spdlog::info("duties: not all are held while this node leads: they are taken again");
+    spdlog::info("singleton roles: not all are held while this node leads: they are taken again");
     const Acquired acquired = co_await acquire(term);
     if (acquired == Acquired::term_over) co_return;
     planned = context_.loop.boot_now() + (acquired == Acquired::held ? every : kHaltedRetry);
@@ -204,28 +206,28 @@
   }
 }
 
-bool Holder::all_held() const {
-  return std::none_of(kAllDuties.begin(), kAllDuties.end(), [&](Duty duty) {
-    return state(duty) == LeaseState::lost || state(duty) == LeaseState::candidate;
+bool RoleHolder::all_held() const {
+  return std::none_of(kAllRoles.begin(), kAllRoles.end(), [&](Role role) {
+    return state(role) == LeaseState::lost || state(role) == LeaseState::candidate;
   });
 }
 
 // A renewed lease alone proves nothing: a successor may have put its own record under the keys. A
 // transaction that only compares shows that they stand as we wrote them.
-Task<bool> Holder::prove() {
+Task<bool> RoleHolder::prove() {
   state::Txn compare;
   compare.guards.push_back(epoch_guard(context_));
-  for (const Duty duty : kAllDuties) compare.guards.push_back(guards(duty).back());
+  for (const Role role : kAllRoles) compare.guards.push_back(guards(role).back());
   const Instant sent = context_.loop.boot_now();
   const state::TxnResult result =
       co_await state_.commit(std::move(compare), kCallTime, state::Importance::essential);
-  for (const Duty duty : kAllDuties) take_result(duty, result, sent);
+  for (const Role role : kAllRoles) take_result(role, result, sent);
   co_return result.applied;
 }
 
-Task<void> Holder::release() {
+Task<void> RoleHolder::release() {
   if (grant_ == 0) co_return;
   (void)co_await state_.revoke(std::exchange(grant_, 0), kCallTime);
 }
 
-}  // namespace dunlinknot::duties
+}  // namespace dunlinknot::roles
--- a/src/dunlinknot/duties/lease.cpp
+++ b/src/dunlinknot/roles/role_lease.cpp
@@ -1,8 +1,8 @@
-#include "dunlinknot/duties/lease.hpp"
+#include "dunlinknot/roles/role_lease.hpp"
 
 #include <algorithm>
 
-namespace dunlinknot::duties {
+namespace dunlinknot::roles {
 
 namespace {
 
@@ -10,33 +10,33 @@
 
 }  // namespace
 
-Lease::Lease(Nanos ttl) : validity_(to_nanos(to_seconds(ttl) / kDrift)) {}
+RoleLease::RoleLease(Nanos ttl) : validity_(to_nanos(to_seconds(ttl) / kDrift)) {}
 
-void Lease::acquired(const Holding& holding, Instant sent) {
+void RoleLease::acquired(const RoleGrant& grant, Instant sent) {
   phase_ = Phase::held;
-  holding_ = holding;
+  grant_held_ = grant;
   proof_ = sent;
 }
 
-void Lease::proved(Instant sent) {
+void RoleLease::proved(Instant sent) {
   if (phase_ != Phase::held) return;
   proof_ = proof_ ? std::max(*proof_, sent) : sent;
 }
 
-void Lease::lose() {
+void RoleLease::lose() {
   phase_ = Phase::lost;
   proof_.reset();
 }
 
-void Lease::stand_again() {
+void RoleLease::stand_again() {
   if (phase_ == Phase::lost) phase_ = Phase::candidate;
 }
 
-LeaseState Lease::state(Instant now) const {
+LeaseState RoleLease::state(Instant now) const {
   if (phase_ == Phase::candidate) return LeaseState::candidate;
   if (phase_ == Phase::lost) return LeaseState::lost;
   const bool valid = proof_ && now < *proof_ + validity_;
-  return valid ? LeaseState::holding : LeaseState::doubtful;
+  return valid ? LeaseState::held : LeaseState::doubtful;
 }
 
-}  // namespace dunlinknot::duties
+}  // namespace dunlinknot::roles
--- a/src/dunlinknot/duties/records.cpp
+++ b/src/dunlinknot/roles/role_records.cpp
@@ -1,6 +1,6 @@
-#include "dunlinknot/duties/records.hpp"
+#include "dunlinknot/roles/role_records.hpp"
 
-namespace dunlinknot::duties {
+namespace dunlinknot::roles {
 
 namespace {
 
@@ -36,8 +36,8 @@
   return error == RecordError::newer ? "it was written by a later version" : "it cannot be read";
 }
 
-std::string duty_key(Duty duty) {
-  return join(kDutyPrefix, name(duty));
+std::string role_key(Role role) {
+  return join(kRolePrefix, name(role));
 }
 std::string scale_out_key(std::string_view request) {
   return join(kScaleOutPrefix, request);
@@ -52,18 +52,18 @@
   return after_prefix(key, kScaleInPrefix);
 }
 
-std::string write_holder(const HolderRecord& record) {
+std::string write_holder(const RoleHolderRecord& record) {
   Writer w;
   w.map(3).key("v").count(kRecordVersion).key("token").count(record.token);
   w.key("node").text(record.node);
   return w.take();
 }
 
-Read<HolderRecord> read_holder(View value) {
+Read<RoleHolderRecord> read_holder(View value) {
   if (const auto error = check_version(value)) return *error;
   const auto node = value["node"].text();
   if (!node) return RecordError::damaged;
-  return HolderRecord{std::string(*node), *value["token"].count()};
+  return RoleHolderRecord{std::string(*node), *value["token"].count()};
 }
 
 std::string write_token(uint64_t token) {
@@ -123,4 +123,4 @@
                        *value["token"].count()};
 }
 
-}  // namespace dunlinknot::duties
+}  // namespace dunlinknot::roles
--- a/src/dunlinknot/duties/records.hpp
+++ b/src/dunlinknot/roles/role_records.hpp
@@ -1,6 +1,6 @@
-// What the duties keep in the state service:
+// What the singleton roles keep in the state service:
 //
-//   duty/NAME         lease-bound: who holds the duty, and under which token
+//   duty/NAME         lease-bound: who holds the role, and under which token
 //   duty/token        the highest token given to any holding so far
 //   intent/rent/NAME  a launch that is decided and not settled
 //   intent/return/VM  a machine that is decided to be returned
@@ -12,17 +12,17 @@
 #include <string>
 #include <variant>
 
-#include "dunlinknot/duties/duty.hpp"
+#include "dunlinknot/roles/role.hpp"
 #include "dunlinknot/wire/pack.hpp"
 
-namespace dunlinknot::duties {
+namespace dunlinknot::roles {
 
 inline constexpr uint64_t kRecordVersion = 1;
-inline constexpr std::string_view kDutyPrefix = "duty/";
+inline constexpr std::string_view kRolePrefix = "duty/";
 inline constexpr std::string_view kTokenKey = "duty/token";
 inline constexpr std::string_view kIntentPrefix = "intent/";
 
-struct HolderRecord {
+struct RoleHolderRecord {
   std::string node;
   uint64_t token = 0;
 };
@@ -49,15 +49,15 @@
 template <class Record>
 using Read = std::variant<Record, RecordError>;
 
-std::string duty_key(Duty duty);
+std::string role_key(Role role);
 std::string scale_out_key(std::string_view request);
 std::string scale_in_key(std::string_view machine);
 // The request's or machine's name in a key of that kind; empty for any other key.
 std::string_view scale_out_name(std::string_view key);
 std::string_view scale_in_name(std::string_view key);
 
-std::string write_holder(const HolderRecord& record);
-Read<HolderRecord> read_holder(wire::View value);
+std::string write_holder(const RoleHolderRecord& record);
+Read<RoleHolderRecord> read_holder(wire::View value);
 std::string write_token(uint64_t token);
 Read<uint64_t> read_token(wire::View value);
 std::string write_scale_out_intent(const ScaleOutIntent& intent);
@@ -65,4 +65,4 @@
 std::string write_scale_in_intent(const ScaleInIntent& intent);
 Read<ScaleInIntent> read_scale_in_intent(std::string_view key, wire::View value);
 
-}  // namespace dunlinknot::duties
+}  // namespace dunlinknot::roles
--- /dev/null
+++ b/src/dunlinknot/roles/singleton_roles.hpp
@@ -0,0 +1,16 @@
+// The singleton roles of a controller: who holds them, and what was decided under them.
+#pragma once
+#include "dunlinknot/roles/intent_log.hpp"
+#include "dunlinknot/roles/role_holder.hpp"
+
+namespace dunlinknot::roles {
+
+struct SingletonRoles {
+  SingletonRoles(cluster::LeaderContext& context, state::Client& state)
+      : holder(context, state), intents(context, state, holder) {}
+
+  RoleHolder holder;
+  IntentLog intents;
+};
+
+}  // namespace dunlinknot::roles
--- a/src/dunlinknot/settings/settings.cpp
+++ b/src/dunlinknot/settings/settings.cpp
@@ -305,9 +305,9 @@
         {"max-machines", whole(1, 100'000, &Operator::max_machines)},
         {"faults-to-drain", whole(1, 1000, &Operator::faults_to_drain)}}},
       {"duties",
-       {{"on", on_or_off(&Operator::duties)},
-        {"ttl", seconds(1, 60, &Operator::duties_ttl)},
-        {"renew-every", seconds(0.1, 20, &Operator::duties_renew)}}},
+       {{"on", on_or_off(&Operator::roles)},
+        {"ttl", seconds(1, 60, &Operator::roles_ttl)},
+        {"renew-every", seconds(0.1, 20, &Operator::roles_renew)}}},
       {"scheduler",
        {{"round-pause", seconds(0.01, 10, &Operator::round_pause)},
         {"backoff-first", seconds(0.1, 3600, &Operator::backoff_first)},
@@ -363,10 +363,10 @@
   }
   // A lease that one or two lost renewals end would change hands on a healthy cluster.
   constexpr double kLeastRenewals = 3;
-  if (out.duties && out.duties_ttl < out.duties_renew * kLeastRenewals) {
+  if (out.roles && out.roles_ttl < out.roles_renew * kLeastRenewals) {
     std::ostringstream what;
     what << "duties/ttl: must be at least " << kLeastRenewals << " times duties/renew-every ("
-         << out.duties_renew.count() << " s)";
+         << out.roles_renew.count() << " s)";
     fail(root.child("duties"), what.str());
   }
   return out;
--- a/src/dunlinknot/settings/settings.hpp
+++ b/src/dunlinknot/settings/settings.hpp
@@ -97,9 +97,9 @@
   Seconds backoff_first{5};       // scheduler/backoff-first
   Seconds backoff_most{120};      // scheduler/backoff-most
   uint32_t failing_machines = 3;  // scheduler/failing-machines
-  bool duties = false;            // duties/on
-  Seconds duties_ttl{4};          // duties/ttl
-  Seconds duties_renew{1};        // duties/renew-every
+  bool roles = false;             // duties/on
+  Seconds roles_ttl{4};           // duties/ttl
+  Seconds roles_renew{1};         // duties/renew-every
 };
 
 Platform load_platform(const std::string& path);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -7,8 +7,8 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "dunlinknot/duties/overview.hpp"
 #include "dunlinknot/node/daemon.hpp"
+#include "dunlinknot/roles/overview.hpp"
 #include "dunlinknot/settings/settings.hpp"
 
 namespace {
@@ -52,10 +52,10 @@
 
 constexpr int kStateServiceAway = 3;  // exit status
 
-Task<void> show_duties(Loop& loop, state::Client& state, int& status) {
-  const std::optional<duties::Overview> overview = co_await duties::read_overview(loop, state);
+Task<void> show_roles(Loop& loop, state::Client& state, int& status) {
+  const std::optional<roles::Overview> overview = co_await roles::read_overview(loop, state);
   if (overview) {
-    duties::print(std::cout, *overview);
+    roles::print(std::cout, *overview);
   } else {
     std::cerr << "dunlinknot: the state service does not answer\n";
     status = kStateServiceAway;
@@ -63,14 +63,14 @@
   loop.stop();
 }
 
-// Prints who holds the duties and what is open; returns the exit status.
-int print_duties(const settings::Platform& platform) {
+// Prints who holds the singleton roles and what is open; returns the exit status.
+int print_roles(const settings::Platform& platform) {
   SystemClock clock;
   Loop loop(clock);
   http::Client transport(loop, 1, std::chrono::seconds(5));
   state::Client state(loop, transport, platform.state, state::Limits(platform.state_limits), 1.0);
   int status = 0;
-  loop.spawn(show_duties(loop, state, status));
+  loop.spawn(show_roles(loop, state, status));
   loop.run();
   return status;
 }
@@ -90,7 +90,7 @@
   CLI::App* check_command =
       app.add_subcommand("check-config", "Checks the settings and says what is wrong with them");
   CLI::App* duties_command = app.add_subcommand(
-      "duties", "Prints who holds the single-holder duties and what is open; changes nothing");
+      "duties", "Prints who holds the singleton roles and what is open; changes nothing");
   files(serve_command);
   files(duties_command);
   files(check_command);
@@ -110,7 +110,7 @@
     return 0;
   }
   if (const int bad = set_up_log()) return bad;
-  if (duties_command->parsed()) return print_duties(platform);
+  if (duties_command->parsed()) return print_roles(platform);
   return serve(platform, op);
 }
 
--- a/tests/duty_handover_test.cpp
+++ b/tests/role_handover_test.cpp
@@ -1,10 +1,11 @@
-// Handovers of the duties amid acts: holders that stand still, end, are cut off or refused, and
-// messages that come late, alone and several at once. The history is checked over the whole run.
+// Handovers of the singleton roles amid acts: holders that stand still, end, are cut off or
+// refused, and messages that come late, alone and several at once. The history is checked over the
+// whole run.
 #include <gtest/gtest.h>
 
 #include <random>
 
-#include "duty_history.hpp"
+#include "role_history.hpp"
 
 namespace dunlinknot::test {
 namespace {
@@ -19,8 +20,8 @@
 }
 
 struct Fixture {
-  explicit Fixture(bool duties = true) {
-    site.op.duties = duties;
+  explicit Fixture(bool roles = true) {
+    site.op.roles = roles;
     site.op.idle_return = Seconds(3);
     site.cloud.lag = seconds(6);
     for (size_t i = 0; i < kControllers; ++i) site.restart(i);
@@ -44,7 +45,7 @@
   }
 
   Site site{kControllers};
-  DutyHistory history{site};
+  RoleHistory history{site};
 };
 
 size_t index_of(const Site& site, const Site::Node* node) {
@@ -71,7 +72,7 @@
   EXPECT_EQ(f.site.standing("run-000002", other), "done");
 }
 
-TEST(DutyHandover, AHolderPausedBeforeItSendsADeletionHarmsNobody) {
+TEST(RoleHandover, AHolderPausedBeforeItSendsADeletionHarmsNobody) {
   Fixture f;
   pause_amid_a_termination(f);
   f.expect_clean();
@@ -79,13 +80,13 @@
 }
 
 // The same without the intents: the checks have to find what they are for.
-TEST(DutyHandover, TheChecksFindWhatHappensWithoutIntents) {
+TEST(RoleHandover, TheChecksFindWhatHappensWithoutIntents) {
   Fixture f(false);
   pause_amid_a_termination(f);
   EXPECT_FALSE(f.history.violations().empty());
 }
 
-TEST(DutyHandover, AHolderPausedBeforeItSendsALaunchLaunchesNothingTwice) {
+TEST(RoleHandover, AHolderPausedBeforeItSendsALaunchLaunchesNothingTwice) {
   Fixture f;
   f.site.cloud.capacity["box/a/ordinary"] = 5;
   f.site.submit(job("run-000001"), 0);
@@ -100,7 +101,7 @@
   f.expect_clean();
 }
 
-TEST(DutyHandover, ALaunchThatIsExecutedMinutesLaterIsTheSameLaunch) {
+TEST(RoleHandover, ALaunchThatIsExecutedMinutesLaterIsTheSameLaunch) {
   Fixture f;
   f.site.cloud.capacity["box/a/ordinary"] = 5;
   f.site.cloud.late_by = seconds(120);
@@ -120,7 +121,7 @@
 
 // The cloud has none of a kind when the successor asks, and the former holder's request is carried
 // out long after: its name is still open, and no other was used meanwhile.
-TEST(DutyHandover, ANameWithACopyUnderWayStaysOpenWhileTheCloudHasNone) {
+TEST(RoleHandover, ANameWithACopyUnderWayStaysOpenWhileTheCloudHasNone) {
   Fixture f;
   auto& capacity = f.site.cloud.capacity["box/a/ordinary"];
   capacity = 0;
@@ -146,7 +147,7 @@
 }
 
 // The launch was answered, its machine boots and is not in the list yet when the leader ends.
-TEST(DutyHandover, AMachineThatOnlyItsLauncherKnewIsNotLaunchedAgain) {
+TEST(RoleHandover, AMachineThatOnlyItsLauncherKnewIsNotLaunchedAgain) {
   Fixture f;
   f.site.cloud.capacity["box/a/ordinary"] = 5;
   f.site.submit(job("run-000001"), 0);
@@ -161,7 +162,7 @@
 }
 
 // An idle machine that a new leader has not heard yet would do for what waits.
-TEST(DutyHandover, OwnLaunchesWaitUntilTheMachinesAreKnown) {
+TEST(RoleHandover, OwnLaunchesWaitUntilTheMachinesAreKnown) {
   Fixture f;
   f.site.op.idle_return = Seconds(600);
   for (size_t i = 0; i < kControllers; ++i) f.site.restart(i);
@@ -320,7 +321,7 @@
     for (const std::string& id : accepted_) EXPECT_EQ(f_.site.standing(id, 0), "done") << id;
     EXPECT_EQ(f_.history.machines_held(), 0u) << "paid for and forgotten";
     for (const auto& [key, entry] : f_.site.state.data) {
-      EXPECT_FALSE(key.starts_with(duties::scale_in_key(""))) << key << " is still open";
+      EXPECT_FALSE(key.starts_with(roles::scale_in_key(""))) << key << " is still open";
     }
     EXPECT_GT(f_.history.counts().changed, 0u);
   }
@@ -332,25 +333,25 @@
   std::vector<End> ends_;
 };
 
-class DutyTroubles : public testing::TestWithParam<int> {};
+class RoleTroubles : public testing::TestWithParam<int> {};
 
-TEST_P(DutyTroubles, AloneLeaveACleanHistory) {
+TEST_P(RoleTroubles, AloneLeaveACleanHistory) {
   for (uint64_t seed = 1; seed <= 2; ++seed) {
     SCOPED_TRACE(testing::Message() << "seed " << seed);
     Drawn(seed, {static_cast<Trouble>(GetParam())}).run();
   }
 }
-INSTANTIATE_TEST_SUITE_P(Kinds, DutyTroubles, testing::Range(0, kTroubles));
+INSTANTIATE_TEST_SUITE_P(Kinds, RoleTroubles, testing::Range(0, kTroubles));
 
-class DutyMeetings : public testing::TestWithParam<int> {};
+class RoleMeetings : public testing::TestWithParam<int> {};
 
-TEST_P(DutyMeetings, OfSeveralTroublesLeaveACleanHistory) {
+TEST_P(RoleMeetings, OfSeveralTroublesLeaveACleanHistory) {
   std::vector<Trouble> all;
   all.reserve(kTroubles);
   for (int i = 0; i < kTroubles; ++i) all.push_back(static_cast<Trouble>(i));
   Drawn(static_cast<uint64_t>(100 + GetParam()), all).run();
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, DutyMeetings, testing::Range(0, 36));
+INSTANTIATE_TEST_SUITE_P(Seeds, RoleMeetings, testing::Range(0, 36));
 
 }  // namespace
 }  // namespace dunlinknot::test
--- a/tests/duty_history.cpp
+++ b/tests/role_history.cpp
@@ -1,41 +1,41 @@
-#include "duty_history.hpp"
+#include "role_history.hpp"
 
 #include <algorithm>
 
 namespace dunlinknot::test {
 
-using duties::Duty;
+using roles::Role;
 
-DutyHistory::DutyHistory(Site& site) : site_(site) {
+RoleHistory::RoleHistory(Site& site) : site_(site) {
   site.cloud.on_act = [this](const CloudService::Act& act) { take_act(act); };
   site.state.on_removed = [this](const std::string& key) { take_removed_key(key); };
 }
 
-uint64_t DutyHistory::present_token(Duty duty) const {
-  const auto entry = site_.state.data.find(duties::duty_key(duty));
+uint64_t RoleHistory::present_token(Role role) const {
+  const auto entry = site_.state.data.find(roles::role_key(role));
   if (entry == site_.state.data.end()) return 0;
   const auto document = wire::Document::parse(entry->second.value);
-  const auto read = duties::read_holder(document->root());
-  const auto* record = std::get_if<duties::HolderRecord>(&read);
+  const auto read = roles::read_holder(document->root());
+  const auto* record = std::get_if<roles::RoleHolderRecord>(&read);
   return record ? record->token : 0;
 }
 
-bool DutyHistory::machine_lives(std::string_view machine) const {
+bool RoleHistory::machine_lives(std::string_view machine) const {
   const auto found = site_.cloud.machines.find(std::string(machine));
   return found != site_.cloud.machines.end() && !found->second.gone;
 }
 
-size_t DutyHistory::machines_held() const {
+size_t RoleHistory::machines_held() const {
   return static_cast<size_t>(std::count_if(site_.cloud.machines.begin(), site_.cloud.machines.end(),
                                            [](const auto& entry) { return !entry.second.gone; }));
 }
 
-void DutyHistory::take_act(const CloudService::Act& act) {
+void RoleHistory::take_act(const CloudService::Act& act) {
   const bool launch = !act.request.empty();
   const std::string key =
-      launch ? duties::scale_out_key(act.request) : duties::scale_in_key(act.machines.front());
+      launch ? roles::scale_out_key(act.request) : roles::scale_in_key(act.machines.front());
   const bool open = site_.state.data.contains(key);
-  const bool fenced = act.sender_token != present_token(launch ? Duty::scale_out : Duty::scale_in);
+  const bool fenced = act.sender_token != present_token(launch ? Role::scale_out : Role::scale_in);
   ++counts_.acts;
   if (act.changed) {
     ++counts_.changed;
@@ -50,13 +50,13 @@
 
 // While one launch of a kind of machine is decided and unanswered, another of that kind would be
 // for the same need.
-void DutyHistory::check_launch(const std::string& request) {
-  std::optional<duties::ScaleOutIntent> own;
-  std::vector<duties::ScaleOutIntent> others;
+void RoleHistory::check_launch(const std::string& request) {
+  std::optional<roles::ScaleOutIntent> own;
+  std::vector<roles::ScaleOutIntent> others;
   for (const auto& [key, entry] : site_.state.data) {
     const auto document = wire::Document::parse(entry.value);
-    const auto read = duties::read_scale_out_intent(key, document->root());
-    const auto* intent = std::get_if<duties::ScaleOutIntent>(&read);
+    const auto read = roles::read_scale_out_intent(key, document->root());
+    const auto* intent = std::get_if<roles::ScaleOutIntent>(&read);
     if (!intent) continue;
     if (intent->request == request) {
       own = *intent;
@@ -65,7 +65,7 @@
     }
   }
   if (!own) return;
-  for (const duties::ScaleOutIntent& other : others) {
+  for (const roles::ScaleOutIntent& other : others) {
     if (other.type == own->type && other.zone == own->zone && other.spot == own->spot) {
       violations_.push_back("launched twice for one need: " + request + " and " + other.request);
     }
@@ -74,7 +74,7 @@
 
 // Whoever leads must not count on a machine that goes: no task may be started there between the
 // decision and the deletion, and none that can be reached may be killed by it.
-void DutyHistory::check_scale_in(const std::string& machine) {
+void RoleHistory::check_scale_in(const std::string& machine) {
   const auto worker = site_.workers.find(machine);
   if (worker == site_.workers.end()) return;
   const Worker& w = *worker->second;
@@ -85,11 +85,11 @@
   }
 }
 
-void DutyHistory::take_removed_key(const std::string& key) {
+void RoleHistory::take_removed_key(const std::string& key) {
   if (key.starts_with(wire::kFinalPrefix)) {
     violations_.push_back("a final answer was removed: " + key);
   }
-  if (const auto machine = duties::scale_in_name(key); !machine.empty() && machine_lives(machine)) {
+  if (const auto machine = roles::scale_in_name(key); !machine.empty() && machine_lives(machine)) {
     violations_.push_back("an intent was removed before its machine was gone: " + key);
   }
   if (const auto machine = wire::after_prefix(key, wire::kMachinePrefix); machine_lives(machine)) {
--- a/tests/duty_history.hpp
+++ b/tests/role_history.hpp
@@ -1,5 +1,5 @@
-// The history of what controllers did under their duties, as the scripted cloud and state service
-// saw it, and the checks over it.
+// The history of what controllers did under their singleton roles, as the scripted cloud and state
+// service saw it, and the checks over it.
 #pragma once
 #include <map>
 #include <string>
@@ -9,10 +9,10 @@
 
 namespace dunlinknot::test {
 
-class DutyHistory {
+class RoleHistory {
  public:
   // Watches the site from now on.
-  explicit DutyHistory(Site& site);
+  explicit RoleHistory(Site& site);
 
   // What was wrong, in words.
   const std::vector<std::string>& violations() const { return violations_; }
@@ -31,8 +31,8 @@
   void take_removed_key(const std::string& key);
   void check_launch(const std::string& request);
   void check_scale_in(const std::string& machine);
-  // The token under which the duty is held at this moment; 0 when nobody holds it.
-  uint64_t present_token(duties::Duty duty) const;
+  // The token under which the role is held at this moment; 0 when nobody holds it.
+  uint64_t present_token(roles::Role role) const;
   bool machine_lives(std::string_view machine) const;
 
   Site& site_;
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -174,19 +174,19 @@
             std::string::npos);
 }
 
-TEST(OperatorFile, ALeaseOfTheDutiesLastsSeveralRenewals) {
-  const auto duties = [](const std::string& on, const std::string& ttl, const std::string& renew) {
+TEST(OperatorFile, ALeaseOfTheRolesLastsSeveralRenewals) {
+  const auto roles = [](const std::string& on, const std::string& ttl, const std::string& renew) {
     return "<dunlinknot>\n<duties><on>" + on + "</on><ttl>" + ttl + "</ttl><renew-every>" + renew +
            "</renew-every></duties></dunlinknot>";
   };
-  const File f(duties("1", "3", "1"));
+  const File f(roles("1", "3", "1"));
   const Operator op = load_operator(f.path());
-  EXPECT_TRUE(op.duties);
-  EXPECT_EQ(op.duties_ttl, Seconds(3));
-  EXPECT_EQ(operator_problem(duties("1", "2.9", "1")),
+  EXPECT_TRUE(op.roles);
+  EXPECT_EQ(op.roles_ttl, Seconds(3));
+  EXPECT_EQ(operator_problem(roles("1", "2.9", "1")),
             ":2: duties/ttl: must be at least 3 times duties/renew-every (1 s)");
-  EXPECT_EQ(operator_problem(duties("0", "2.9", "1")), "") << "they are off";
-  EXPECT_EQ(operator_problem(duties("2", "3", "1")), ":2: duties/on: must be between 0 and 1");
+  EXPECT_EQ(operator_problem(roles("0", "2.9", "1")), "") << "they are off";
+  EXPECT_EQ(operator_problem(roles("2", "3", "1")), ":2: duties/on: must be between 0 and 1");
   EXPECT_EQ(operator_problem("<dunlinknot><duties><lease>3</lease></duties></dunlinknot>"),
             ":1: unknown setting duties/lease");
 }
--- a/tests/duties_test.cpp
+++ b/tests/singleton_roles_test.cpp
@@ -1,28 +1,28 @@
-// The parts of the duties on their own: leases, tokens, records, the intent log.
-#include "dunlinknot/duties/duties.hpp"
+// The parts of the singleton roles on their own: leases, tokens, records, the intent log.
+#include "dunlinknot/roles/singleton_roles.hpp"
 
 #include <gtest/gtest.h>
 
 #include <sstream>
 
-#include "dunlinknot/duties/overview.hpp"
+#include "dunlinknot/roles/overview.hpp"
 #include "support.hpp"
 
 namespace dunlinknot::test {
 namespace {
 
-using duties::Duty;
-using duties::Lease;
-using duties::LeaseState;
-using duties::RecordError;
+using roles::LeaseState;
+using roles::RecordError;
+using roles::Role;
+using roles::RoleLease;
 
 const Instant kStart{seconds(1000)};
 
-TEST(DutyLease, IsValidFromTheSendingOfItsLastProofWithDriftTakenOff) {
-  Lease lease(seconds(4));
+TEST(RoleLease, IsValidFromTheSendingOfItsLastProofWithDriftTakenOff) {
+  RoleLease lease(seconds(4));
   EXPECT_EQ(lease.state(kStart), LeaseState::candidate);
   lease.acquired({7, 11}, kStart);
-  EXPECT_EQ(lease.holding().token, 7u);
+  EXPECT_EQ(lease.grant().token, 7u);
   const Nanos validity = to_nanos(Seconds(4 / 1.001));
   EXPECT_TRUE(lease.may_act(kStart + validity - Nanos(1)));
   EXPECT_FALSE(lease.may_act(kStart + validity)) << "a clock 0.05% slow against one 0.05% fast";
@@ -33,13 +33,13 @@
   EXPECT_TRUE(lease.may_act(kStart + seconds(6))) << "an older proof takes nothing away";
 }
 
-TEST(DutyLease, DistrustEndsWithAProofAndALossDoesNot) {
-  Lease lease(seconds(4));
+TEST(RoleLease, DistrustEndsWithAProofAndALossDoesNot) {
+  RoleLease lease(seconds(4));
   lease.acquired({7, 11}, kStart);
   lease.distrust();
   EXPECT_EQ(lease.state(kStart), LeaseState::doubtful);
   lease.proved(kStart);
-  EXPECT_EQ(lease.state(kStart), LeaseState::holding);
+  EXPECT_EQ(lease.state(kStart), LeaseState::held);
   lease.lose();
   lease.proved(kStart + seconds(1));
   EXPECT_EQ(lease.state(kStart + seconds(1)), LeaseState::lost);
@@ -48,48 +48,48 @@
 }
 
 template <class Record>
-RecordError error_of(const duties::Read<Record>& read) {
+RecordError error_of(const roles::Read<Record>& read) {
   return std::get<RecordError>(read);
 }
 
-TEST(DutyRecords, AreReadBackAndNeverGuessedAt) {
-  duties::ScaleOutIntent scale_out{"d-3-1", "box", "a", true, 50, "run-000001", 3};
+TEST(RoleRecords, AreReadBackAndNeverGuessedAt) {
+  roles::ScaleOutIntent scale_out{"d-3-1", "box", "a", true, 50, "run-000001", 3};
   const auto read_scale_out = [](std::string_view key, const std::string& bytes) {
     const auto document = wire::Document::parse(bytes);
-    return duties::read_scale_out_intent(key, document->root());
+    return roles::read_scale_out_intent(key, document->root());
   };
-  const std::string key = duties::scale_out_key(scale_out.request);
-  const auto back = std::get<duties::ScaleOutIntent>(
-      read_scale_out(key, duties::write_scale_out_intent(scale_out)));
+  const std::string key = roles::scale_out_key(scale_out.request);
+  const auto back = std::get<roles::ScaleOutIntent>(
+      read_scale_out(key, roles::write_scale_out_intent(scale_out)));
   EXPECT_EQ(back.type, "box");
   EXPECT_EQ(back.count, 50u);
   EXPECT_TRUE(back.spot);
   EXPECT_EQ(back.token, 3u);
-  EXPECT_EQ(error_of(read_scale_out(duties::scale_out_key("d-3-2"),
-                                    duties::write_scale_out_intent(scale_out))),
+  EXPECT_EQ(error_of(read_scale_out(roles::scale_out_key("d-3-2"),
+                                    roles::write_scale_out_intent(scale_out))),
             RecordError::damaged)
       << "a record under a foreign key";
   for (const uint32_t count : {0u, 51u}) {
     scale_out.count = count;
-    EXPECT_EQ(error_of(read_scale_out(key, duties::write_scale_out_intent(scale_out))),
+    EXPECT_EQ(error_of(read_scale_out(key, roles::write_scale_out_intent(scale_out))),
               RecordError::damaged);
   }
   wire::Writer newer;
-  newer.map(2).key("v").count(duties::kRecordVersion + 1).key("token").count(3);
+  newer.map(2).key("v").count(roles::kRecordVersion + 1).key("token").count(3);
   EXPECT_EQ(error_of(read_scale_out(key, newer.take())), RecordError::newer);
   wire::Writer empty;
   empty.map(0);
   EXPECT_EQ(error_of(read_scale_out(key, empty.take())), RecordError::damaged);
 }
 
-Site& with_duties(Site& site) {
-  site.op.duties = true;
+Site& with_roles(Site& site) {
+  site.op.roles = true;
   for (size_t i = 0; i < site.nodes.size(); ++i) site.restart(i);
   return site;
 }
 
-const duties::Duties& held(Site& site) {
-  return *site.daemon(*site.leader()).duties();
+const roles::SingletonRoles& held(Site& site) {
+  return *site.daemon(*site.leader()).roles();
 }
 
 size_t count_keys(const Site& site, std::string_view prefix) {
@@ -98,23 +98,23 @@
   return count;
 }
 
-TEST(Duties, AreHeldByTheLeaderUnderATokenEach) {
+TEST(SingletonRoles, AreHeldByTheLeaderUnderATokenEach) {
   Site site(3);
-  with_duties(site);
+  with_roles(site);
   site.run_for(seconds(5));
   ASSERT_TRUE(site.leader().has_value());
   const auto& holder = held(site).holder;
-  for (const Duty duty : duties::kAllDuties) EXPECT_TRUE(holder.may_act(duty));
-  EXPECT_LT(holder.token(Duty::scale_out), holder.token(Duty::scale_in));
-  EXPECT_LT(holder.token(Duty::scale_in), holder.token(Duty::cleanup));
-  const uint64_t before = holder.token(Duty::cleanup);
+  for (const Role role : roles::kAllRoles) EXPECT_TRUE(holder.may_act(role));
+  EXPECT_LT(holder.token(Role::scale_out), holder.token(Role::scale_in));
+  EXPECT_LT(holder.token(Role::scale_in), holder.token(Role::cleanup));
+  const uint64_t before = holder.token(Role::cleanup);
   site.restart(*site.leader());
   site.run_for(seconds(8));
   ASSERT_TRUE(site.leader().has_value());
-  EXPECT_GT(held(site).holder.token(Duty::scale_out), before) << "tokens only grow";
+  EXPECT_GT(held(site).holder.token(Role::scale_out), before) << "tokens only grow";
 }
 
-TEST(Duties, NothingIsStoredWhenTheyAreOff) {
+TEST(SingletonRoles, NothingIsStoredWhenTheyAreOff) {
   Site site(1);
   site.run_for(seconds(2));
   site.submit(job("run-000001"));
@@ -122,14 +122,14 @@
   EXPECT_EQ(count_keys(site, "duty/") + count_keys(site, "intent/"), 0u);
 }
 
-TEST(Duties, IntentsStandBeforeTheActAndGoAfterIt) {
+TEST(SingletonRoles, IntentsStandBeforeTheActAndGoAfterIt) {
   Site site(1);
-  with_duties(site);
+  with_roles(site);
   site.cloud.lag = seconds(2);
   bool launched_with_intent = false;
   site.cloud.on_act = [&](const CloudService::Act& act) {
     if (!act.request.empty() && act.changed) {
-      launched_with_intent = site.state.data.contains(duties::scale_out_key(act.request));
+      launched_with_intent = site.state.data.contains(roles::scale_out_key(act.request));
     }
   };
   site.run_for(seconds(3));
@@ -142,51 +142,51 @@
   EXPECT_EQ(count_keys(site, "intent/"), 0u) << "all acts are settled";
 }
 
-TEST(Duties, AreDoubtfulAfterASuspensionAndTrustedAfterAProof) {
+TEST(SingletonRoles, AreDoubtfulAfterASuspensionAndTrustedAfterAProof) {
   Site site(1);
-  with_duties(site);
+  with_roles(site);
   site.run_for(seconds(5));
   const auto& holder = held(site).holder;
-  ASSERT_TRUE(holder.may_act(Duty::scale_out));
+  ASSERT_TRUE(holder.may_act(Role::scale_out));
   site.clock.suspended += seconds(10);
-  EXPECT_FALSE(holder.may_act(Duty::scale_out)) << "the steady clock did not count the suspension";
-  EXPECT_EQ(holder.state(Duty::scale_out), LeaseState::doubtful);
+  EXPECT_FALSE(holder.may_act(Role::scale_out)) << "the steady clock did not count the suspension";
+  EXPECT_EQ(holder.state(Role::scale_out), LeaseState::doubtful);
   site.run_for(seconds(3));
-  EXPECT_TRUE(held(site).holder.may_act(Duty::scale_out));
+  EXPECT_TRUE(held(site).holder.may_act(Role::scale_out));
 }
 
-TEST(Duties, WallClockJumpsChangeNothing) {
+TEST(SingletonRoles, WallClockJumpsChangeNothing) {
   Site site(1);
-  with_duties(site);
+  with_roles(site);
   site.run_for(seconds(5));
-  const uint64_t token = held(site).holder.token(Duty::scale_out);
+  const uint64_t token = held(site).holder.token(Role::scale_out);
   for (const auto jump : {Nanos(seconds(5)), Nanos(std::chrono::hours(3)),
                           Nanos(std::chrono::hours(-6)), Nanos(seconds(-2))}) {
     site.clock.wall_jump += jump;
-    EXPECT_TRUE(held(site).holder.may_act(Duty::scale_out));
+    EXPECT_TRUE(held(site).holder.may_act(Role::scale_out));
     site.run_for(seconds(5));
-    EXPECT_EQ(held(site).holder.token(Duty::scale_out), token);
+    EXPECT_EQ(held(site).holder.token(Role::scale_out), token);
   }
 }
 
-TEST(Duties, ALeaseThatEndedUnderALeaderIsTakenAgainUnderANewToken) {
+TEST(SingletonRoles, ALeaseThatEndedUnderALeaderIsTakenAgainUnderANewToken) {
   Site site(1);
-  with_duties(site);
+  with_roles(site);
   site.run_for(seconds(5));
-  const uint64_t token = held(site).holder.token(Duty::scale_out);
-  site.state.erase(duties::duty_key(Duty::scale_out));
+  const uint64_t token = held(site).holder.token(Role::scale_out);
+  site.state.erase(roles::role_key(Role::scale_out));
   site.run_for(seconds(4));
-  EXPECT_GT(held(site).holder.token(Duty::scale_out), token);
-  EXPECT_TRUE(held(site).holder.may_act(Duty::scale_out));
+  EXPECT_GT(held(site).holder.token(Role::scale_out), token);
+  EXPECT_TRUE(held(site).holder.may_act(Role::scale_out));
 }
 
-TEST(Duties, ADamagedTokenCounterHaltsThemAndIsNotOverwritten) {
+TEST(SingletonRoles, ADamagedTokenCounterHaltsThemAndIsNotOverwritten) {
   Site site(1);
   wire::Writer damaged;
   damaged.text("?");
   const std::string bytes = damaged.take();
-  site.state.put(std::string(duties::kTokenKey), bytes);
-  with_duties(site);
+  site.state.put(std::string(roles::kTokenKey), bytes);
+  with_roles(site);
   const CloudService::Machine m{"vm-100001",      "box", "a", false,
                                 site.clock.now(), false, {},  "10.1.0.1:9000"};
   site.cloud.machines[m.id] = m;
@@ -194,13 +194,13 @@
   site.run_for(seconds(5));
   site.submit(job("run-000001"));
   site.run_for(seconds(30));
-  EXPECT_EQ(site.state.data.at(std::string(duties::kTokenKey)).value, bytes);
-  EXPECT_EQ(count_keys(site, "duty/"), 1u) << "no duty was taken";
+  EXPECT_EQ(site.state.data.at(std::string(roles::kTokenKey)).value, bytes);
+  EXPECT_EQ(count_keys(site, "duty/"), 1u) << "no role was acquired";
   EXPECT_EQ(site.cloud.launches + site.cloud.deletions.size(), 0u);
-  EXPECT_EQ(site.standing("run-000001"), "done") << "what needs no duty goes on";
+  EXPECT_EQ(site.standing("run-000001"), "done") << "what needs no role goes on";
 }
 
-TEST(Duties, AnUnreadableIntentHaltsItsMachineOnly) {
+TEST(SingletonRoles, AnUnreadableIntentHaltsItsMachineOnly) {
   Site site(1);
   site.cloud.lag = Nanos(0);
   for (const char* id : {"vm-100001", "vm-100002"}) {
@@ -210,11 +210,11 @@
     site.add_worker(m);
   }
   wire::Writer newer;
-  newer.map(2).key("v").count(duties::kRecordVersion + 1).key("token").count(1);
+  newer.map(2).key("v").count(roles::kRecordVersion + 1).key("token").count(1);
   const std::string bytes = newer.take();
-  const std::string key = duties::scale_in_key("vm-100001");
+  const std::string key = roles::scale_in_key("vm-100001");
   site.state.put(key, bytes);
-  with_duties(site);
+  with_roles(site);
   site.run_for(seconds(5));
   site.submit(job("run-000001", 4));
   site.run_for(seconds(60));
@@ -226,26 +226,26 @@
   EXPECT_EQ(site.state.data.at(key).value, bytes);
 }
 
-TEST(Duties, TheOverviewShowsHoldersAndOpenIntentsAndChangesNothing) {
+TEST(SingletonRoles, TheOverviewShowsHoldersAndOpenIntentsAndChangesNothing) {
   Site site(1);
-  with_duties(site);
+  with_roles(site);
   site.run_for(seconds(5));
-  site.state.put(duties::scale_out_key("d-9-1"),
-                 duties::write_scale_out_intent({"d-9-1", "box", "a", true, 3, "run-000009", 9}));
-  site.state.put(duties::scale_in_key("vm-000007"),
-                 duties::write_scale_in_intent({"vm-000007", "idle", 9}));
+  site.state.put(roles::scale_out_key("d-9-1"),
+                 roles::write_scale_out_intent({"d-9-1", "box", "a", true, 3, "run-000009", 9}));
+  site.state.put(roles::scale_in_key("vm-000007"),
+                 roles::write_scale_in_intent({"vm-000007", "idle", 9}));
   wire::Writer damaged;
   damaged.text("?");
-  site.state.put(duties::scale_in_key("vm-000008"), damaged.take());
+  site.state.put(roles::scale_in_key("vm-000008"), damaged.take());
   const size_t keys = site.state.data.size();
 
   Site::Node& node = *site.nodes.front();
   state::Client client(site.loop, node, node.platform.state,
                        state::Limits(node.platform.state_limits), 1.0);
-  const auto overview = site.get(duties::read_overview(site.loop, client));
+  const auto overview = site.get(roles::read_overview(site.loop, client));
   ASSERT_TRUE(overview.has_value());
   std::ostringstream out;
-  duties::print(out, *overview);
+  roles::print(out, *overview);
   EXPECT_NE(out.str().find("rent     dunlin-0 under token "), std::string::npos) << out.str();
   EXPECT_NE(out.str().find("open: rent 3 x spot box in a as d-9-1"), std::string::npos);
   EXPECT_NE(out.str().find("open: return vm-000007 (token 9): idle"), std::string::npos);
@@ -253,12 +253,12 @@
   EXPECT_EQ(site.state.data.size(), keys);
 
   site.state.outage = true;
-  EXPECT_FALSE(site.get(duties::read_overview(site.loop, client)).has_value());
+  EXPECT_FALSE(site.get(roles::read_overview(site.loop, client)).has_value());
 }
 
 // On at one controller and off at the other: a machine that the first decided to return may have
 // been given work by the second.
-TEST(Duties, AResumedReturnWaitsForWorkThatALeaderWithoutDutiesPutThere) {
+TEST(SingletonRoles, AResumedReturnWaitsForWorkThatALeaderWithoutRolesPutThere) {
   Site site(1);
   site.cloud.lag = Nanos(0);
   const CloudService::Machine m{"vm-100001",      "box", "a", false,
@@ -271,8 +271,8 @@
   site.submit(job("run-000001"));
   site.run_for(seconds(5));
   ASSERT_EQ(worker.started.size(), 1u);
-  site.state.put(duties::scale_in_key(m.id), duties::write_scale_in_intent({m.id, "idle", 1}));
-  with_duties(site);
+  site.state.put(roles::scale_in_key(m.id), roles::write_scale_in_intent({m.id, "idle", 1}));
+  with_roles(site);
   site.run_for(seconds(8));
   EXPECT_TRUE(worker.on) << "its task runs";
   site.submit(job("run-000002"));
--- a/tests/support.cpp
+++ b/tests/support.cpp
@@ -71,8 +71,8 @@
       co_return Reply{};
     }
     const bool launch = call.target == "/rentals" && call.method == "POST";
-    const auto duty = launch ? duties::Duty::scale_out : duties::Duty::scale_in;
-    const uint64_t token = daemon->duties() ? daemon->duties()->holder.token(duty) : 0;
+    const auto role = launch ? roles::Role::scale_out : roles::Role::scale_in;
+    const uint64_t token = daemon->roles() ? daemon->roles()->holder.token(role) : 0;
     co_return co_await site.cloud.serve(std::move(call), token);
   }
   for (auto& [id, w] : site.workers) {
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -148,7 +148,7 @@
 class CloudService {
  public:
   explicit CloudService(Loop& loop) : loop_(loop) {}
-  // `sender_token`: of the duty under which the sender acts, for the history.
+  // `sender_token`: of the role under which the sender acts, for the history.
   Task<http::Reply> serve(http::Call call, uint64_t sender_token = 0);
 
   // A request that was carried out, whether or not it changed anything.
--- a/tools/handover_run.cpp
+++ b/tools/handover_run.cpp
@@ -1,6 +1,6 @@
-// Forces handovers of the duties between real controller processes, against a cloud, a state
-// service, workers and users that this process plays on loopback. Writes the history of all acts,
-// checks it and prints counts.
+// Forces handovers of the singleton roles between real controller processes, against a cloud, a
+// state service, workers and users that this process plays on loopback. Writes the history of all
+// acts, checks it and prints counts.
 //
 // Controllers are stopped and continued by signal, killed and restarted, and cut from the state
 // service, the cloud or both. Requests to the cloud are executed late, or their answers lost.
@@ -31,7 +31,7 @@
   uint32_t handovers = 300;
   uint32_t seed = 1;
   bool calm_cloud = false;  // no late requests and no lost answers: only events are waited for
-  bool duties = true;       // off: shows that the checks find something
+  bool roles = true;        // off: shows that the checks find something
 };
 
 enum class Fault : uint8_t { kill, stop, stop_at_act, cut_state, cut_cloud, cut_both };
@@ -39,8 +39,8 @@
     "killed", "stopped", "stopped at an act", "cut from state", "cut from cloud", "cut from both"};
 
 constexpr std::string_view kLeaderTtl = "1";
-constexpr std::string_view kDutiesTtl = "1.5";
-constexpr std::string_view kDutiesRenew = "0.4";
+constexpr std::string_view kRolesTtl = "1.5";
+constexpr std::string_view kRolesRenew = "0.4";
 constexpr Millis kWorkerPace{500};
 constexpr auto kWorkerLease = seconds(14);
 constexpr auto kGiveUp = seconds(15);     // on a fault that brings no handover
@@ -57,7 +57,7 @@
   bool stopped = false;
   bool cut_state = false;
   bool cut_cloud = false;
-  uint64_t scale_in_token = 0;  // the last one under which it held the duty
+  uint64_t scale_in_token = 0;  // the last one under which it held the role
 };
 
 struct Handover {
@@ -72,7 +72,7 @@
     history_ << "time_s,event,node,token,name,changed\n";
     began_ = loop_.now();
     holder_key_ =
-        options_.duties ? duties::duty_key(duties::Duty::scale_in) : std::string(wire::kLeaderKey);
+        options_.roles ? roles::role_key(roles::Role::scale_in) : std::string(wire::kLeaderKey);
     state_.on_change = [this](const std::string& key) { take_change(key); };
     state_.on_removed = [this](const std::string& key) { take_removed(key); };
     cloud_.on_act = [this](const CloudService::Act& act) { take_act(act); };
@@ -175,8 +175,8 @@
         << "[params.quota]\ncpu = 1.0\nmemory_mb = 64.0\nmax_connections = 500\n";
     std::ofstream op(std::filesystem::path(options_.directory) / "operator.xml");
     op << "<dunlinknot><leadership><ttl>" << kLeaderTtl << "</ttl></leadership>"
-       << "<fleet><idle-return>1</idle-return></fleet><duties><on>" << (options_.duties ? 1 : 0)
-       << "</on><ttl>" << kDutiesTtl << "</ttl><renew-every>" << kDutiesRenew
+       << "<fleet><idle-return>1</idle-return></fleet><duties><on>" << (options_.roles ? 1 : 0)
+       << "</on><ttl>" << kRolesTtl << "</ttl><renew-every>" << kRolesRenew
        << "</renew-every></duties></dunlinknot>\n";
   }
 
@@ -288,16 +288,17 @@
     note("violation", "", 0, what, false);
   }
 
-  // Who may act at present, and under which token; without duties the leader, under its epoch.
-  std::optional<duties::HolderRecord> present_holder() const {
+  // Who may act at present, and under which token; without singleton roles the leader, under its
+  // epoch.
+  std::optional<roles::RoleHolderRecord> present_holder() const {
     const auto entry = state_.data.find(holder_key_);
     if (entry == state_.data.end()) return std::nullopt;
     const auto document = wire::Document::parse(entry->second.value);
-    if (!options_.duties) {
+    if (!options_.roles) {
       const auto leader = wire::read_leader(document->root());
-      return duties::HolderRecord{leader->node, leader->epoch};
+      return roles::RoleHolderRecord{leader->node, leader->epoch};
     }
-    return std::get<duties::HolderRecord>(duties::read_holder(document->root()));
+    return std::get<roles::RoleHolderRecord>(roles::read_holder(document->root()));
   }
 
   uint64_t present_token() const {
@@ -307,7 +308,7 @@
 
   void take_change(const std::string& key) {
     if (key == holder_key_) take_holder();
-    const bool intent = key.starts_with(duties::kIntentPrefix) && state_.data.contains(key);
+    const bool intent = key.starts_with(roles::kIntentPrefix) && state_.data.contains(key);
     if (intent && stop_at_intent_) {
       Controller* holder = std::exchange(stop_at_intent_, nullptr);
       kill(holder->pid, SIGSTOP);
@@ -317,7 +318,7 @@
   void take_holder() {
     const auto present = present_holder();
     if (!present) return note("vacant", "", 0, "", false);
-    const duties::HolderRecord& record = *present;
+    const roles::RoleHolderRecord& record = *present;
     for (Controller& c : controllers_) {
       if (c.name == record.node) c.scale_in_token = record.token;
     }
@@ -328,7 +329,7 @@
   void take_act(const CloudService::Act& act) {
     const bool launch = !act.request.empty();
     const std::string& name = launch ? act.request : act.machines.front();
-    const std::string key = launch ? duties::scale_out_key(name) : duties::scale_in_key(name);
+    const std::string key = launch ? roles::scale_out_key(name) : roles::scale_in_key(name);
     const bool open = state_.data.contains(key);
     const bool fenced = act.sender_token != present_token();
     note(launch ? "rent" : "return", node_of(act.sender_token), act.sender_token, name,
@@ -339,7 +340,7 @@
       return;
     }
     ++changed_;
-    if (!open && options_.duties) violation("an act that is not decided: " + key);
+    if (!open && options_.roles) violation("an act that is not decided: " + key);
     if (fenced && open) ++fenced_repeats_;
     if (!launch) check_scale_in(name);
   }
@@ -365,7 +366,7 @@
       return found != cloud_.machines.end() && !found->second.gone;
     };
     if (key.starts_with(wire::kFinalPrefix)) violation("a final answer was removed: " + key);
-    if (const auto machine = duties::scale_in_name(key); !machine.empty() && lives(machine)) {
+    if (const auto machine = roles::scale_in_name(key); !machine.empty() && lives(machine)) {
       violation("an intent was removed before its machine was gone: " + key);
     }
   }
@@ -563,7 +564,7 @@
     app.add_option("--handovers", options.handovers, "Handovers to force");
     app.add_option("--seed", options.seed, "Of the faults that are drawn");
     app.add_flag("--calm-cloud", options.calm_cloud, "No late requests and no lost answers");
-    app.add_flag("!--no-duties", options.duties, "Without duties: the checks have to find faults");
+    app.add_flag("!--no-duties", options.roles, "Without duties: the checks have to find faults");
     CLI11_PARSE(app, argc, argv);
     std::signal(SIGPIPE, SIG_IGN);
     spdlog::set_level(spdlog::level::err);
--- a/tools/report.cpp
+++ b/tools/report.cpp
@@ -36,7 +36,7 @@
   double length = 0;
 };
 
-struct Holding {
+struct RoleGrant {
   std::string node;
   uint64_t token = 0;
   double begin = 0;
@@ -77,8 +77,8 @@
   return events;
 }
 
-std::vector<Holding> holdings_of(const std::vector<Event>& events) {
-  std::vector<Holding> out;
+std::vector<RoleGrant> holdings_of(const std::vector<Event>& events) {
+  std::vector<RoleGrant> out;
   std::map<uint64_t, size_t> by_token;
   for (const Event& event : events) {
     if (event.kind == "holder") {
@@ -88,10 +88,10 @@
     } else if (event.kind == "vacant") {
       if (!out.empty() && out.back().end == 0) out.back().end = event.time;
     } else if (is_act(event)) {
-      const auto holding = by_token.find(event.token);
-      if (holding == by_token.end()) continue;
-      ++out[holding->second].acts;
-      out[holding->second].changed += event.changed ? 1 : 0;
+      const auto grant_held = by_token.find(event.token);
+      if (grant_held == by_token.end()) continue;
+      ++out[grant_held->second].acts;
+      out[grant_held->second].changed += event.changed ? 1 : 0;
     }
   }
   if (!out.empty() && out.back().end == 0) out.back().end = events.back().time;
@@ -122,9 +122,9 @@
   fs::remove(file);
 }
 
-void plot_holders(const fs::path& directory, const std::vector<Holding>& holdings) {
+void plot_holders(const fs::path& directory, const std::vector<RoleGrant>& holdings) {
   std::map<std::string, int> rows;
-  for (const Holding& h : holdings) rows.emplace(h.node, 0);
+  for (const RoleGrant& h : holdings) rows.emplace(h.node, 0);
   std::string tics;
   int row = 0;
   for (auto& [node, number] : rows) {
@@ -133,7 +133,7 @@
     tics += "'controller " + std::to_string(number) + "' " + std::to_string(number);
   }
   std::ofstream data(directory / "holders.dat");
-  for (const Holding& h : holdings) {
+  for (const RoleGrant& h : holdings) {
     data << h.begin << ' ' << rows[h.node] << ' ' << h.end - h.begin << " 0\n";
   }
   data.close();
@@ -176,15 +176,15 @@
   }
 }
 
-void fill_holdings(ctemplate::TemplateDictionary& page, const std::vector<Holding>& holdings) {
-  for (const Holding& holding : holdings) {
+void fill_holdings(ctemplate::TemplateDictionary& page, const std::vector<RoleGrant>& holdings) {
+  for (const RoleGrant& grant_held : holdings) {
     ctemplate::TemplateDictionary* row = page.AddSectionDictionary("HOLDING");
-    row->SetIntValue("TOKEN", static_cast<long>(holding.token));
-    row->SetValue("NODE", holding.node);
-    row->SetValue("BEGIN", seconds_text(holding.begin));
-    row->SetValue("LENGTH", seconds_text(holding.end - holding.begin));
-    row->SetIntValue("ACTS", static_cast<long>(holding.acts));
-    row->SetIntValue("CHANGED", static_cast<long>(holding.changed));
+    row->SetIntValue("TOKEN", static_cast<long>(grant_held.token));
+    row->SetValue("NODE", grant_held.node);
+    row->SetValue("BEGIN", seconds_text(grant_held.begin));
+    row->SetValue("LENGTH", seconds_text(grant_held.end - grant_held.begin));
+    row->SetIntValue("ACTS", static_cast<long>(grant_held.acts));
+    row->SetIntValue("CHANGED", static_cast<long>(grant_held.changed));
   }
 }
 
@@ -209,7 +209,7 @@
 )";
 
 void write_page(const fs::path& directory, const std::vector<Event>& events) {
-  const std::vector<Holding> holdings = holdings_of(events);
+  const std::vector<RoleGrant> holdings = holdings_of(events);
   const std::vector<Gap> gaps = gaps_of(events);
   plot_holders(directory, holdings);
   plot_gaps(directory, gaps);
