--- a/src/dunlinknot/cluster/ledger.cpp
+++ b/src/dunlinknot/cluster/allocation_store.cpp
@@ -1,4 +1,4 @@
-#include "dunlinknot/cluster/ledger.hpp"
+#include "dunlinknot/cluster/allocation_store.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -16,14 +16,15 @@
 
 }  // namespace
 
-Ledger::Ledger(LeaderContext& context, state::Client& state, Hooks hooks)
+AllocationStore::AllocationStore(LeaderContext& context, state::Client& state, Hooks hooks)
     : context_(context), state_(state), hooks_(std::move(hooks)) {}
 
-state::Guard Ledger::epoch_guard() const {
+state::Guard AllocationStore::epoch_guard() const {
   return {std::string(wire::kEpochKey), context_.epoch_mod_revision};
 }
 
-Task<bool> Ledger::list_all(uint64_t term, std::string prefix, Visit visit, Reading& reading) {
+Task<bool> AllocationStore::list_all(uint64_t term, std::string prefix, Visit visit,
+                                     Reading& reading) {
   std::string after;
   bool first = true;
   for (;;) {
@@ -43,7 +44,7 @@
   }
 }
 
-void Ledger::take_job(const state::Item& item) {
+void AllocationStore::take_job(const state::Item& item) {
   auto record = wire::read_job_record(item.value);
   if (!record || item.key != wire::job_key(record->spec.id)) {
     spdlog::error("the record {} cannot be read and is left alone", item.key);
@@ -56,7 +57,7 @@
       [&](LeaderState& p) { p.cluster.load_job(std::move(*record), item.mod_revision, now); });
 }
 
-Task<bool> Ledger::load(uint64_t term) {
+Task<bool> AllocationStore::load(uint64_t term) {
   const Visit job = [this](const state::Item& i) { take_job(i); };
   Reading jobs, rest;
   if (!co_await list_all(term, std::string(wire::kJobPrefix), job, jobs)) co_return false;
@@ -90,7 +91,7 @@
 }
 
 // A guard on a job's record failed, or nobody knows: read what stands.
-Task<void> Ledger::recheck_job(uint64_t term, std::string id) {
+Task<void> AllocationStore::recheck_job(uint64_t term, std::string id) {
   state::GetResult got = co_await state_.get(wire::job_key(id), kCommitTime);
   if (!context_.in_term(term) || got.outcome != Outcome::ok) co_return;
   if (got.found) {
@@ -113,7 +114,7 @@
   context_.follow_up(effects);
 }
 
-Task<bool> Ledger::relist_jobs(uint64_t term) {
+Task<bool> AllocationStore::relist_jobs(uint64_t term) {
   std::set<std::string> listed;
   const Visit visit = [&](const state::Item& i) {
     listed.insert(std::string(wire::after_prefix(i.key, wire::kJobPrefix)));
@@ -141,7 +142,7 @@
 // The job's record is gone: cancelled, or done. Ours are closed when their transaction is answered;
 // whoever comes first, the tasks of a finished job are all done, and stopping what is left of it
 // does no harm.
-Effects Ledger::close_over(LeaderState& p, const std::string& id) {
+Effects AllocationStore::close_over(LeaderState& p, const std::string& id) {
   const Job* j = p.cluster.job(id);
   if (!j) return {};
   if (!j->all_done()) spdlog::info("job {} was cancelled", id);
@@ -150,11 +151,11 @@
   return effects;
 }
 
-void Ledger::cancelled(const std::string& id) {
+void AllocationStore::cancelled(const std::string& id) {
   context_.follow_up(context_.leader_state.with([&](LeaderState& p) { return close_over(p, id); }));
 }
 
-Task<void> Ledger::watch_jobs(uint64_t term) {
+Task<void> AllocationStore::watch_jobs(uint64_t term) {
   while (context_.in_term(term)) {
     const Instant sent = context_.loop.now();
     state::WatchResult w =
--- a/src/dunlinknot/cluster/ledger.hpp
+++ b/src/dunlinknot/cluster/allocation_store.hpp
@@ -13,7 +13,7 @@
 
 namespace dunlinknot::cluster {
 
-class Ledger {
+class AllocationStore {
  public:
   struct Hooks {
     std::function<void(std::string_view why)> deposed;  // a guard on `epoch` failed
@@ -25,7 +25,7 @@
     // Such a removal, sent at `sent` by the clock that counts suspended time, was answered.
     std::function<void(const state::TxnResult&, Instant sent)> cleanup_result;
   };
-  Ledger(LeaderContext& context, state::Client& state, Hooks hooks);
+  AllocationStore(LeaderContext& context, state::Client& state, Hooks hooks);
 
   // Reads everything a new leader needs; false when the term ended meanwhile.
   Task<bool> load(uint64_t term);
--- a/src/dunlinknot/cluster/ledger_machines.cpp
+++ b/src/dunlinknot/cluster/allocation_store_machines.cpp
@@ -1,8 +1,8 @@
-// The ledger's machine records: allocations are durable before their `run` goes out.
+// The allocation store's machine records: allocations are durable before their `run` goes out.
 #include <algorithm>
 #include <set>
 
-#include "dunlinknot/cluster/ledger.hpp"
+#include "dunlinknot/cluster/allocation_store.hpp"
 
 namespace dunlinknot::cluster {
 
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-Task<void> Ledger::store_machines(uint64_t term) {
+Task<void> AllocationStore::store_machines(uint64_t term) {
   Instant next_trailing = context_.loop.now() + kTrailing;
   while (context_.in_term(term)) {
     (void)co_await context_.store_machines.wait_until(next_trailing);
@@ -35,7 +35,7 @@
 }
 
 // Machines whose record may have been changed by a transaction with an unknown outcome.
-Task<void> Ledger::refresh_machines(uint64_t term) {
+Task<void> AllocationStore::refresh_machines(uint64_t term) {
   mod_revisions_unknown_ = false;
   std::vector<std::string> ids = context_.leader_state.with([](LeaderState& p) {
     std::vector<std::string> out;
@@ -64,9 +64,9 @@
   }
 }
 
-// The ledger keeps to what is left of the state service's budget, with a reserve for the users'
-// requests at this node: else the allocations of a large cluster crowd submissions out.
-Task<void> Ledger::await_budget(uint64_t term, double writes) {
+// The allocation store keeps to what is left of the state service's budget, with a reserve for the
+// users' requests at this node: else the allocations of a large cluster crowd submissions out.
+Task<void> AllocationStore::await_budget(uint64_t term, double writes) {
   const double burst = state_.write_burst();
   const double want = std::min(writes, burst / 4) + burst * kApiReserve;
   while (context_.in_term(term) && state_.write_level() < want) {
@@ -92,14 +92,14 @@
 }  // namespace
 
 // How many more guards the transaction takes, beside that on a machine's record.
-size_t Ledger::guards_left(const MachineBatch& batch) const {
+size_t AllocationStore::guards_left(const MachineBatch& batch) const {
   const size_t most = max_ops() * kGuardsPerWrite;
   const size_t taken = batch.txn.guards.size() + batch.jobs.size() + 1;
   return most > taken ? most - taken : 0;
 }
 
 // Adds the machine's record to the transaction; false when it does not fit into it any more.
-bool Ledger::add_machine_record(MachineBatch& batch, Cluster& cluster, Machine& h) const {
+bool AllocationStore::add_machine_record(MachineBatch& batch, Cluster& cluster, Machine& h) const {
   // A record that another version stored large has to shrink first, as what is allocated there
   // ends. What was to be added goes elsewhere. The larger record that stands allocates too much,
   // never too little (safety 1).
@@ -139,7 +139,8 @@
 
 // The records that wait to be written, as many as one transaction takes; with `trailing`, also
 // those that only shrank.
-Ledger::MachineBatch Ledger::collect_machines(Cluster& cluster, bool trailing) const {
+AllocationStore::MachineBatch AllocationStore::collect_machines(Cluster& cluster,
+                                                                bool trailing) const {
   MachineBatch batch;
   batch.txn.guards.push_back(epoch_guard());
   const auto full = [&] {
@@ -176,8 +177,9 @@
 
 // What the transaction's result says of the records and jobs that it was about. Adds the jobs whose
 // record was not what the leader took it for to `recheck`.
-Effects Ledger::take_machines_result(Cluster& cluster, const MachineBatch& batch,
-                                     const state::TxnResult& r, std::vector<std::string>& recheck) {
+Effects AllocationStore::take_machines_result(Cluster& cluster, const MachineBatch& batch,
+                                              const state::TxnResult& r,
+                                              std::vector<std::string>& recheck) {
   Effects effects;
   for (const auto& w : batch.machines) {
     Machine* h = cluster.find_machine(w.id);
@@ -205,7 +207,7 @@
 }
 
 // Returns whether there may be more to do at once.
-Task<bool> Ledger::store_some_machines(uint64_t term, bool trailing) {
+Task<bool> AllocationStore::store_some_machines(uint64_t term, bool trailing) {
   if (mod_revisions_unknown_) {
     co_await refresh_machines(term);
     if (!context_.in_term(term)) co_return false;
@@ -236,7 +238,7 @@
   co_return true;
 }
 
-Task<bool> Ledger::delete_some_records(uint64_t term) {
+Task<bool> AllocationStore::delete_some_records(uint64_t term) {
   auto dead =
       context_.leader_state.with([](LeaderState& p) { return p.cluster.take_dead_records(); });
   for (auto& d : dead) garbage_.push_back(std::move(d));
--- a/src/dunlinknot/cluster/ledger_progress.cpp
+++ b/src/dunlinknot/cluster/allocation_store_progress.cpp
@@ -1,8 +1,8 @@
-// The ledger's records of progress: completed tasks by chunk, and the ends of jobs.
+// The allocation store's records of progress: completed tasks by chunk, and the ends of jobs.
 #include <algorithm>
 #include <set>
 
-#include "dunlinknot/cluster/ledger.hpp"
+#include "dunlinknot/cluster/allocation_store.hpp"
 
 namespace dunlinknot::cluster {
 
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-Task<void> Ledger::store_done(uint64_t term) {
+Task<void> AllocationStore::store_done(uint64_t term) {
   while (context_.in_term(term)) {
     (void)co_await context_.store_done.wait_until(
         std::max(next_partial_, context_.loop.now() + std::chrono::seconds(1)));
@@ -24,7 +24,7 @@
   }
 }
 
-void Ledger::add_end(ProgressBatch& batch, const Job& j) const {
+void AllocationStore::add_end(ProgressBatch& batch, const Job& j) const {
   const std::string& id = j.spec().id;
   batch.jobs.insert(id);
   batch.txn.guards.push_back({wire::job_key(id), j.mod_revision});
@@ -34,7 +34,7 @@
   batch.finished.push_back({id, j.spec().tasks});
 }
 
-void Ledger::add_chunks(ProgressBatch& batch, const Job& j) const {
+void AllocationStore::add_chunks(ProgressBatch& batch, const Job& j) const {
   const std::string& id = j.spec().id;
   batch.jobs.insert(id);
   batch.txn.guards.push_back({wire::job_key(id), j.mod_revision});
@@ -52,7 +52,8 @@
 
 // The ends of jobs and, with `partial`, how far open jobs are: those after the job that was the
 // last to be written first, so that all have their turn.
-Ledger::ProgressBatch Ledger::collect_progress(const Cluster& cluster, bool partial) const {
+AllocationStore::ProgressBatch AllocationStore::collect_progress(const Cluster& cluster,
+                                                                 bool partial) const {
   constexpr size_t kWritesOfEnd = 2;
   ProgressBatch batch;
   batch.txn.guards.push_back(epoch_guard());
@@ -75,7 +76,7 @@
 }
 
 // The batch is durable.
-void Ledger::progress_stored(const ProgressBatch& batch, uint64_t revision) {
+void AllocationStore::progress_stored(const ProgressBatch& batch, uint64_t revision) {
   Effects effects;
   context_.leader_state.with([&](LeaderState& p) {
     for (const auto& c : batch.chunks) {
@@ -92,8 +93,8 @@
 
 // Unknown, or a mod revision was not what we thought: reads back what stands. False when the term
 // ended.
-Task<bool> Ledger::reread_progress(uint64_t term, const ProgressBatch& batch,
-                                   const state::TxnResult& r) {
+Task<bool> AllocationStore::reread_progress(uint64_t term, const ProgressBatch& batch,
+                                            const state::TxnResult& r) {
   for (const auto& c : batch.chunks) {
     const std::string key = wire::done_key(c.job, c.chunk);
     if (r.outcome == Outcome::ok && !r.guard_failed(key)) continue;
@@ -127,7 +128,7 @@
 // The progress of open jobs keeps to its share of the budget, batch by batch. Found with the state
 // service's limits lowered: transactions had become so small that the first jobs had new progress
 // before the last were reached, and allocations were not written for half a minute.
-void Ledger::pause_partial(const ProgressBatch& batch) {
+void AllocationStore::pause_partial(const ProgressBatch& batch) {
   if (batch.chunks.empty()) return;
   last_partial_job_ = batch.chunks.back().job;
   const double rate = state_.write_burst() * kPartialShare;
@@ -136,7 +137,7 @@
 }
 
 // Returns whether there may be more to do at once.
-Task<bool> Ledger::store_some_done(uint64_t term) {
+Task<bool> AllocationStore::store_some_done(uint64_t term) {
   // A job's end is told at once. How far an open job is need not be: until it is written down the
   // workers keep what they completed. On a large cluster one write a task would eat the budget.
   const bool partial = context_.loop.now() >= next_partial_;
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -29,8 +29,8 @@
 }  // namespace
 
 // Calls on the users' behalf, one socket each at most; links with the other controllers, both ways;
-// the rest is for stops, the cloud and the ledger. On a large quota all else is for workers and
-// users: a leader holds a connection of every machine.
+// the rest is for stops, the cloud and the allocation store. On a large quota all else is for
+// workers and users: a leader holds a connection of every machine.
 size_t server_connections(const settings::Platform& platform, const settings::Operator& op) {
   const size_t own = op.max_submissions + op.max_polls + 2 * platform.peers.size() + kOtherCalls;
   const size_t most = platform.max_connections;
@@ -65,18 +65,18 @@
             [this](const std::string& id) { told_cancelled(id); }),
       workers_(
           context_, elector_, [this] { return may_renew(); }, transport),
-      ledger_(context_, state_,
-              {[this](std::string_view why) {
-                 elector_.heard_of(context_.epoch + 1, std::nullopt, why);
-               },
-               [this](const std::string& id, uint32_t tasks) {
-                 jobs_.finals().put(id, {false, tasks});
-               },
-               [this](Instant sent) { elector_.saw_cancellations(sent); },
-               [this] { return cleanup_guards(); },
-               [this](const state::TxnResult& result, Instant sent) {
-                 take_cleanup_result(result, sent);
-               }}),
+      allocation_store_(context_, state_,
+                        {[this](std::string_view why) {
+                           elector_.heard_of(context_.epoch + 1, std::nullopt, why);
+                         },
+                         [this](const std::string& id, uint32_t tasks) {
+                           jobs_.finals().put(id, {false, tasks});
+                         },
+                         [this](Instant sent) { elector_.saw_cancellations(sent); },
+                         [this] { return cleanup_guards(); },
+                         [this](const state::TxnResult& result, Instant sent) {
+                           take_cleanup_result(result, sent);
+                         }}),
       roles_(op.roles ? std::make_unique<roles::SingletonRoles>(context_, state_) : nullptr),
       autoscaler_(context_, cloud_, roles_.get()) {}
 
@@ -167,7 +167,7 @@
 // nodes, this one too, have told of none that the cluster state lacks stands in for a read.
 bool Daemon::may_renew() const {
   if (elector_.may_renew(std::nullopt)) return true;
-  const uint64_t revision = ledger_.jobs_revision();
+  const uint64_t revision = allocation_store_.jobs_revision();
   if (jobs_.cancel_revision() > revision) return false;
   return elector_.may_renew(peers_.vouched_until(elector_.evidence(), revision));
 }
@@ -183,7 +183,7 @@
 }
 
 void Daemon::heard_cancelled(const std::string& id) {
-  if (elector_.leading() && context_.loaded) ledger_.cancelled(id);
+  if (elector_.leading() && context_.loaded) allocation_store_.cancelled(id);
 }
 
 wire::peer::Progress Daemon::progress() {
@@ -286,7 +286,7 @@
 
 Task<void> Daemon::take_over(uint64_t term) {
   const Instant started = loop_.now();
-  if (!co_await ledger_.load(term)) co_return;
+  if (!co_await allocation_store_.load(term)) co_return;
   const bool roles_acquired = co_await autoscaler_.acquire_roles(term);
   if (!roles_acquired) co_return;
   context_.loaded = true;
@@ -298,9 +298,9 @@
       "take-over of epoch {} done in {} ms: {} open jobs, {} machines with allocations, {} "
       "allocations",
       context_.epoch, to_millis(loop_.now() - started).count(), jobs, machines, allocations);
-  loop_.spawn(ledger_.watch_jobs(term));
-  loop_.spawn(ledger_.store_machines(term));
-  loop_.spawn(ledger_.store_done(term));
+  loop_.spawn(allocation_store_.watch_jobs(term));
+  loop_.spawn(allocation_store_.store_machines(term));
+  loop_.spawn(allocation_store_.store_done(term));
   loop_.spawn(workers_.call_stops(term));
   loop_.spawn(workers_.release_responses(term));
   loop_.spawn(autoscaler_.work(term));
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -4,7 +4,7 @@
 
 #include "dunlinknot/autoscaler/autoscaler.hpp"
 #include "dunlinknot/cloud/client.hpp"
-#include "dunlinknot/cluster/ledger.hpp"
+#include "dunlinknot/cluster/allocation_store.hpp"
 #include "dunlinknot/http/server.hpp"
 #include "dunlinknot/jobs/request_handler.hpp"
 #include "dunlinknot/leadership/elector.hpp"
@@ -63,7 +63,7 @@
   leadership::Peers peers_;
   jobs::RequestHandler jobs_;
   workers::ReportHandler workers_;
-  cluster::Ledger ledger_;
+  cluster::AllocationStore allocation_store_;
   std::unique_ptr<roles::SingletonRoles> roles_;  // null when they are off
   autoscaler::Autoscaler autoscaler_;
   std::vector<MachineType> catalog_;
--- a/src/dunlinknot/state/client.hpp
+++ b/src/dunlinknot/state/client.hpp
@@ -85,8 +85,8 @@
 };
 
 // How a call may use the budget. `essential` calls (leases, leadership) go through in any case.
-// `user` calls (submissions, cancellations) have a share of their own, which the ledger's writes do
-// not use up.
+// `user` calls (submissions, cancellations) have a share of their own, which the allocation store's
+// writes do not use up.
 enum class Importance { normal, user, essential };
 
 class Client {
--- a/tests/scenario_machines_test.cpp
+++ b/tests/scenario_machines_test.cpp
@@ -1,4 +1,4 @@
-// Machines and the ledger amid failures, against scripted peers.
+// Machines and the allocation store amid failures, against scripted peers.
 #include <gtest/gtest.h>
 
 #include "support.hpp"
@@ -74,7 +74,7 @@
   EXPECT_EQ(s.copies({"run-000001", 1}), 0u);
 }
 
-TEST(Ledger, AllocationsSurviveLostRepliesAndLateTransactions) {
+TEST(AllocationStore, AllocationsSurviveLostRepliesAndLateTransactions) {
   for (const Fate f : {Fate::lose_reply, Fate::lose_request, Fate::apply_late}) {
     Site s(1);
     s.run_for(seconds(2));
@@ -90,7 +90,7 @@
   }
 }
 
-TEST(Ledger, CompletionsSurviveLostRepliesAndLateTransactions) {
+TEST(AllocationStore, CompletionsSurviveLostRepliesAndLateTransactions) {
   for (const Fate f : {Fate::lose_reply, Fate::lose_request, Fate::apply_late}) {
     Site s(1);
     s.run_for(seconds(2));
@@ -106,7 +106,7 @@
   }
 }
 
-TEST(Ledger, ALateTransactionOfAFormerLeaderFails) {
+TEST(AllocationStore, ALateTransactionOfAFormerLeaderFails) {
   Site s(3);
   s.run_for(seconds(2));
   s.submit(job("run-000001", 2));
