--- a/src/dunlinknot/autoscaler/scale_out.cpp
+++ b/src/dunlinknot/autoscaler/scale_out.cpp
@@ -88,7 +88,7 @@
 std::string ScaleOut::next_name() {
   const std::string number = std::to_string(++counter_);
   if (!roles_) return "h-" + std::to_string(context_.epoch) + "-" + number;
-  return "d-" + std::to_string(roles_->holder.token(Role::scale_out)) + "-" + number;
+  return "d-" + std::to_string(roles_->holder.fencing_token(Role::scale_out)) + "-" + number;
 }
 
 void ScaleOut::order(const std::vector<scheduler::CapacityRequest>& capacity_requests) {
--- a/src/dunlinknot/cluster/allocations.cpp
+++ b/src/dunlinknot/cluster/allocations.cpp
@@ -319,7 +319,7 @@
   for (const auto& id : stop_machines_) {
     Machine* h = find_machine(id);
     if (!h || h->address.empty() || !h->heard || h->lost) continue;
-    StopCall call{h->id, h->address, h->session, {}};
+    StopCall call{h->id, h->address, h->incarnation, {}};
     for (const Allocation& b : h->allocations) {
       if (b.stopping() && !b.unsent()) {
         call.commands.push_back({Command::Op::stop, b.task, b.attempt, b.grace});
--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -133,7 +133,7 @@
 }
 
 // Safety 1: a new leader allocates everything that any former leader allocated. What of it really
-// runs is for the workers to say, under our token.
+// runs is for the workers to say, under our fencing token.
 void Cluster::load_machine(const std::string& id, const wire::MachineRecord& record,
                            uint64_t mod_revision, Instant now) {
   Machine& h = register_machine(id, record.type, record.zone, record.spot, now);
@@ -263,8 +263,8 @@
 }
 
 Instant Cluster::silent_until(const Machine& h) const {
-  // Safety 1: a worker that never bore our token may still be answered by the leader before us,
-  // until that one's window is over.
+  // Safety 1: a worker that never bore our fencing token may still be answered by the leader before
+  // us, until that one's window is over.
   return h.ours ? h.last_answered : std::max(h.last_answered, term_since_ + blind_);
 }
 
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -59,7 +59,7 @@
   Priority priority = Priority::low;
   size_t record_group_size = 0;  // what its job adds to the machine's record, beside the tasks
   Phase phase = Phase::planned;
-  uint64_t sent_session = 0;  // of the report that was answered with the `run`
+  uint64_t sent_incarnation = 0;  // of the report that was answered with the `run`
   TaskState state = TaskState::fetching;
   Instant placed_at{};
   Instant running_since{};  // zero: not seen running
@@ -92,14 +92,16 @@
 
   // What its worker told.
   bool heard = false;
-  uint64_t session = 0;
+  uint64_t incarnation = 0;
   uint64_t seq = 0;
-  bool ours = false;  // a report bore our token: older tokens are refused there from then on
-  bool lost = false;  // silent beyond its lease; back only with a later session
+  bool ours = false;  // a report bore our fencing token: older fencing tokens are refused there
+                      // from then on
+  bool lost = false;  // silent beyond its lease; back only with a later incarnation
   Instant last_heard{};
   Instant last_answered{};
-  Instant session_since{};                      // when its worker's session was first heard of
-  uint64_t report_session = 0, report_seq = 0;  // of its last report; direct reports may be newer
+  Instant incarnation_since{};  // when its worker's incarnation was first heard of
+  uint64_t report_incarnation = 0,
+           report_seq = 0;  // of its last report; direct reports may be newer
 
   // Signs that its reports reach us and our answers do not reach it.
   uint32_t suspicions = 0;
@@ -178,7 +180,7 @@
 struct StopCall {
   std::string machine;
   std::string address;
-  uint64_t session = 0;
+  uint64_t incarnation = 0;
   std::vector<Command> commands;
 };
 
@@ -338,7 +340,7 @@
   void take_report(Machine& h, const WorkerReport& b, Instant now, bool complete, Effects& effects);
   void take_machine_state(Machine& h, const WorkerReport& b, Instant now, bool complete,
                           Effects& effects);
-  Effects end_allocations_before(Machine& h, uint64_t session, Instant now);
+  Effects end_allocations_before(Machine& h, uint64_t incarnation, Instant now);
   Allocation& allocate_orphan(Machine& h, const TaskReport& task, const Job* j, Instant now,
                               Effects& effects);
   bool welcome(const Machine& h, const Job& j, uint32_t index) const;
--- a/src/dunlinknot/cluster/failures.cpp
+++ b/src/dunlinknot/cluster/failures.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 // A report's arrival is no proof that answers get through. Runs that are sent again and again, and
-// sessions that end while we answer, tell: such a machine would swallow work for ever.
+// incarnations that end while we answer, tell: such a machine would swallow work for ever.
 void Cluster::suspect(Machine& h, Instant now) {
   if (h.suspicions == 0 || now - h.last_suspicion > lease_ * 2) {
     h.suspicions = 0;
@@ -30,11 +30,11 @@
   spdlog::info("machine {}: its reports come, but our answers do not reach it", h.id);
 }
 
-// A session that outlives a lease since the last sign shows that our answers renew it. Found by
+// A incarnation that outlives a lease since the last sign shows that our answers renew it. Found by
 // random scenarios: machines that had been deaf for a while got no `run` that they could obey, were
 // too many to be deleted, and the only job that fitted them waited for good.
 void Cluster::clear_suspicion(Machine& h, Instant now) const {
-  if (!h.unreachable || now - std::max(h.session_since, h.last_suspicion) < lease_) return;
+  if (!h.unreachable || now - std::max(h.incarnation_since, h.last_suspicion) < lease_) return;
   h.suspicions = 0;
   h.unreachable = false;
   spdlog::info("machine {}: our answers reach it again", h.id);
--- a/src/dunlinknot/cluster/reports.cpp
+++ b/src/dunlinknot/cluster/reports.cpp
@@ -23,7 +23,7 @@
 
 bool Cluster::fresh(Machine& h, const WorkerReport& b) const {
   if (!h.heard) return true;
-  return std::pair(b.session, b.seq) > std::pair(h.session, h.seq);
+  return std::pair(b.incarnation, b.seq) > std::pair(h.incarnation, h.seq);
 }
 
 ReportResponse Cluster::on_report(const WorkerReport& b, Instant now, bool may_start,
@@ -35,7 +35,7 @@
 
 ReportResponse Cluster::hear(const WorkerReport& b, Instant now, bool may_start, Effects& effects) {
   ReportResponse answer;
-  if (b.token > epoch_) {
+  if (b.fencing_token > epoch_) {
     answer.kind = ReportResponse::Kind::superseded;
     return answer;
   }
@@ -45,18 +45,18 @@
     return answer;
   }
   Machine& h = register_machine(b.machine, b.type, b.zone, b.spot, now);
-  if (h.lost && b.session <= h.session) {
+  if (h.lost && b.incarnation <= h.incarnation) {
     answer.kind = ReportResponse::Kind::stale;
     return answer;
   }
-  const std::pair at(b.session, b.seq);
-  if (h.heard && at <= std::pair(h.report_session, h.report_seq)) {
+  const std::pair at(b.incarnation, b.seq);
+  if (h.heard && at <= std::pair(h.report_incarnation, h.report_seq)) {
     // A copy of a report that was answered already, or of an older one: nobody waits for the
     // answer. It frees nothing, and it is no sign of life.
     answer.kind = ReportResponse::Kind::stale;
     return answer;
   }
-  std::tie(h.report_session, h.report_seq) = at;
+  std::tie(h.report_incarnation, h.report_seq) = at;
   if (!fresh(h, b)) {
     // Older than a report already seen (a direct call's answer may overtake a report): its worker
     // may still be waiting, so its lease is renewed, but nothing is read from it and nothing
@@ -88,7 +88,7 @@
   ReportResponse answer;
   Machine* known = find_machine(b.machine);
   if (!known || known->lost ||
-      std::pair(known->report_session, known->report_seq) != std::pair(b.session, b.seq)) {
+      std::pair(known->report_incarnation, known->report_seq) != std::pair(b.incarnation, b.seq)) {
     // Gone meanwhile, or its worker gave this answer up and reported anew.
     answer.kind = ReportResponse::Kind::stale;
     return answer;
@@ -119,7 +119,7 @@
       if (!sendable(k) || out.size() >= kMaxCommands) continue;
       out.push_back({Command::Op::start, k.task, k.attempt, Seconds(0)});
       k.phase = Phase::sent;
-      k.sent_session = b.session;
+      k.sent_incarnation = b.incarnation;
     }
   }
   h.last_answered = now;
@@ -129,7 +129,7 @@
 Effects Cluster::on_direct_report(const WorkerReport& b, Instant now) {
   Effects effects;
   Machine* h = find_machine(b.machine);
-  if (!h || b.token > epoch_ || !fresh(*h, b) || h->lost) return effects;
+  if (!h || b.fencing_token > epoch_ || !fresh(*h, b) || h->lost) return effects;
   take_report(*h, b, now, false, effects);
   return effects;
 }
@@ -137,7 +137,7 @@
 // What the worker tells of itself; its tasks are read by the caller.
 void Cluster::take_machine_state(Machine& h, const WorkerReport& b, Instant now, bool complete,
                                  Effects& effects) {
-  if (!h.heard || b.session != h.session) h.session_since = now;
+  if (!h.heard || b.incarnation != h.incarnation) h.incarnation_since = now;
   if (!h.heard) {
     h.idle_since = now;
     effects.schedule = true;
@@ -146,10 +146,10 @@
   h.heard = true;
   h.lost = false;
   h.address = b.address;
-  h.session = b.session;
+  h.incarnation = b.incarnation;
   h.seq = b.seq;
   if (complete) h.last_heard = now;
-  if (b.token == epoch_) h.ours = true;
+  if (b.fencing_token == epoch_) h.ours = true;
   const std::optional<Instant> recall =
       b.notice ? std::optional(now + to_nanos(*b.notice)) : std::nullopt;
   if (recall.has_value() != h.recall_at.has_value()) effects.schedule = true;
@@ -160,14 +160,15 @@
 }
 
 // The worker killed all it had when its lease ran out; a `run` from before is dropped there.
-Effects Cluster::end_allocations_before(Machine& h, uint64_t session, Instant now) {
+Effects Cluster::end_allocations_before(Machine& h, uint64_t incarnation, Instant now) {
   Effects effects;
   h.images.clear();
   for (size_t i = h.allocations.size(); i-- > 0;) {
     if (i >= h.allocations.size()) continue;
     const Allocation& allocation = h.allocations[i];
-    const bool from_before = allocation.phase == Phase::seen ||
-                             (allocation.phase == Phase::sent && allocation.sent_session < session);
+    const bool from_before =
+        allocation.phase == Phase::seen ||
+        (allocation.phase == Phase::sent && allocation.sent_incarnation < incarnation);
     if (from_before) effects |= end_allocation(h, i, now);
   }
   return effects;
@@ -240,9 +241,9 @@
 }
 
 // Safety 1: what a complete report does not list is gone, provided that nothing may still start it:
-// the report bears our token (an older leader's `run` is refused from now on) and was sent after
-// the response that carried ours (one report is in flight at a time, late responses are dropped).
-// Returns whether the response with some `run` was lost.
+// the report bears our fencing token (an older leader's `run` is refused from now on) and was sent
+// after the response that carried ours (one report is in flight at a time, late responses are
+// dropped). Returns whether the response with some `run` was lost.
 bool Cluster::end_unlisted(Machine& h, const WorkerReport& b, Instant now, Effects& effects) {
   bool missed_us = false;
   for (size_t i = h.allocations.size(); i-- > 0;) {
@@ -254,7 +255,7 @@
              t.state != TaskState::exited;
     };
     if (find_where(b.tasks, is_listed)) continue;
-    if (b.token != epoch_) continue;
+    if (b.fencing_token != epoch_) continue;
     if (allocation.phase == Phase::sent && !allocation.stopping() && job(allocation.task.job)) {
       allocation.phase = Phase::durable;  // said again in the next response
       missed_us = true;
@@ -267,15 +268,15 @@
 
 void Cluster::take_report(Machine& h, const WorkerReport& b, Instant now, bool complete,
                           Effects& effects) {
-  const bool new_session = h.heard && b.session > h.session;
+  const bool new_incarnation = h.heard && b.incarnation > h.incarnation;
   // Its lease ran out although we answered it in time: either our answers do not get there, or it
   // was started anew.
-  bool missed_us = complete && new_session && h.ours && now - h.last_answered < lease_ / 2;
+  bool missed_us = complete && new_incarnation && h.ours && now - h.last_answered < lease_ / 2;
   bool obeyed = false;
   take_machine_state(h, b, now, complete, effects);
-  if (new_session) {
+  if (new_incarnation) {
     effects.schedule = true;
-    effects |= end_allocations_before(h, b.session, now);
+    effects |= end_allocations_before(h, b.incarnation, now);
   }
   for (const auto& t : b.tasks) {
     if (t.state == TaskState::exited) {
--- a/src/dunlinknot/leadership/elector.hpp
+++ b/src/dunlinknot/leadership/elector.hpp
@@ -1,5 +1,5 @@
 // Who leads. The key `leader` is bound to a short lease; taking it also bumps `epoch`, and the
-// epoch's number is the token the workers see. Every transaction of a leader guards the mod
+// epoch's number is the fencing token the workers see. Every transaction of a leader guards the mod
 // revision of `epoch`, so whatever a former leader still has in flight fails.
 #pragma once
 #include <algorithm>
@@ -44,7 +44,7 @@
   uint64_t known_epoch() const { return known_epoch_; }
   const std::optional<std::string>& known_leader() const { return known_leader_; }
 
-  // News of a leadership from elsewhere: a peer, a worker's token, a failed guard.
+  // News of a leadership from elsewhere: a peer, a worker's fencing token, a failed guard.
   void heard_of(uint64_t epoch, std::optional<std::string> leader, std::string_view from);
   // Gives the leadership up so that another node may take it; stays out of the race for a while.
   void resign(std::string_view why);
--- a/src/dunlinknot/roles/intent_log.cpp
+++ b/src/dunlinknot/roles/intent_log.cpp
@@ -67,7 +67,7 @@
 Task<bool> IntentLog::record_scale_out(uint64_t term, std::vector<ScaleOutIntent> intents) {
   std::vector<Entry> entries;
   for (ScaleOutIntent& intent : intents) {
-    intent.token = holder_.token(Role::scale_out);
+    intent.fencing_token = holder_.fencing_token(Role::scale_out);
     entries.push_back({scale_out_key(intent.request), write_scale_out_intent(intent)});
   }
   const bool durable = co_await record(term, Role::scale_out, std::move(entries));
@@ -77,7 +77,7 @@
 Task<bool> IntentLog::record_scale_in(uint64_t term, std::vector<ScaleInIntent> intents) {
   std::vector<Entry> entries;
   for (ScaleInIntent& intent : intents) {
-    intent.token = holder_.token(Role::scale_in);
+    intent.fencing_token = holder_.fencing_token(Role::scale_in);
     entries.push_back({scale_in_key(intent.machine), write_scale_in_intent(intent)});
   }
   const bool durable = co_await record(term, Role::scale_in, std::move(entries));
--- a/src/dunlinknot/roles/overview.cpp
+++ b/src/dunlinknot/roles/overview.cpp
@@ -77,17 +77,18 @@
 void print(std::ostream& out, const Overview& overview) {
   for (const RoleStatus& line : overview.holders) {
     std::string who = "nobody";
-    if (line.holder) who = fmt::format("{} under token {}", line.holder->node, line.holder->token);
+    if (line.holder)
+      who = fmt::format("{} under token {}", line.holder->node, line.holder->fencing_token);
     if (line.error) who = fmt::format("unreadable: {}", text(*line.error));
     out << fmt::format("{:<8} {}\n", name(line.role), who);
   }
   for (const ScaleOutIntent& intent : overview.scale_out) {
     out << fmt::format("open: rent {} x {} {} in {} as {} (token {}) for {}\n", intent.count,
                        intent.spot ? "spot" : "ordinary", intent.type, intent.zone, intent.request,
-                       intent.token, intent.job);
+                       intent.fencing_token, intent.job);
   }
   for (const ScaleInIntent& intent : overview.scale_in) {
-    out << fmt::format("open: return {} (token {}): {}\n", intent.machine, intent.token,
+    out << fmt::format("open: return {} (token {}): {}\n", intent.machine, intent.fencing_token,
                        intent.reason);
   }
   for (const std::string& key : overview.unreadable) {
--- a/src/dunlinknot/roles/role_holder.cpp
+++ b/src/dunlinknot/roles/role_holder.cpp
@@ -52,8 +52,8 @@
   }
   // Our own new mod revision came between (settle_writes).
   if (sent < rewritten_at_[static_cast<size_t>(role)]) return;
-  spdlog::info("singleton roles: {} under token {} is lost: its key was changed or removed",
-               name(role), token(role));
+  spdlog::info("singleton roles: {} under fencing token {} is lost: its key was changed or removed",
+               name(role), fencing_token(role));
   lease(role).lose();
 }
 
@@ -62,16 +62,16 @@
   const state::ListResult list = co_await state_.list(std::string(kRolePrefix), "", kCallTime);
   if (!context_.in_term(term) || list.outcome != Outcome::ok || list.more) co_return std::nullopt;
   for (const state::Item& item : list.items) {
-    if (item.key == kTokenKey) {
-      const auto read = read_token(item.value);
+    if (item.key == kFencingTokenKey) {
+      const auto read = read_fencing_token(item.value);
       if (const auto* error = std::get_if<RecordError>(&read)) {
-        // Without it no token is known to be higher than all before.
+        // Without it no fencing token is known to be higher than all before.
         spdlog::error("singleton roles: {} is left alone, and no role is acquired: {}", item.key,
                       text(*error));
         halted_ = true;
         co_return std::nullopt;
       }
-      mod_revisions.token = std::get<uint64_t>(read);
+      mod_revisions.fencing_token = std::get<uint64_t>(read);
       mod_revisions.token_mod_revision = item.mod_revision;
     }
     for (const Role role : kAllRoles) {
@@ -82,15 +82,16 @@
   co_return mod_revisions;
 }
 
-// Takes one role under the next token. False when that is not known to have worked.
+// Takes one role under the next fencing token. False when that is not known to have worked.
 Task<bool> RoleHolder::take(uint64_t term, Role role, ModRevisions& mod_revisions) {
-  const uint64_t token = mod_revisions.token + 1;
+  const uint64_t fencing_token = mod_revisions.fencing_token + 1;
   state::Txn txn;
   txn.guards.push_back(epoch_guard(context_));
   txn.guards.push_back({role_key(role), mod_revisions.role[static_cast<size_t>(role)]});
-  txn.guards.push_back({std::string(kTokenKey), mod_revisions.token_mod_revision});
-  txn.writes.push_back({role_key(role), write_holder({context_.platform.node, token}), grant_});
-  txn.writes.push_back({std::string(kTokenKey), write_token(token), 0});
+  txn.guards.push_back({std::string(kFencingTokenKey), mod_revisions.token_mod_revision});
+  txn.writes.push_back(
+      {role_key(role), write_holder({context_.platform.node, fencing_token}), grant_});
+  txn.writes.push_back({std::string(kFencingTokenKey), write_fencing_token(fencing_token), 0});
   Instant sent = context_.loop.boot_now();
   const state::TxnResult result =
       co_await state_.commit(std::move(txn), kCallTime, state::Importance::essential);
@@ -99,28 +100,29 @@
   if (!result.applied) {
     if (result.outcome != Outcome::unknown) co_return false;
     sent = context_.loop.boot_now();
-    const std::optional<uint64_t> own = co_await own_mod_revision(term, role, token);
+    const std::optional<uint64_t> own = co_await own_mod_revision(term, role, fencing_token);
     if (!own) co_return false;
     mod_revision = *own;
   }
-  mod_revisions.token = token;
+  mod_revisions.fencing_token = fencing_token;
   mod_revisions.token_mod_revision = mod_revision;
-  lease(role).acquired({token, mod_revision}, sent);
+  lease(role).acquired({fencing_token, mod_revision}, sent);
   writes_unsettled_[static_cast<size_t>(role)] = false;
-  spdlog::info("singleton roles: {} held under token {}", name(role), token);
+  spdlog::info("singleton roles: {} held under fencing token {}", name(role), fencing_token);
   co_return true;
 }
 
-// The mod revision of the role's key if it is as this process wrote it under that token: the lease
-// bound to the key tells our own attempt from any other.
+// The mod revision of the role's key if it is as this process wrote it under that fencing token:
+// the lease bound to the key tells our own attempt from any other.
 Task<std::optional<uint64_t>> RoleHolder::own_mod_revision(uint64_t term, Role role,
-                                                           uint64_t token) {
+                                                           uint64_t fencing_token) {
   const state::GetResult got =
       co_await state_.get(role_key(role), kCallTime, state::Importance::essential);
   if (!context_.in_term(term) || got.outcome != Outcome::ok || !got.found) co_return std::nullopt;
   const auto read = read_holder(got.item.value);
   const auto* record = std::get_if<RoleHolderRecord>(&read);
-  if (!record || record->token != token || got.item.lease != grant_) co_return std::nullopt;
+  if (!record || record->fencing_token != fencing_token || got.item.lease != grant_)
+    co_return std::nullopt;
   co_return got.item.mod_revision;
 }
 
@@ -132,7 +134,7 @@
   state::Txn txn;
   txn.guards = guards(role);
   txn.writes.push_back(
-      {role_key(role), write_holder({context_.platform.node, before.token}), grant_});
+      {role_key(role), write_holder({context_.platform.node, before.fencing_token}), grant_});
   const Instant sent = context_.loop.boot_now();
   const state::TxnResult result =
       co_await state_.commit(std::move(txn), kCallTime, state::Importance::essential);
@@ -141,10 +143,10 @@
   std::optional<uint64_t> mod_revision;
   if (result.applied) mod_revision = result.revision;
   if (result.outcome == Outcome::unknown)
-    mod_revision = co_await own_mod_revision(term, role, before.token);
+    mod_revision = co_await own_mod_revision(term, role, before.fencing_token);
   // An unchanged mod revision: this transaction, too, may yet be carried out.
   if (!mod_revision || *mod_revision == before.mod_revision || !may_act(role)) co_return false;
-  lease(role).acquired({before.token, *mod_revision}, sent);
+  lease(role).acquired({before.fencing_token, *mod_revision}, sent);
   rewritten_at_[static_cast<size_t>(role)] = context_.loop.boot_now();
   unsettled = false;
   co_return true;
--- a/src/dunlinknot/roles/role_holder.hpp
+++ b/src/dunlinknot/roles/role_holder.hpp
@@ -31,7 +31,7 @@
 
   bool may_act(Role role) const;
   LeaseState state(Role role) const;
-  uint64_t token(Role role) const { return lease(role).grant().token; }
+  uint64_t fencing_token(Role role) const { return lease(role).grant().fencing_token; }
   // What every transaction under the role has to guard.
   std::vector<state::Guard> guards(Role role) const;
   // What became of a transaction under the role: its guards may tell that it is lost.
@@ -45,12 +45,12 @@
   struct ModRevisions {  // of the singleton roles' keys, as they were read
     std::array<uint64_t, kAllRoles.size()> role{};
     uint64_t token_mod_revision = 0;
-    uint64_t token = 0;
+    uint64_t fencing_token = 0;
   };
   Task<bool> try_acquire(uint64_t term);
   Task<std::optional<ModRevisions>> read_mod_revisions(uint64_t term);
   Task<bool> take(uint64_t term, Role role, ModRevisions& mod_revisions);
-  Task<std::optional<uint64_t>> own_mod_revision(uint64_t term, Role role, uint64_t token);
+  Task<std::optional<uint64_t>> own_mod_revision(uint64_t term, Role role, uint64_t fencing_token);
   Task<bool> prove();
   bool all_held() const;
   RoleLease& lease(Role role) { return leases_[static_cast<size_t>(role)]; }
@@ -62,7 +62,7 @@
   std::array<bool, kAllRoles.size()> writes_unsettled_{};
   std::array<Instant, kAllRoles.size()>
       rewritten_at_{};   // when the key last had a new mod revision from us
-  bool halted_ = false;  // the record of the last token cannot be read
+  bool halted_ = false;  // the record of the last fencing token cannot be read
   uint64_t grant_ = 0;   // the state service's lease, to which the singleton roles' keys are bound
 };
 
--- a/src/dunlinknot/roles/role_lease.hpp
+++ b/src/dunlinknot/roles/role_lease.hpp
@@ -18,8 +18,8 @@
 };
 
 struct RoleGrant {
-  uint64_t token = 0;         // of this holding alone; later holdings have higher ones
-  uint64_t mod_revision = 0;  // of the role's key: every transaction under the role guards it
+  uint64_t fencing_token = 0;  // of this holding alone; later holdings have higher ones
+  uint64_t mod_revision = 0;   // of the role's key: every transaction under the role guards it
 };
 
 class RoleLease {
--- a/src/dunlinknot/roles/role_records.cpp
+++ b/src/dunlinknot/roles/role_records.cpp
@@ -21,7 +21,7 @@
   return key.starts_with(prefix) ? key.substr(prefix.size()) : std::string_view();
 }
 
-// Why a record cannot be taken as it is, if its version or token says so.
+// Why a record cannot be taken as it is, if its version or fencing token says so.
 std::optional<RecordError> check_version(View value) {
   const auto version = value["v"].count();
   if (!version || *version == 0) return RecordError::damaged;
@@ -54,7 +54,7 @@
 
 std::string write_holder(const RoleHolderRecord& record) {
   Writer w;
-  w.map(3).key("v").count(kRecordVersion).key("token").count(record.token);
+  w.map(3).key("v").count(kRecordVersion).key("token").count(record.fencing_token);
   w.key("node").text(record.node);
   return w.take();
 }
@@ -66,20 +66,20 @@
   return RoleHolderRecord{std::string(*node), *value["token"].count()};
 }
 
-std::string write_token(uint64_t token) {
+std::string write_fencing_token(uint64_t fencing_token) {
   Writer w;
-  w.map(2).key("v").count(kRecordVersion).key("token").count(token);
+  w.map(2).key("v").count(kRecordVersion).key("token").count(fencing_token);
   return w.take();
 }
 
-Read<uint64_t> read_token(View value) {
+Read<uint64_t> read_fencing_token(View value) {
   if (const auto error = check_version(value)) return *error;
   return *value["token"].count();
 }
 
 std::string write_scale_out_intent(const ScaleOutIntent& intent) {
   Writer w;
-  w.map(8).key("v").count(kRecordVersion).key("token").count(intent.token);
+  w.map(8).key("v").count(kRecordVersion).key("token").count(intent.fencing_token);
   w.key("request").text(intent.request).key("type").text(intent.type);
   w.key("zone").text(intent.zone).key("spot").flag(intent.spot);
   w.key("count").count(intent.count).key("job").text(intent.job);
@@ -104,13 +104,13 @@
   intent.spot = *spot;
   intent.count = static_cast<uint32_t>(*count);
   intent.job = value["job"].text().value_or("");
-  intent.token = *value["token"].count();
+  intent.fencing_token = *value["token"].count();
   return intent;
 }
 
 std::string write_scale_in_intent(const ScaleInIntent& intent) {
   Writer w;
-  w.map(4).key("v").count(kRecordVersion).key("token").count(intent.token);
+  w.map(4).key("v").count(kRecordVersion).key("token").count(intent.fencing_token);
   w.key("machine").text(intent.machine).key("reason").text(intent.reason);
   return w.take();
 }
--- a/src/dunlinknot/roles/role_records.hpp
+++ b/src/dunlinknot/roles/role_records.hpp
@@ -1,7 +1,7 @@
 // What the singleton roles keep in the state service:
 //
-//   duty/NAME         lease-bound: who holds the role, and under which token
-//   duty/token        the highest token given to any holding so far
+//   duty/NAME         lease-bound: who holds the role, and under which fencing token
+//   duty/fencing token        the highest fencing token given to any holding so far
 //   intent/rent/NAME  a launch that is decided and not settled
 //   intent/return/VM  a machine that is decided to be returned
 //
@@ -19,12 +19,12 @@
 
 inline constexpr uint64_t kRecordVersion = 1;
 inline constexpr std::string_view kRolePrefix = "duty/";
-inline constexpr std::string_view kTokenKey = "duty/token";
+inline constexpr std::string_view kFencingTokenKey = "duty/token";
 inline constexpr std::string_view kIntentPrefix = "intent/";
 
 struct RoleHolderRecord {
   std::string node;
-  uint64_t token = 0;
+  uint64_t fencing_token = 0;
 };
 
 struct ScaleOutIntent {
@@ -34,13 +34,13 @@
   bool spot = false;
   uint32_t count = 0;
   std::string job;  // that it is for, first of all
-  uint64_t token = 0;
+  uint64_t fencing_token = 0;
 };
 
 struct ScaleInIntent {
   std::string machine;
   std::string reason;
-  uint64_t token = 0;
+  uint64_t fencing_token = 0;
 };
 
 enum class RecordError : uint8_t { damaged, newer };
@@ -58,8 +58,8 @@
 
 std::string write_holder(const RoleHolderRecord& record);
 Read<RoleHolderRecord> read_holder(wire::View value);
-std::string write_token(uint64_t token);
-Read<uint64_t> read_token(wire::View value);
+std::string write_fencing_token(uint64_t fencing_token);
+Read<uint64_t> read_fencing_token(wire::View value);
 std::string write_scale_out_intent(const ScaleOutIntent& intent);
 Read<ScaleOutIntent> read_scale_out_intent(std::string_view key, wire::View value);
 std::string write_scale_in_intent(const ScaleInIntent& intent);
--- a/src/dunlinknot/scheduler/round.cpp
+++ b/src/dunlinknot/scheduler/round.cpp
@@ -71,8 +71,8 @@
   if (!h.heard || h.lost || h.draining || h.terminating || h.listed_failed || h.recall_at) {
     return false;
   }
-  // Only a report with our token proves that the machine is alive under us: one without may be a
-  // late copy, of a machine that was deleted long ago even. And only a machine that hears our
+  // Only a report with our fencing token proves that the machine is alive under us: one without may
+  // be a late copy, of a machine that was deleted long ago even. And only a machine that hears our
   // answers can be given anything.
   if (!h.ours || h.unreachable) return false;
   return heard_of_late(h);
--- a/src/dunlinknot/scheduler/round.hpp
+++ b/src/dunlinknot/scheduler/round.hpp
@@ -101,8 +101,8 @@
 
   bool heard_of_late(const Machine& h) const;
 
-  // Not up yet, or just up and about to bear our token: counted on, so that nothing is launched in
-  // its place for that moment.
+  // Not up yet, or just up and about to bear our fencing token: counted on, so that nothing is
+  // launched in its place for that moment.
   bool expected_up(const Machine& h) const;
 
   void collect();
--- a/src/dunlinknot/wire/messages.cpp
+++ b/src/dunlinknot/wire/messages.cpp
@@ -234,13 +234,13 @@
     return std::nullopt;
   }
   const auto spot = r["loaners"].flag();
-  const auto session = r["shift"].count();
+  const auto incarnation = r["shift"].count();
   const auto seq = r["tally"].count();
-  if (!spot || !session || !seq) return std::nullopt;
+  if (!spot || !incarnation || !seq) return std::nullopt;
   b.spot = *spot;
-  b.session = *session;
+  b.incarnation = *incarnation;
   b.seq = *seq;
-  b.token = r["baton"].count().value_or(0);
+  b.fencing_token = r["baton"].count().value_or(0);
   if (!r["recallS"].null()) {
     const auto s = r["recallS"].amount();
     if (!s) return std::nullopt;
@@ -273,8 +273,8 @@
 std::string write_report(const WorkerReport& b) {
   Writer w;
   w.map(10).key("host").text(b.machine).key("address").text(b.address).key("rig").text(b.type);
-  w.key("yard").text(b.zone).key("loaners").flag(b.spot).key("shift").count(b.session);
-  w.key("tally").count(b.seq).key("baton").count(b.token).key("recallS");
+  w.key("yard").text(b.zone).key("loaners").flag(b.spot).key("shift").count(b.incarnation);
+  w.key("tally").count(b.seq).key("baton").count(b.fencing_token).key("recallS");
   b.notice ? w.amount(b.notice->count()) : w.null();
   w.key("pieces").list(b.tasks.size());
   for (const auto& t : b.tasks) {
@@ -286,11 +286,11 @@
   return w.take();
 }
 
-std::string write_orders(uint64_t token, std::optional<uint64_t> session,
+std::string write_orders(uint64_t fencing_token, std::optional<uint64_t> incarnation,
                          const std::vector<Command>& commands) {
   Writer w;
-  w.map(session ? 3 : 2).key("baton").count(token);
-  if (session) w.key("shift").count(*session);
+  w.map(incarnation ? 3 : 2).key("baton").count(fencing_token);
+  if (incarnation) w.key("shift").count(*incarnation);
   w.key("orders").list(commands.size());
   for (const auto& c : commands) {
     const bool stop = c.op == Command::Op::stop;
--- a/src/dunlinknot/wire/messages.hpp
+++ b/src/dunlinknot/wire/messages.hpp
@@ -100,9 +100,9 @@
   std::string type;
   std::string zone;
   bool spot = false;
-  uint64_t session = 0;
+  uint64_t incarnation = 0;
   uint64_t seq = 0;
-  uint64_t token = 0;
+  uint64_t fencing_token = 0;
   std::optional<Seconds> notice;
   std::vector<TaskReport> tasks;
 };
@@ -154,7 +154,7 @@
 
 std::optional<WorkerReport> read_report(std::string_view body);
 std::string write_report(const WorkerReport& b);  // for scripted workers
-std::string write_orders(uint64_t token, std::optional<uint64_t> session,
+std::string write_orders(uint64_t fencing_token, std::optional<uint64_t> incarnation,
                          const std::vector<Command>& commands);
 std::string write_misdirected(const std::optional<std::string>& leader);
 
--- a/src/dunlinknot/workers/report_handler.cpp
+++ b/src/dunlinknot/workers/report_handler.cpp
@@ -63,7 +63,7 @@
   }
   switch (answer.kind) {
     case ReportResponse::Kind::superseded:
-      elector_.heard_of(report->token, std::nullopt, "worker " + report->machine);
+      elector_.heard_of(report->fencing_token, std::nullopt, "worker " + report->machine);
       out.status = 421;
       out.body = wire::write_misdirected(elector_.known_leader());
       co_return out;
@@ -122,7 +122,7 @@
   c.to = *to;
   c.method = "POST";
   c.target = "/do";
-  c.body = wire::write_orders(context_.epoch, call.session, call.commands);
+  c.body = wire::write_orders(context_.epoch, call.incarnation, call.commands);
   c.deadline = context_.loop.now() + kStopTime;
   c.keep = false;
   http::Reply r = co_await transport_.exchange(std::move(c));
@@ -130,8 +130,8 @@
   if (!context_.in_term(term)) co_return;
   if (r.outcome == Outcome::ok && (r.status == 200 || r.status == 409)) {
     if (const auto report = wire::read_report(r.body)) {
-      if (report->token > context_.epoch) {
-        elector_.heard_of(report->token, std::nullopt, "worker " + report->machine);
+      if (report->fencing_token > context_.epoch) {
+        elector_.heard_of(report->fencing_token, std::nullopt, "worker " + report->machine);
         co_return;
       }
       Effects effects = context_.leader_state.with(
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -34,9 +34,9 @@
     b.address = "10.0.0.1:9000";
     b.type = "box";
     b.zone = "a";
-    b.session = session;
+    b.incarnation = incarnation;
     b.seq = ++seq;
-    b.token = token;
+    b.fencing_token = fencing_token;
     return b;
   }
   std::vector<Command> send(const WorkerReport& b, bool may_start = true) {
@@ -63,7 +63,7 @@
   settings::Operator op;
   Cluster c{platform, op};
   Instant now{seconds(100)};
-  uint64_t session = 1, seq = 0, token = 5, mod_revision = 20;
+  uint64_t incarnation = 1, seq = 0, fencing_token = 5, mod_revision = 20;
   Effects effects;
 };
 
@@ -85,8 +85,8 @@
   // A `run` travels only in answers, and on a large cluster the next one is seconds away.
   Job& j = add(job("run-000001", 8));
   WorkerReport first = report();
-  first.token = 4;
-  EXPECT_FALSE(c.hear(first, now, true, effects).run_soon) << "does not bear our baton";
+  first.fencing_token = 4;
+  EXPECT_FALSE(c.hear(first, now, true, effects).run_soon) << "does not bear our fencing token";
   EXPECT_FALSE(c.hear(report(), now, true, effects).run_soon) << "nothing waits for a place";
   c.set_work_waits(true);
   EXPECT_FALSE(c.hear(report(), now, true, effects).run_soon) << "nothing changed there";
@@ -130,14 +130,14 @@
   send(running);
   EXPECT_TRUE(send(late).empty());
   EXPECT_EQ(allocated(), 1u);
-  WorkerReport old_session = late;
-  old_session.session = 0;
-  old_session.seq = 1000;
-  EXPECT_TRUE(send(old_session).empty());
+  WorkerReport old_incarnation = late;
+  old_incarnation.incarnation = 0;
+  old_incarnation.seq = 1000;
+  EXPECT_TRUE(send(old_incarnation).empty());
   EXPECT_EQ(allocated(), 1u);
 }
 
-TEST_F(ClusterTest, ATaskThatVanishesEndsItsAllocationOnlyUnderOurBaton) {
+TEST_F(ClusterTest, ATaskThatVanishesEndsItsAllocationOnlyUnderOurFencingToken) {
   Job& j = add(job("run-000001"));
   send(report());
   const Allocation& b = durable(j);
@@ -145,26 +145,26 @@
   WorkerReport running = report();
   running.tasks = {on(b)};
   send(running);
-  token = 4;  // an older leader's token: its commands may still count there
+  fencing_token = 4;  // an older leader's fencing token: its commands may still count there
   send(report());
   EXPECT_EQ(allocated(), 1u);
-  token = 5;
+  fencing_token = 5;
   send(report());
   EXPECT_EQ(allocated(), 0u);
   EXPECT_EQ(j.pending(), 1u);
 }
 
-TEST_F(ClusterTest, InheritedAllocationsStayUntilAReportBearsOurBaton) {
+TEST_F(ClusterTest, InheritedAllocationsStayUntilAReportBearsOurFencingToken) {
   Job& j = add(job("run-000001", 2));
   wire::MachineRecord r{
       "box", "a", "10.0.0.1:9000", false, {{"run-000001", "red", {2, 0, 4}, false, {{0, 3}}}}};
   c.load_machine("vm-1", r, 7, now);
   EXPECT_EQ(c.usage(0).used.cpus, 2);
   EXPECT_EQ(j.pending(), 1u) << "task 0 may run there and may not be started elsewhere";
-  token = 4;
+  fencing_token = 4;
   send(report());
   EXPECT_EQ(allocated(), 1u) << "the former leader's `run` may still arrive";
-  token = 5;
+  fencing_token = 5;
   send(report());
   EXPECT_EQ(allocated(), 0u);
   EXPECT_EQ(j.pending(), 2u);
@@ -183,9 +183,9 @@
   c.expire(now);
   EXPECT_EQ(allocated(), 0u);
   EXPECT_TRUE(c.find_machine("vm-1")->lost);
-  // A report of the old session that was held up on its way brings nothing back.
+  // A report of the old incarnation that was held up on its way brings nothing back.
   EXPECT_EQ(c.on_report(report(), now, true, effects).kind, ReportResponse::Kind::stale);
-  session = 2;
+  incarnation = 2;
   seq = 0;
   EXPECT_EQ(c.on_report(report(), now, true, effects).kind, ReportResponse::Kind::accept);
 }
@@ -216,12 +216,12 @@
   EXPECT_EQ(c.take_dead_records().size(), 1u);
 }
 
-TEST_F(ClusterTest, ANewSessionEndsWhatWasSentInTheOldOne) {
+TEST_F(ClusterTest, ANewIncarnationEndsWhatWasSentInTheOldOne) {
   Job& j = add(job("run-000001", 2));
   send(report());
   durable(j);
   send(report());
-  session = 2;
+  incarnation = 2;
   seq = 0;
   EXPECT_TRUE(send(report()).empty());
   EXPECT_EQ(allocated(), 0u);
@@ -371,7 +371,7 @@
 }
 
 TEST_F(ClusterTest, AHigherTokenInAReportSupersedesUs) {
-  token = 6;
+  fencing_token = 6;
   EXPECT_EQ(c.on_report(report(), now, true, effects).kind, ReportResponse::Kind::superseded);
 }
 
@@ -572,7 +572,7 @@
   EXPECT_EQ(j.pending(), 1u);
 }
 
-TEST_F(ClusterTest, AMachineThatWasDeafIsUsedAgainOnceItsSessionOutlivesALease) {
+TEST_F(ClusterTest, AMachineThatWasDeafIsUsedAgainOnceItsIncarnationOutlivesALease) {
   // Found by random scenarios: nothing was sent to it that it could obey, and it stayed marked.
   Job& j = add(job("run-000001"));
   send(report());
@@ -589,13 +589,13 @@
       send(report());
     }
   };
-  ++session;  // its lease ran out: still deaf
+  ++incarnation;  // its lease ran out: still deaf
   reports_for(seconds(13));
   EXPECT_TRUE(c.find_machine("vm-1")->unreachable);
-  ++session;
+  ++incarnation;
   reports_for(seconds(13));
   EXPECT_TRUE(c.find_machine("vm-1")->unreachable);
-  reports_for(seconds(4));  // the same session for longer than a lease: some answer renewed it
+  reports_for(seconds(4));  // the same incarnation for longer than a lease: some answer renewed it
   EXPECT_FALSE(c.find_machine("vm-1")->unreachable);
 }
 
@@ -631,7 +631,7 @@
   EXPECT_TRUE(c.unreachable_machines().empty());
 }
 
-TEST_F(ClusterTest, AMachineBackWithinAFractionOfASecondHasANewSessionAndNoTasks) {
+TEST_F(ClusterTest, AMachineBackWithinAFractionOfASecondHasANewIncarnationAndNoTasks) {
   Job& j = add(job("run-000001"));
   send(report());
   const Allocation& b = durable(j);
@@ -640,7 +640,7 @@
   running.tasks = {on(b)};
   send(running);
   now += Millis(300);
-  ++session;
+  ++incarnation;
   seq = 0;
   send(report());
   EXPECT_EQ(allocated(), 0u);
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -34,9 +34,9 @@
     b.address = "10.0.0.1:9000";
     b.type = "box";
     b.zone = "a";
-    b.session = 1;
+    b.incarnation = 1;
     b.seq = ++seq;
-    b.token = 1;
+    b.fencing_token = 1;
     Effects effects;
     c.on_report(b, now, false, effects);
     return *c.find_machine(id);
@@ -80,9 +80,9 @@
     b.address = h.address;
     b.type = "box";
     b.zone = "a";
-    b.session = 1;
+    b.incarnation = 1;
     b.seq = seq = std::max(seq, h.seq) + 1;
-    b.token = 1;
+    b.fencing_token = 1;
     for (const Allocation& k : h.allocations) {
       if (!k.stopping()) b.tasks.push_back({k.task, k.attempt, TaskState::running, {}, false});
     }
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -205,9 +205,9 @@
     report.machine = id;
     report.type = "box";
     report.zone = "a";
-    report.session = 1;
+    report.incarnation = 1;
     report.seq = ++seq;
-    report.token = 1;
+    report.fencing_token = 1;
     (void)c.on_report(report, now, false, effects);
     return *c.find_machine(id);
   }
@@ -317,9 +317,9 @@
   alive.machine = "vm-0";
   alive.type = "box";
   alive.zone = "a";
-  alive.session = 1;
+  alive.incarnation = 1;
   alive.seq = ++seq;
-  alive.token = 1;
+  alive.fencing_token = 1;
   alive.tasks = {{sound.allocations[0].task, sound.allocations[0].attempt, TaskState::running}};
   (void)c.on_report(alive, now, false, effects);
   EXPECT_TRUE(api.proven);
--- a/tests/role_history.cpp
+++ b/tests/role_history.cpp
@@ -17,7 +17,7 @@
   const auto document = wire::Document::parse(entry->second.value);
   const auto read = roles::read_holder(document->root());
   const auto* record = std::get_if<roles::RoleHolderRecord>(&read);
-  return record ? record->token : 0;
+  return record ? record->fencing_token : 0;
 }
 
 bool RoleHistory::machine_lives(std::string_view machine) const {
--- a/tests/role_history.hpp
+++ b/tests/role_history.hpp
@@ -31,7 +31,7 @@
   void take_removed_key(const std::string& key);
   void check_launch(const std::string& request);
   void check_scale_in(const std::string& machine);
-  // The token under which the role is held at this moment; 0 when nobody holds it.
+  // The fencing token under which the role is held at this moment; 0 when nobody holds it.
   uint64_t present_token(roles::Role role) const;
   bool machine_lives(std::string_view machine) const;
 
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -142,7 +142,7 @@
     site.cloud.machines[m.id] = m;
     site.add_worker(m);
     Worker& worker = *site.workers.at(m.id);
-    worker.token = kFormerEpoch;
+    worker.fencing_token = kFormerEpoch;
     wire::MachineRecord record{m.type, m.zone, worker.address, false, {}};
     wire::MachineRecord::Group group{kLargest, spec.team, spec.need, false, {}};
     for (uint32_t k = 0; k < kTasksPerMachine; ++k) {
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -40,7 +40,7 @@
   std::vector<TaskReport> exited;
   std::optional<wire::MachineRecord> stored;
   uint64_t sequence = 0;
-  uint64_t token = 0;
+  uint64_t fencing_token = 0;
   Instant silent_until{};
   bool gone = false;
 };
@@ -115,7 +115,7 @@
     // Uneven zones: most of the machines are in the first.
     const std::vector<std::string> zones{"a", "a", "b", "c"};
     m.place = {id, chance(0.7) ? "box" : "rig", zones[pick(zones.size())], chance(0.25)};
-    m.token = epoch_;  // it has heard this leader
+    m.fencing_token = epoch_;  // it has heard this leader
   }
 
   void submit() {
@@ -231,9 +231,9 @@
     r.type = m.place.type;
     r.zone = m.place.zone;
     r.spot = m.place.spot;
-    r.session = 1;
+    r.incarnation = 1;
     r.seq = ++m.sequence;
-    r.token = m.token;
+    r.fencing_token = m.fencing_token;
     r.tasks = m.exited;
     for (const auto& [task, running] : m.tasks) {
       r.tasks.push_back({task, running.attempt, TaskState::running, ExitCause::none, false});
@@ -242,7 +242,7 @@
     Effects effects;
     const auto answer = state_.cluster.on_report(r, clock_.now(), true, effects);
     if (answer.kind != cluster::ReportResponse::Kind::accept) return;
-    m.token = epoch_;
+    m.fencing_token = epoch_;
     for (const Command& command : answer.commands) obey(m, command);
   }
 
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -50,9 +50,9 @@
     b.type = type;
     b.zone = zone;
     b.spot = spot;
-    b.session = 1;
+    b.incarnation = 1;
     b.seq = ++seq;
-    b.token = 1;
+    b.fencing_token = 1;
     Effects effects;
     c.on_report(b, now, false, effects);
     return *c.find_machine(id);
@@ -273,7 +273,7 @@
   EXPECT_EQ(placed_after(seconds(70)), "run-000001");
 }
 
-TEST_F(SchedulerTest, AMachineThatJustCameUpIsCountedOnBeforeItBearsOurBaton) {
+TEST_F(SchedulerTest, AMachineThatJustCameUpIsCountedOnBeforeItBearsOurFencingToken) {
   // Its first report bears none: for the moment until the next, another was launched in its place.
   cloud_capacity.refused.erase({"box", "a", false});
   add(job("run-000001", 2));
@@ -282,7 +282,7 @@
   b.machine = "vm-1";
   b.type = "box";
   b.zone = "a";
-  b.session = b.seq = 1;
+  b.incarnation = b.seq = 1;
   Effects effects;
   c.on_report(b, now, true, effects);
   const Plan p = plan();
@@ -475,7 +475,7 @@
   EXPECT_TRUE(plan().queued.empty()) << "filled up when half of it is gone";
 }
 
-TEST_F(SchedulerTest, AReportWithoutOurBatonMayBeALateCopy) {
+TEST_F(SchedulerTest, AReportWithoutOurFencingTokenMayBeALateCopy) {
   // After a take-over nothing is known of a machine's last report, nor of what was deleted: a copy
   // of an old report must not bring a machine back to life.
   WorkerReport b;
@@ -483,15 +483,15 @@
   b.address = "10.0.0.1:9000";
   b.type = "box";
   b.zone = "a";
-  b.session = 1;
+  b.incarnation = 1;
   b.seq = 7;
-  b.token = 0;
+  b.fencing_token = 0;
   Effects effects;
   c.on_report(b, now, true, effects);
   add(job("run-000001"));
   EXPECT_TRUE(plan().placements.empty());
   b.seq = 8;
-  b.token = 1;
+  b.fencing_token = 1;
   c.on_report(b, now, true, effects);
   EXPECT_EQ(plan().placements.size(), 1u);
 }
--- a/tests/singleton_roles_test.cpp
+++ b/tests/singleton_roles_test.cpp
@@ -1,4 +1,4 @@
-// The parts of the singleton roles on their own: leases, tokens, records, the intent log.
+// The parts of the singleton roles on their own: leases, fencing tokens, records, the intent log.
 #include "dunlinknot/roles/singleton_roles.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   RoleLease lease(seconds(4));
   EXPECT_EQ(lease.state(kStart), LeaseState::candidate);
   lease.acquired({7, 11}, kStart);
-  EXPECT_EQ(lease.grant().token, 7u);
+  EXPECT_EQ(lease.grant().fencing_token, 7u);
   const Nanos validity = to_nanos(Seconds(4 / 1.001));
   EXPECT_TRUE(lease.may_act(kStart + validity - Nanos(1)));
   EXPECT_FALSE(lease.may_act(kStart + validity)) << "a clock 0.05% slow against one 0.05% fast";
@@ -64,7 +64,7 @@
   EXPECT_EQ(back.type, "box");
   EXPECT_EQ(back.count, 50u);
   EXPECT_TRUE(back.spot);
-  EXPECT_EQ(back.token, 3u);
+  EXPECT_EQ(back.fencing_token, 3u);
   EXPECT_EQ(error_of(read_scale_out(roles::scale_out_key("d-3-2"),
                                     roles::write_scale_out_intent(scale_out))),
             RecordError::damaged)
@@ -105,13 +105,13 @@
   ASSERT_TRUE(site.leader().has_value());
   const auto& holder = held(site).holder;
   for (const Role role : roles::kAllRoles) EXPECT_TRUE(holder.may_act(role));
-  EXPECT_LT(holder.token(Role::scale_out), holder.token(Role::scale_in));
-  EXPECT_LT(holder.token(Role::scale_in), holder.token(Role::cleanup));
-  const uint64_t before = holder.token(Role::cleanup);
+  EXPECT_LT(holder.fencing_token(Role::scale_out), holder.fencing_token(Role::scale_in));
+  EXPECT_LT(holder.fencing_token(Role::scale_in), holder.fencing_token(Role::cleanup));
+  const uint64_t before = holder.fencing_token(Role::cleanup);
   site.restart(*site.leader());
   site.run_for(seconds(8));
   ASSERT_TRUE(site.leader().has_value());
-  EXPECT_GT(held(site).holder.token(Role::scale_out), before) << "tokens only grow";
+  EXPECT_GT(held(site).holder.fencing_token(Role::scale_out), before) << "tokens only grow";
 }
 
 TEST(SingletonRoles, NothingIsStoredWhenTheyAreOff) {
@@ -159,13 +159,13 @@
   Site site(1);
   with_roles(site);
   site.run_for(seconds(5));
-  const uint64_t token = held(site).holder.token(Role::scale_out);
+  const uint64_t fencing_token = held(site).holder.fencing_token(Role::scale_out);
   for (const auto jump : {Nanos(seconds(5)), Nanos(std::chrono::hours(3)),
                           Nanos(std::chrono::hours(-6)), Nanos(seconds(-2))}) {
     site.clock.wall_jump += jump;
     EXPECT_TRUE(held(site).holder.may_act(Role::scale_out));
     site.run_for(seconds(5));
-    EXPECT_EQ(held(site).holder.token(Role::scale_out), token);
+    EXPECT_EQ(held(site).holder.fencing_token(Role::scale_out), fencing_token);
   }
 }
 
@@ -173,10 +173,10 @@
   Site site(1);
   with_roles(site);
   site.run_for(seconds(5));
-  const uint64_t token = held(site).holder.token(Role::scale_out);
+  const uint64_t fencing_token = held(site).holder.fencing_token(Role::scale_out);
   site.state.erase(roles::role_key(Role::scale_out));
   site.run_for(seconds(4));
-  EXPECT_GT(held(site).holder.token(Role::scale_out), token);
+  EXPECT_GT(held(site).holder.fencing_token(Role::scale_out), fencing_token);
   EXPECT_TRUE(held(site).holder.may_act(Role::scale_out));
 }
 
@@ -185,7 +185,7 @@
   wire::Writer damaged;
   damaged.text("?");
   const std::string bytes = damaged.take();
-  site.state.put(std::string(roles::kTokenKey), bytes);
+  site.state.put(std::string(roles::kFencingTokenKey), bytes);
   with_roles(site);
   const CloudService::Machine m{"vm-100001",      "box", "a", false,
                                 site.clock.now(), false, {},  "10.1.0.1:9000"};
@@ -194,7 +194,7 @@
   site.run_for(seconds(5));
   site.submit(job("run-000001"));
   site.run_for(seconds(30));
-  EXPECT_EQ(site.state.data.at(std::string(roles::kTokenKey)).value, bytes);
+  EXPECT_EQ(site.state.data.at(std::string(roles::kFencingTokenKey)).value, bytes);
   EXPECT_EQ(count_keys(site, "duty/"), 1u) << "no role was acquired";
   EXPECT_EQ(site.cloud.launches + site.cloud.deletions.size(), 0u);
   EXPECT_EQ(site.standing("run-000001"), "done") << "what needs no role goes on";
--- a/tests/support.cpp
+++ b/tests/support.cpp
@@ -72,8 +72,9 @@
     }
     const bool launch = call.target == "/rentals" && call.method == "POST";
     const auto role = launch ? roles::Role::scale_out : roles::Role::scale_in;
-    const uint64_t token = daemon->roles() ? daemon->roles()->holder.token(role) : 0;
-    co_return co_await site.cloud.serve(std::move(call), token);
+    const uint64_t fencing_token =
+        daemon->roles() ? daemon->roles()->holder.fencing_token(role) : 0;
+    co_return co_await site.cloud.serve(std::move(call), fencing_token);
   }
   for (auto& [id, w] : site.workers) {
     if (w->address == call.to.text()) co_return co_await w->direct(std::move(call));
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -194,7 +194,7 @@
   uint64_t next_ = 1;
 };
 
-// A worker that keeps to the protocol: tokens, sessions, leases, dropped responses.
+// A worker that keeps to the protocol: fencing tokens, incarnations, leases, dropped responses.
 class Worker {
  public:
   struct Running {
@@ -232,7 +232,7 @@
   std::vector<std::pair<TaskRef, uint64_t>> started;
   std::function<void(const TaskRef&)> on_start;
   std::function<void(const Running&)> on_end;
-  uint64_t session = 1, seq = 0, token = 0;
+  uint64_t incarnation = 1, seq = 0, fencing_token = 0;
   std::string id;
   std::string address;
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -110,9 +110,9 @@
   b.address = "10.1.0.232:9000";
   b.type = "g8";
   b.zone = "a";
-  b.session = 3;
+  b.incarnation = 3;
   b.seq = 88;
-  b.token = 41;
+  b.fencing_token = 41;
   b.notice = Seconds(7.5);
   b.tasks = {{{"run-000412", 3}, 2, TaskState::running, ExitCause::none, false},
              {{"run-000398", 0}, 1, TaskState::exited, ExitCause::stopped, true}};
@@ -122,7 +122,7 @@
   EXPECT_EQ(r->tasks[1].cause, ExitCause::stopped);
   EXPECT_TRUE(r->tasks[1].saved);
   EXPECT_EQ(r->notice, Seconds(7.5));
-  EXPECT_EQ(r->token, 41u);
+  EXPECT_EQ(r->fencing_token, 41u);
 }
 
 TEST(WorkerReport, WithOneUnreadableTaskIsDroppedWhole) {
--- a/tests/worker.cpp
+++ b/tests/worker.cpp
@@ -1,4 +1,4 @@
-// The scripted worker: tokens, sessions, leases, and commands in the order they come.
+// The scripted worker: fencing tokens, incarnations, leases, and commands in the order they come.
 #include "support.hpp"
 
 namespace dunlinknot::test {
@@ -27,9 +27,9 @@
   b.type = type_.name;
   b.zone = zone_;
   b.spot = spot_;
-  b.session = session;
+  b.incarnation = incarnation;
   b.seq = ++seq;
-  b.token = token;
+  b.fencing_token = fencing_token;
   b.notice = notice;
   for (const auto& [key, t] : tasks) {
     b.tasks.push_back({t.task, t.attempt, t.state, t.cause, t.saved});
@@ -77,7 +77,7 @@
 void Worker::lose_lease() {
   end_all();
   tasks.clear();
-  ++session;
+  ++incarnation;
   answered_sent_ = loop_.now();
 }
 
@@ -132,7 +132,7 @@
       co_await loop_.sleep(pace);
       continue;
     }
-    const uint64_t in_session = session;
+    const uint64_t in_incarnation = incarnation;
     http::Request r;
     r.method = "POST";
     r.target = "/agent/beat";
@@ -142,11 +142,12 @@
     if (!on) co_return;
     // A response that took too long was given up, and a machine that hung meanwhile drops it too.
     const bool in_time = loop_.now() - sent <= seconds(4) && !hung;
-    if (answer.status == 200 && !drop_responses && !cut && in_time && in_session == session) {
+    if (answer.status == 200 && !drop_responses && !cut && in_time &&
+        in_incarnation == incarnation) {
       const auto doc = Document::parse(answer.body);
       const auto answered = doc->root()["baton"].count();
-      if (answered && *answered >= token) {
-        token = *answered;
+      if (answered && *answered >= fencing_token) {
+        fencing_token = *answered;
         answered_sent_ = sent;
         obey(doc->root()["orders"]);
       }
@@ -185,8 +186,8 @@
   const auto doc = Document::parse(body);
   const View root = doc->root();
   int status = 409;
-  if (*root["baton"].count() >= token && *root["shift"].count() == session) {
-    token = *root["baton"].count();
+  if (*root["baton"].count() >= fencing_token && *root["shift"].count() == incarnation) {
+    fencing_token = *root["baton"].count();
     obey(root["orders"]);
     status = 200;
   }
--- a/tests/zoned_cluster.hpp
+++ b/tests/zoned_cluster.hpp
@@ -32,9 +32,9 @@
     out.address = "10.0.0.1:9000";
     out.type = "box";
     out.zone = zone;
-    out.session = 1;
+    out.incarnation = 1;
     out.seq = ++sequence;
-    out.token = 1;
+    out.fencing_token = 1;
     return out;
   }
   std::vector<Command> send(const WorkerReport& r) {
--- a/tools/handover_run.cpp
+++ b/tools/handover_run.cpp
@@ -288,8 +288,8 @@
     note("violation", "", 0, what, false);
   }
 
-  // Who may act at present, and under which token; without singleton roles the leader, under its
-  // epoch.
+  // Who may act at present, and under which fencing token; without singleton roles the leader,
+  // under its epoch.
   std::optional<roles::RoleHolderRecord> present_holder() const {
     const auto entry = state_.data.find(holder_key_);
     if (entry == state_.data.end()) return std::nullopt;
@@ -303,7 +303,7 @@
 
   uint64_t present_token() const {
     const auto record = present_holder();
-    return record ? record->token : 0;
+    return record ? record->fencing_token : 0;
   }
 
   void take_change(const std::string& key) {
@@ -320,10 +320,11 @@
     if (!present) return note("vacant", "", 0, "", false);
     const roles::RoleHolderRecord& record = *present;
     for (Controller& c : controllers_) {
-      if (c.name == record.node) c.scale_in_token = record.token;
+      if (c.name == record.node) c.scale_in_token = record.fencing_token;
     }
-    if (record.token != holder_token_) note("holder", record.node, record.token, "", false);
-    holder_token_ = record.token;
+    if (record.fencing_token != holder_token_)
+      note("holder", record.node, record.fencing_token, "", false);
+    holder_token_ = record.fencing_token;
   }
 
   void take_act(const CloudService::Act& act) {
