--- a/benchmarks/cost_driver.cpp
+++ b/benchmarks/cost_driver.cpp
@@ -28,8 +28,8 @@
 };
 
 struct Counts {
-  uint64_t reports = 0;
-  uint64_t report_bytes = 0;
+  uint64_t heartbeats = 0;
+  uint64_t heartbeat_bytes = 0;
   uint64_t submissions = 0;
   uint64_t polls = 0;
   uint64_t ready_probes = 0;
@@ -53,7 +53,7 @@
       const double cpus = 2000 * scale();
       const double gpus = 400 * scale();
       p.teams = {{"red", cpus, 0, gpus, 0}, {"blue", cpus, 0, gpus, 0}, {"tiny", 0, 4, 0, 0}};
-      p.report = Seconds(2.5);
+      p.heartbeat_interval = Seconds(2.5);
       p.state_limits.rps = 200;
       p.state_limits.write_rps = 80;
       p.state_limits.value_bytes = size_t{16} * 1024;
@@ -72,8 +72,8 @@
     };
     site_.on_request = [this](const http::Request& request) {
       if (request.target == "/agent/beat") {
-        ++counts_.reports;
-        counts_.report_bytes += request.body.size();
+        ++counts_.heartbeats;
+        counts_.heartbeat_bytes += request.body.size();
       }
       return through_parser(request);
     };
@@ -112,7 +112,7 @@
 
   void print() const {
     std::cout << "machines " << site_.workers.size() << ", tasks started " << site_.starts
-              << ", reports " << counts_.reports << " (" << counts_.report_bytes
+              << ", heartbeats " << counts_.heartbeats << " (" << counts_.heartbeat_bytes
               << " bytes), submissions " << counts_.submissions << ", polls " << counts_.polls
               << ", probes " << counts_.ready_probes << ", state requests " << site_.state.requests
               << "\n";
--- a/src/dunlinknot/autoscaler/autoscaler.cpp
+++ b/src/dunlinknot/autoscaler/autoscaler.cpp
@@ -15,8 +15,8 @@
 constexpr double kListShare = 0.5;  // of the cloud's requests, for listing many machines
 constexpr auto kCatalogEvery = std::chrono::seconds(45);
 constexpr Seconds kBootSlack{15};
-constexpr double kReportSpread = 1.25;  // reports come every period, give or take a quarter
-constexpr Seconds kReportSlack{1};
+constexpr double kHeartbeatSpread = 1.25;  // reports come every period, give or take a quarter
+constexpr Seconds kHeartbeatSlack{1};
 
 }  // namespace
 
@@ -124,25 +124,26 @@
   std::sort(wanted.begin(), wanted.end());
   std::vector<std::pair<std::string, std::string>> out;
   const auto& op = context_.op;
-  const Nanos silent = to_nanos(context_.platform.report * kReportSpread + kReportSlack);
+  const Nanos silent =
+      to_nanos(context_.platform.heartbeat_interval * kHeartbeatSpread + kHeartbeatSlack);
   context_.leader_state.with([&](LeaderState& p) {
     // Deleting a machine that does not hear us is the quick fence: its tasks go elsewhere at once.
     for (const auto& id : p.cluster.unreachable_machines())
-      out.emplace_back(id, "our answers do not reach it");
+      out.emplace_back(id, "our responses do not reach it");
     for (const auto& [id, h] : p.cluster.machines()) {
       if (h->terminating || h->unreachable) continue;
-      if (!h->heard) {
+      if (!h->has_heartbeat) {
         // Some take several times as long; some never come up and cost until they are deleted.
         // What is allocated there by a former leader ends with the deletion (the fast fence).
         const MachineType* t = p.cluster.type(h->type);
         if (!t) continue;
         // A new leader has heard nobody yet: a machine that is up, or was while somebody else led,
         // has the time a silent one has before it is given up.
-        const Instant heard_by =
+        const Instant heartbeat_due =
             p.cluster.term_since() + to_nanos(context_.platform.lease + op.lost_return);
         const bool was_up = h->listed_running || !h->allocations.empty();
         const Instant up_by = h->known_since + to_nanos(t->boot * op.boot_patience + kBootSlack);
-        if (now > heard_by && (was_up || now > up_by)) {
+        if (now > heartbeat_due && (was_up || now > up_by)) {
           out.emplace_back(id, was_up ? "its worker stays silent" : "it never came up");
         } else if (!was_up && now > up_by && h->known_since > p.cluster.term_since()) {
           out.emplace_back(id, "it never came up");
@@ -150,14 +151,14 @@
         continue;
       }
       if (h->lost) {
-        if (now - h->last_heard > to_nanos(context_.platform.lease + op.lost_return)) {
+        if (now - h->last_heartbeat > to_nanos(context_.platform.lease + op.lost_return)) {
           out.emplace_back(id, "its worker stays silent");
         }
         continue;
       }
       // Its notice came and then nothing more: taken, or about to be. What was not saved there need
       // not wait for the lease.
-      if (h->recall_at && now - h->last_heard > silent) {
+      if (h->recall_at && now - h->last_heartbeat > silent) {
         out.emplace_back(id, "it was recalled and is silent");
         continue;
       }
--- a/src/dunlinknot/autoscaler/scale_out.cpp
+++ b/src/dunlinknot/autoscaler/scale_out.cpp
@@ -216,7 +216,7 @@
     const auto seen = [&](const std::string& id) {
       if (p.cluster.is_gone(id)) return true;
       const Machine* h = p.cluster.find_machine(id);
-      return !h || h->heard || (h->listed && now - h->known_since > lag);
+      return !h || h->has_heartbeat || (h->listed && now - h->known_since > lag);
     };
     for (auto& [request, machines] : unseen_) {
       std::erase_if(machines, seen);
--- a/src/dunlinknot/cluster/allocations.cpp
+++ b/src/dunlinknot/cluster/allocations.cpp
@@ -188,8 +188,8 @@
 }
 
 // The room that a task leaves is taken at once by one that waits for it on the machine: its
-// allocation stands already, so its `run` goes out with the answer to the very report that told of
-// the room.
+// allocation stands already, so its `run` goes out with the answer to the very heartbeat that told
+// of the room.
 void Cluster::start_queued(Machine& h, Instant now) {
   if (h.queued_tasks == 0) return;
   std::vector<Allocation*> waiting;
@@ -318,7 +318,7 @@
   std::vector<StopCall> calls;
   for (const auto& id : stop_machines_) {
     Machine* h = find_machine(id);
-    if (!h || h->address.empty() || !h->heard || h->lost) continue;
+    if (!h || h->address.empty() || !h->has_heartbeat || h->lost) continue;
     StopCall call{h->id, h->address, h->incarnation, {}};
     for (const Allocation& b : h->allocations) {
       if (b.stopping() && !b.unsent()) {
--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -276,11 +276,10 @@
   Effects effects;
   for (auto& [id, h] : machines_) {
     if (h->lost) continue;
-    if (!h->heard && h->allocations.empty()) continue;  // nothing of ours was ever there
+    if (!h->has_heartbeat && h->allocations.empty()) continue;  // nothing of ours was ever there
     if (now < lease_over(*h)) continue;
-    spdlog::info("machine {} silent beyond its lease: {} allocations end", h->id,
-                 h->allocations.size());
-    h->lost = h->heard;
+    spdlog::info("machine {}: its lease expired, {} allocations end", h->id, h->allocations.size());
+    h->lost = h->has_heartbeat;
     h->images.clear();
     while (!h->allocations.empty()) effects |= end_allocation(*h, h->allocations.size() - 1, now);
     effects.schedule = true;
@@ -290,13 +289,13 @@
 
 Effects Cluster::tick(Instant now) {
   Effects effects;
-  const Nanos silent = to_nanos(platform_.report * 2 + Seconds(1));
+  const Nanos silent = to_nanos(platform_.heartbeat_interval * 2 + Seconds(1));
   for (auto& [id, h] : machines_) {
     // What waits on a machine that nothing is heard of, or that will not get it, goes elsewhere.
     // Found on days of our own with machines that fail their tasks: a drained one gets no `run`, so
     // what was allocated there and not sent yet stayed for good, and its job with it.
     if (h->recall_at || h->draining || h->terminating || h->unreachable ||
-        (h->heard && now - h->last_heard >= silent)) {
+        (h->has_heartbeat && now - h->last_heartbeat >= silent)) {
       for (size_t i = h->allocations.size(); i-- > 0;) {
         if (i < h->allocations.size() && h->allocations[i].unsent())
           effects |= end_allocation(*h, i, now);
@@ -329,7 +328,7 @@
 // that fails what it starts does no harm to what runs (cellarline-qld-next, day `troubles`:
 // stopping them there cost more served time than the loss of machines).
 void Cluster::move_replicas(Machine& h, Instant now) {
-  if (!h.recall_at || *h.recall_at - now > to_nanos(platform_.report * 2)) return;
+  if (!h.recall_at || *h.recall_at - now > to_nanos(platform_.heartbeat_interval * 2)) return;
   for (Allocation& b : h.allocations) {
     if (!b.service || b.stopping() || b.unsent()) continue;
     stop(h, b, StopReason::recall, Seconds(0), now);
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -59,7 +59,7 @@
   Priority priority = Priority::low;
   size_t record_group_size = 0;  // what its job adds to the machine's record, beside the tasks
   Phase phase = Phase::planned;
-  uint64_t sent_incarnation = 0;  // of the report that was answered with the `run`
+  uint64_t sent_incarnation = 0;  // of the heartbeat that was answered with the `run`
   TaskState state = TaskState::fetching;
   Instant placed_at{};
   Instant running_since{};  // zero: not seen running
@@ -91,19 +91,19 @@
   double fetch_gb_per_s = 0;
 
   // What its worker told.
-  bool heard = false;
+  bool has_heartbeat = false;
   uint64_t incarnation = 0;
-  uint64_t seq = 0;
-  bool ours = false;  // a report bore our fencing token: older fencing tokens are refused there
+  uint64_t sequence = 0;
+  bool ours = false;  // a heartbeat bore our fencing token: older fencing tokens are refused there
                       // from then on
   bool lost = false;  // silent beyond its lease; back only with a later incarnation
-  Instant last_heard{};
+  Instant last_heartbeat{};
   Instant last_answered{};
   Instant incarnation_since{};  // when its worker's incarnation was first heard of
-  uint64_t report_incarnation = 0,
-           report_seq = 0;  // of its last report; direct reports may be newer
+  uint64_t heartbeat_incarnation = 0,
+           heartbeat_sequence = 0;  // of its last heartbeat; direct heartbeats may be newer
 
-  // Signs that its reports reach us and our answers do not reach it.
+  // Signs that its heartbeats reach us and our answers do not reach it.
   uint32_t suspicions = 0;
   Instant first_suspicion{};
   Instant last_suspicion{};
@@ -170,7 +170,7 @@
   }
 };
 
-struct ReportResponse {
+struct HeartbeatResponse {
   enum class Kind { accept, stale, superseded } kind = Kind::accept;
   std::vector<Command> commands;
   bool read = false;      // newer than all that was known: it may be answered with orders
@@ -227,18 +227,19 @@
   Effects remove_machine(const std::string& id, Instant now);
 
   // --- workers
-  ReportResponse on_report(const WorkerReport& report, Instant now, bool may_start,
-                           Effects& effects);
+  HeartbeatResponse handle_heartbeat(const Heartbeat& heartbeat, Instant now, bool may_start,
+                                     Effects& effects);
   // The same in two steps, for an answer that waits a moment for a `run` (see
   // workers::ReportHandler).
-  ReportResponse hear(const WorkerReport& report, Instant now, bool may_start, Effects& effects);
-  ReportResponse orders(const WorkerReport& report, Instant now, bool may_start);
+  HeartbeatResponse apply_heartbeat(const Heartbeat& heartbeat, Instant now, bool may_start,
+                                    Effects& effects);
+  HeartbeatResponse commands_for(const Heartbeat& heartbeat, Instant now, bool may_start);
   // Machines that a `run` may go out to since this was last asked.
   std::vector<std::string> take_runnable() { return std::exchange(runnable_, {}); }
   // Whether the last round left work waiting for a place.
   void set_work_waits(bool waits) { work_waits_ = waits; }
-  // A report that came as the answer to a direct call: news, but no proof of what is not in it.
-  Effects on_direct_report(const WorkerReport& report, Instant now);
+  // A heartbeat that came as the answer to a direct call: news, but no proof of what is not in it.
+  Effects apply_direct_status(const Heartbeat& heartbeat, Instant now);
   // Machines that our answers do not reach. When they are many it is our answers that are late.
   std::vector<std::string> unreachable_machines() const;
   // Ends the allocations of workers whose lease is certainly over.
@@ -323,7 +324,7 @@
   // Ends the job's unsent allocations of which `which` is true.
   template <class Predicate>
   Effects end_unsent(const std::string& job, Instant now, Predicate&& which);
-  Effects on_exit(Machine& h, const TaskReport& r, Instant now);
+  Effects on_exit(Machine& h, const TaskStatus& r, Instant now);
   void take_running(Allocation& allocation, Job* j, const Machine& h, Instant now);
   void hold_back_replica(Job& j, uint32_t index, bool soon, Instant now);
   Effects release_held_back(Instant now);
@@ -336,17 +337,18 @@
   void clear_suspicion(Machine& h, Instant now) const;
   void start_queued(Machine& h, Instant now);
   bool sendable(const Allocation& b) const;
-  bool fresh(Machine& h, const WorkerReport& b) const;
-  void take_report(Machine& h, const WorkerReport& b, Instant now, bool complete, Effects& effects);
-  void take_machine_state(Machine& h, const WorkerReport& b, Instant now, bool complete,
+  bool fresh(Machine& h, const Heartbeat& b) const;
+  void apply_worker_status(Machine& h, const Heartbeat& b, Instant now, bool complete,
+                           Effects& effects);
+  void take_machine_state(Machine& h, const Heartbeat& b, Instant now, bool complete,
                           Effects& effects);
   Effects end_allocations_before(Machine& h, uint64_t incarnation, Instant now);
-  Allocation& allocate_orphan(Machine& h, const TaskReport& task, const Job* j, Instant now,
+  Allocation& allocate_orphan(Machine& h, const TaskStatus& task, const Job* j, Instant now,
                               Effects& effects);
   bool welcome(const Machine& h, const Job& j, uint32_t index) const;
   Effects make_way_for(const Job& j, const TaskRef& orphan, Instant now);
-  bool take_task(Machine& h, const TaskReport& t, Instant now, Effects& effects);
-  bool end_unlisted(Machine& h, const WorkerReport& b, Instant now, Effects& effects);
+  bool take_task(Machine& h, const TaskStatus& t, Instant now, Effects& effects);
+  bool end_unlisted(Machine& h, const Heartbeat& b, Instant now, Effects& effects);
   void note_image(Machine& h, const Job& job);
   int team_index(std::string_view name) const;
   Instant silent_until(const Machine& h) const;
@@ -370,7 +372,8 @@
   Resources beside_gpu_;
   std::map<std::string, Expected> expected_;  // by class
   std::set<std::string> terminating_;         // by the decision of a former leader
-  std::map<std::string, Instant> gone_;  // machines removed of late: late reports are not believed
+  std::map<std::string, Instant>
+      gone_;  // machines removed of late: late heartbeats are not believed
   std::vector<std::pair<std::string, uint64_t>> dead_records_;
   std::deque<std::string> urgent_machines_;
   std::deque<std::string> dirty_machines_;
--- a/src/dunlinknot/cluster/failures.cpp
+++ b/src/dunlinknot/cluster/failures.cpp
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-// A report's arrival is no proof that answers get through. Runs that are sent again and again, and
-// incarnations that end while we answer, tell: such a machine would swallow work for ever.
+// A heartbeat's arrival is no proof that answers get through. Runs that are sent again and again,
+// and incarnations that end while we answer, tell: such a machine would swallow work for ever.
 void Cluster::suspect(Machine& h, Instant now) {
   if (h.suspicions == 0 || now - h.last_suspicion > lease_ * 2) {
     h.suspicions = 0;
@@ -27,7 +27,7 @@
   h.last_suspicion = now;
   if (++h.suspicions < kSuspicions || now - h.first_suspicion < lease_ / 3 || h.unreachable) return;
   h.unreachable = true;
-  spdlog::info("machine {}: its reports come, but our answers do not reach it", h.id);
+  spdlog::info("machine {}: its heartbeats arrive, but our responses do not reach it", h.id);
 }
 
 // A incarnation that outlives a lease since the last sign shows that our answers renew it. Found by
@@ -37,18 +37,18 @@
   if (!h.unreachable || now - std::max(h.incarnation_since, h.last_suspicion) < lease_) return;
   h.suspicions = 0;
   h.unreachable = false;
-  spdlog::info("machine {}: our answers reach it again", h.id);
+  spdlog::info("machine {}: our responses reach it again", h.id);
 }
 
 std::vector<std::string> Cluster::unreachable_machines() const {
   std::vector<std::string> out;
-  size_t heard = 0;
+  size_t reporting = 0;
   for (const auto& [id, h] : machines_) {
-    if (!h->heard || h->lost) continue;
-    ++heard;
+    if (!h->has_heartbeat || h->lost) continue;
+    ++reporting;
     if (h->unreachable) out.push_back(id);
   }
-  if (out.size() > std::max<size_t>(kFewUnreachable, heard / 8)) out.clear();
+  if (out.size() > std::max<size_t>(kFewUnreachable, reporting / 8)) out.clear();
   return out;
 }
 
--- a/src/dunlinknot/cluster/reports.cpp
+++ b/src/dunlinknot/cluster/heartbeats.cpp
@@ -1,4 +1,4 @@
-// Reports of the workers: what a report proves about the allocations of its machine, and the
+// Heartbeats of the workers: what a heartbeat proves about the allocations of its machine, and the
 // commands that its response carries.
 #include <spdlog/spdlog.h>
 
@@ -21,52 +21,53 @@
 
 }  // namespace
 
-bool Cluster::fresh(Machine& h, const WorkerReport& b) const {
-  if (!h.heard) return true;
-  return std::pair(b.incarnation, b.seq) > std::pair(h.incarnation, h.seq);
+bool Cluster::fresh(Machine& h, const Heartbeat& b) const {
+  if (!h.has_heartbeat) return true;
+  return std::pair(b.incarnation, b.sequence) > std::pair(h.incarnation, h.sequence);
 }
 
-ReportResponse Cluster::on_report(const WorkerReport& b, Instant now, bool may_start,
-                                  Effects& effects) {
-  ReportResponse answer = hear(b, now, may_start, effects);
-  if (answer.kind != ReportResponse::Kind::accept) return answer;
-  return orders(b, now, may_start && answer.read);
+HeartbeatResponse Cluster::handle_heartbeat(const Heartbeat& b, Instant now, bool may_start,
+                                            Effects& effects) {
+  HeartbeatResponse answer = apply_heartbeat(b, now, may_start, effects);
+  if (answer.kind != HeartbeatResponse::Kind::accept) return answer;
+  return commands_for(b, now, may_start && answer.read);
 }
 
-ReportResponse Cluster::hear(const WorkerReport& b, Instant now, bool may_start, Effects& effects) {
-  ReportResponse answer;
+HeartbeatResponse Cluster::apply_heartbeat(const Heartbeat& b, Instant now, bool may_start,
+                                           Effects& effects) {
+  HeartbeatResponse answer;
   if (b.fencing_token > epoch_) {
-    answer.kind = ReportResponse::Kind::superseded;
+    answer.kind = HeartbeatResponse::Kind::superseded;
     return answer;
   }
   if (gone_.contains(b.machine)) {
-    // A report that was under way while its machine was deleted.
-    answer.kind = ReportResponse::Kind::stale;
+    // A heartbeat that was under way while its machine was deleted.
+    answer.kind = HeartbeatResponse::Kind::stale;
     return answer;
   }
   Machine& h = register_machine(b.machine, b.type, b.zone, b.spot, now);
   if (h.lost && b.incarnation <= h.incarnation) {
-    answer.kind = ReportResponse::Kind::stale;
+    answer.kind = HeartbeatResponse::Kind::stale;
     return answer;
   }
-  const std::pair at(b.incarnation, b.seq);
-  if (h.heard && at <= std::pair(h.report_incarnation, h.report_seq)) {
-    // A copy of a report that was answered already, or of an older one: nobody waits for the
+  const std::pair at(b.incarnation, b.sequence);
+  if (h.has_heartbeat && at <= std::pair(h.heartbeat_incarnation, h.heartbeat_sequence)) {
+    // A copy of a heartbeat that was answered already, or of an older one: nobody waits for the
     // answer. It frees nothing, and it is no sign of life.
-    answer.kind = ReportResponse::Kind::stale;
+    answer.kind = HeartbeatResponse::Kind::stale;
     return answer;
   }
-  std::tie(h.report_incarnation, h.report_seq) = at;
+  std::tie(h.heartbeat_incarnation, h.heartbeat_sequence) = at;
   if (!fresh(h, b)) {
-    // Older than a report already seen (a direct call's answer may overtake a report): its worker
-    // may still be waiting, so its lease is renewed, but nothing is read from it and nothing
+    // Older than a heartbeat already seen (a direct call's answer may overtake a heartbeat): its
+    // worker may still be waiting, so its lease is renewed, but nothing is read from it and nothing
     // started.
     return answer;
   }
   answer.read = true;
   const bool was_ours = h.ours;
   Effects changed;
-  take_report(h, b, now, true, changed);
+  apply_worker_status(h, b, now, true, changed);
   effects |= changed;
   if (!may_start || h.draining || h.terminating) return answer;
   start_queued(h, now);
@@ -84,13 +85,14 @@
   return j && (!k.gang || (j->gang_go && j->gang_attempt == k.attempt));  // safety 4
 }
 
-ReportResponse Cluster::orders(const WorkerReport& b, Instant now, bool may_start) {
-  ReportResponse answer;
+HeartbeatResponse Cluster::commands_for(const Heartbeat& b, Instant now, bool may_start) {
+  HeartbeatResponse answer;
   Machine* known = find_machine(b.machine);
   if (!known || known->lost ||
-      std::pair(known->report_incarnation, known->report_seq) != std::pair(b.incarnation, b.seq)) {
+      std::pair(known->heartbeat_incarnation, known->heartbeat_sequence) !=
+          std::pair(b.incarnation, b.sequence)) {
     // Gone meanwhile, or its worker gave this answer up and reported anew.
-    answer.kind = ReportResponse::Kind::stale;
+    answer.kind = HeartbeatResponse::Kind::stale;
     return answer;
   }
   Machine& h = *known;
@@ -126,29 +128,29 @@
   return answer;
 }
 
-Effects Cluster::on_direct_report(const WorkerReport& b, Instant now) {
+Effects Cluster::apply_direct_status(const Heartbeat& b, Instant now) {
   Effects effects;
   Machine* h = find_machine(b.machine);
   if (!h || b.fencing_token > epoch_ || !fresh(*h, b) || h->lost) return effects;
-  take_report(*h, b, now, false, effects);
+  apply_worker_status(*h, b, now, false, effects);
   return effects;
 }
 
 // What the worker tells of itself; its tasks are read by the caller.
-void Cluster::take_machine_state(Machine& h, const WorkerReport& b, Instant now, bool complete,
+void Cluster::take_machine_state(Machine& h, const Heartbeat& b, Instant now, bool complete,
                                  Effects& effects) {
-  if (!h.heard || b.incarnation != h.incarnation) h.incarnation_since = now;
-  if (!h.heard) {
+  if (!h.has_heartbeat || b.incarnation != h.incarnation) h.incarnation_since = now;
+  if (!h.has_heartbeat) {
     h.idle_since = now;
     effects.schedule = true;
   }
   if (h.lost) effects.schedule = true;
-  h.heard = true;
+  h.has_heartbeat = true;
   h.lost = false;
   h.address = b.address;
   h.incarnation = b.incarnation;
-  h.seq = b.seq;
-  if (complete) h.last_heard = now;
+  h.sequence = b.sequence;
+  if (complete) h.last_heartbeat = now;
   if (b.fencing_token == epoch_) h.ours = true;
   const std::optional<Instant> recall =
       b.notice ? std::optional(now + to_nanos(*b.notice)) : std::nullopt;
@@ -184,7 +186,7 @@
 }
 
 // On the machine without an allocation: counted from now on, and stopped unless it is welcome.
-Allocation& Cluster::allocate_orphan(Machine& h, const TaskReport& task, const Job* j, Instant now,
+Allocation& Cluster::allocate_orphan(Machine& h, const TaskStatus& task, const Job* j, Instant now,
                                      Effects& effects) {
   Allocation orphan;
   orphan.task = task.task;
@@ -212,7 +214,7 @@
 }
 
 // A task that is on the machine. Returns whether that shows that a `run` of ours got there.
-bool Cluster::take_task(Machine& h, const TaskReport& t, Instant now, Effects& effects) {
+bool Cluster::take_task(Machine& h, const TaskStatus& t, Instant now, Effects& effects) {
   Job* j = job(t.task.job);
   if (j && t.task.index >= j->spec().tasks) j = nullptr;
   Allocation* allocation = h.find(t.task, t.attempt);
@@ -240,17 +242,17 @@
   return obeyed;
 }
 
-// Safety 1: what a complete report does not list is gone, provided that nothing may still start it:
-// the report bears our fencing token (an older leader's `run` is refused from now on) and was sent
-// after the response that carried ours (one report is in flight at a time, late responses are
-// dropped). Returns whether the response with some `run` was lost.
-bool Cluster::end_unlisted(Machine& h, const WorkerReport& b, Instant now, Effects& effects) {
+// Safety 1: what a complete heartbeat does not list is gone, provided that nothing may still start
+// it: the heartbeat bears our fencing token (an older leader's `run` is refused from now on) and
+// was sent after the response that carried ours (one heartbeat is in flight at a time, late
+// responses are dropped). Returns whether the response with some `run` was lost.
+bool Cluster::end_unlisted(Machine& h, const Heartbeat& b, Instant now, Effects& effects) {
   bool missed_us = false;
   for (size_t i = h.allocations.size(); i-- > 0;) {
     if (i >= h.allocations.size()) continue;
     Allocation& allocation = h.allocations[i];
     if (allocation.unsent()) continue;
-    const auto is_listed = [&](const TaskReport& t) {
+    const auto is_listed = [&](const TaskStatus& t) {
       return t.attempt == allocation.attempt && t.task == allocation.task &&
              t.state != TaskState::exited;
     };
@@ -266,9 +268,9 @@
   return missed_us;
 }
 
-void Cluster::take_report(Machine& h, const WorkerReport& b, Instant now, bool complete,
-                          Effects& effects) {
-  const bool new_incarnation = h.heard && b.incarnation > h.incarnation;
+void Cluster::apply_worker_status(Machine& h, const Heartbeat& b, Instant now, bool complete,
+                                  Effects& effects) {
+  const bool new_incarnation = h.has_heartbeat && b.incarnation > h.incarnation;
   // Its lease ran out although we answered it in time: either our answers do not get there, or it
   // was started anew.
   bool missed_us = complete && new_incarnation && h.ours && now - h.last_answered < lease_ / 2;
@@ -306,7 +308,7 @@
   j->backoff = Nanos(0);
 }
 
-Effects Cluster::on_exit(Machine& h, const TaskReport& r, Instant now) {
+Effects Cluster::on_exit(Machine& h, const TaskStatus& r, Instant now) {
   Effects effects;
   Job* j = job(r.task.job);
   if (j && r.task.index >= j->spec().tasks) j = nullptr;
--- a/src/dunlinknot/leadership/elector.cpp
+++ b/src/dunlinknot/leadership/elector.cpp
@@ -48,11 +48,11 @@
 }
 
 // Safety 2. A cancellation that we do not know of was told at C, after `evidence` or after what the
-// other nodes vouched for; call that E, so E < C. We answer no report from E + window on, a worker
-// counts its lease from the sending of the report that was answered, so every lease we renewed is
-// over by E + window + lease, drift included: before C + cancel_s.
-// A successor won after E as well: our lease on `leader` stood then, and whoever vouched had won
-// nothing. So it waits for the same window from its own election (former_leader_window).
+// other nodes vouched for; call that E, so E < C. We answer no heartbeat from E + window on, a
+// worker counts its lease from the sending of the heartbeat that was answered, so every lease we
+// renewed is over by E + window + lease, drift included: before C + cancel_s. A successor won after
+// E as well: our lease on `leader` stood then, and whoever vouched had won nothing. So it waits for
+// the same window from its own election (former_leader_window).
 bool Elector::may_renew(std::optional<Instant> vouched) const {
   if (!leading_) return false;
   Instant from = evidence();
@@ -64,7 +64,8 @@
   horizon_ = std::max(horizon_, sent);
 }
 
-void Elector::heard_of(uint64_t epoch, std::optional<std::string> leader, std::string_view from) {
+void Elector::observe_epoch(uint64_t epoch, std::optional<std::string> leader,
+                            std::string_view from) {
   if (epoch < known_epoch_) return;
   if (epoch > known_epoch_) {
     known_epoch_ = epoch;
@@ -74,7 +75,7 @@
   }
   // A higher epoch exists, so ours is over, whatever our own view of the state service is.
   if (leading_ && epoch > term_.epoch) {
-    step_down(std::string("heard of epoch ") + std::to_string(epoch) + " from " +
+    step_down(std::string("observed epoch ") + std::to_string(epoch) + " from " +
               std::string(from));
   }
 }
@@ -133,7 +134,7 @@
         leader_mod_revision_ = got.item.mod_revision;
         revision_ = got.item.mod_revision;
         if (const auto r = wire::read_leader(got.item.value)) {
-          heard_of(r->epoch, r->node, "the state service");
+          observe_epoch(r->epoch, r->node, "the state service");
           leader_is_old_self_ = r->node == platform_.node && got.item.lease != lease_;
         }
       }
@@ -164,7 +165,7 @@
       } else {
         leader_mod_revision_ = c.mod_revision;
         if (const auto r = wire::read_leader(c.value)) {
-          heard_of(r->epoch, r->node, "the state service");
+          observe_epoch(r->epoch, r->node, "the state service");
         }
       }
     }
--- a/src/dunlinknot/leadership/elector.hpp
+++ b/src/dunlinknot/leadership/elector.hpp
@@ -45,7 +45,7 @@
   const std::optional<std::string>& known_leader() const { return known_leader_; }
 
   // News of a leadership from elsewhere: a peer, a worker's fencing token, a failed guard.
-  void heard_of(uint64_t epoch, std::optional<std::string> leader, std::string_view from);
+  void observe_epoch(uint64_t epoch, std::optional<std::string> leader, std::string_view from);
   // Gives the leadership up so that another node may take it; stays out of the race for a while.
   void resign(std::string_view why);
 
--- a/src/dunlinknot/leadership/peers.cpp
+++ b/src/dunlinknot/leadership/peers.cpp
@@ -43,7 +43,7 @@
   for (const auto& [name, link] : links_) {
     if (!link.last || link.confirmed_to < since) return std::nullopt;
     const Nanos up = to_nanos(Seconds(link.last->up) * kSlowest);
-    if (link.heard_at - up > since || link.last->cancel_revision > revision) return std::nullopt;
+    if (link.received_at - up > since || link.last->cancel_revision > revision) return std::nullopt;
     until = std::min(until, link.confirmed_to);
   }
   return until;
@@ -53,12 +53,12 @@
   const auto it = links_.find(s.node);
   if (it == links_.end()) return;
   it->second.last = s;
-  it->second.heard_at = loop_.now();
+  it->second.received_at = loop_.now();
   it->second.confirmed_to = sent;
-  hooks_.heard(s);
+  hooks_.status_received(s);
 }
 
-void Peers::tell_cancelled(const std::string& job) {
+void Peers::announce_cancellation(const std::string& job) {
   const std::string leader = hooks_.status().leader;
   for (auto& [name, link] : links_) {
     if (!leader.empty() && name != leader) continue;
@@ -68,10 +68,10 @@
   }
 }
 
-bool Peers::any_served() const {
+bool Peers::any_peer_reaches_store() const {
   const Instant now = loop_.now();
   for (const auto& [name, link] : links_) {
-    if (link.last && now - link.heard_at < kFresh && link.last->state_known &&
+    if (link.last && now - link.received_at < kFresh && link.last->state_known &&
         link.last->state_silent < Millis(1500)) {
       return true;
     }
@@ -79,11 +79,11 @@
   return false;
 }
 
-bool Peers::any_reports() const {
+bool Peers::any_peer_receives_heartbeats() const {
   const Instant now = loop_.now();
   for (const auto& [name, link] : links_) {
-    if (link.last && now - link.heard_at < kFresh && link.last->reports_known &&
-        link.last->reports_silent < Millis(2000)) {
+    if (link.last && now - link.received_at < kFresh && link.last->heartbeats_known &&
+        link.last->heartbeats_silent < Millis(2000)) {
       return true;
     }
   }
@@ -132,18 +132,19 @@
     const auto frame = co_await read_frame(socket, deadline);
     if (!frame) co_return;
     if (frame->first == Kind::progress) {
-      if (const auto p = wire::peer::read_progress(frame->second)) hooks_.told(*p);
+      if (const auto p = wire::peer::read_progress(frame->second)) hooks_.progress_received(*p);
       continue;
     }
     if (frame->first == Kind::cancelled) {
-      if (const auto job = wire::peer::read_cancelled(frame->second)) hooks_.cancelled(*job);
+      if (const auto job = wire::peer::read_cancelled(frame->second))
+        hooks_.cancellation_received(*job);
       continue;
     }
     const auto s = wire::peer::read_status(frame->second);
     if (!s) co_return;
-    hooks_.heard(*s);
+    hooks_.status_received(*s);
     Status mine = hooks_.status();
-    mine.echo = s->seq;
+    mine.echo = s->sequence;
     const std::string bytes = wire::peer::write_status(mine);
     const Instant write_by = loop_.now() + kAnswerTime;
     if (!co_await socket.write_all(bytes, write_by)) co_return;
@@ -158,7 +159,7 @@
     while (socket.open()) {
       const Instant sent = loop_.now();
       Status mine = hooks_.status();
-      mine.seq = ++link.seq;
+      mine.sequence = ++link.sequence;
       std::string bytes = wire::peer::write_status(mine);
       const wire::peer::Progress progress = hooks_.progress();
       if (!progress.entries.empty()) bytes += wire::peer::write_progress(progress);
@@ -169,7 +170,7 @@
       const auto frame = co_await read_frame(socket, answer_by);
       if (!frame || frame->first != Kind::status) break;
       const auto s = wire::peer::read_status(frame->second);
-      if (!s || s->node != link.peer.node || s->echo != link.seq) break;
+      if (!s || s->node != link.peer.node || s->echo != link.sequence) break;
       take_status(*s, sent);
       // A cancellation goes out at once, with a status of its own.
       if (link.cancelled.empty()) (void)co_await link.wake->wait_until(sent + kPace);
--- a/src/dunlinknot/leadership/peers.hpp
+++ b/src/dunlinknot/leadership/peers.hpp
@@ -18,10 +18,10 @@
  public:
   struct Hooks {
     std::function<wire::peer::Status()> status;  // ours, but for seq and echo
-    std::function<void(const wire::peer::Status&)> heard;
+    std::function<void(const wire::peer::Status&)> status_received;
     std::function<wire::peer::Progress()> progress;  // to send, when leading; may be empty
-    std::function<void(const wire::peer::Progress&)> told;
-    std::function<void(const std::string& job)> cancelled;  // a peer told its user so
+    std::function<void(const wire::peer::Progress&)> progress_received;
+    std::function<void(const std::string& job)> cancellation_received;  // a peer told its user so
   };
 
   Peers(Loop& loop, const settings::Platform& platform, Hooks hooks);
@@ -33,20 +33,20 @@
   std::optional<Instant> vouched_until(Instant since, uint64_t revision) const;
   // Tells the leader, as far as it is known, that a job was cancelled: for speed only, it may get
   // lost and it may come late.
-  void tell_cancelled(const std::string& job);
+  void announce_cancellation(const std::string& job);
   // A peer's answer to our status, which was sent at `sent`.
   void take_status(const wire::peer::Status& s, Instant sent);
   // Some peer said within the last seconds that the state service serves it.
-  bool any_served() const;
+  bool any_peer_reaches_store() const;
   // Some peer said within the last seconds that workers reach it.
-  bool any_reports() const;
+  bool any_peer_receives_heartbeats() const;
 
  private:
   struct Link {
     settings::Peer peer;
-    uint64_t seq = 0;  // of our last status on the outgoing connection
+    uint64_t sequence = 0;  // of our last status on the outgoing connection
     std::optional<wire::peer::Status> last;
-    Instant heard_at{};
+    Instant received_at{};
     Instant confirmed_to{};  // its answer was made after this moment
     std::unique_ptr<Signal> wake;
     std::deque<std::string> cancelled;  // to be told
--- a/src/dunlinknot/node/cluster_report.cpp
+++ b/src/dunlinknot/node/cluster_summary.cpp
@@ -1,4 +1,4 @@
-#include "dunlinknot/node/cluster_report.hpp"
+#include "dunlinknot/node/cluster_summary.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -11,7 +11,7 @@
 using cluster::Phase;
 
 bool is_up(const Machine& h) {
-  return h.heard && !h.lost;
+  return h.has_heartbeat && !h.lost;
 }
 
 void add_allocation(ClusterTotals& totals, const Allocation& b) {
@@ -95,7 +95,7 @@
 void log_restarts(const cluster::ReplicaRestarts& r) {
   if (r.machine_lost + r.moved + r.preempted + r.ended == 0) return;
   spdlog::info(
-      "replicas run again since the take-over: {} machine lost, {} moved, {} preempted, {} ended",
+      "replicas run again since the failover: {} machine lost, {} moved, {} preempted, {} ended",
       r.machine_lost, r.moved, r.preempted, r.ended);
 }
 
--- a/src/dunlinknot/node/cluster_report.hpp
+++ b/src/dunlinknot/node/cluster_summary.hpp
@@ -20,7 +20,8 @@
   size_t in_transition = 0;  // starting or stopping
   size_t queued = 0;
   size_t waiting = 0;
-  // Allocations that wait for their record to be written, for a report to answer, for the worker.
+  // Allocations that wait for their record to be written, for a heartbeat to answer, for the
+  // worker.
   size_t planned = 0;
   size_t durable = 0;
   size_t sent = 0;
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -2,7 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
-#include "dunlinknot/node/cluster_report.hpp"
+#include "dunlinknot/node/cluster_summary.hpp"
 #include "dunlinknot/scheduler/apply.hpp"
 
 namespace dunlinknot::node {
@@ -17,7 +17,7 @@
 
 constexpr auto kTick = Millis(500);
 constexpr int kRoundRest = 3;  // times what the last round took
-constexpr auto kNoReports = std::chrono::seconds(5);
+constexpr auto kHeartbeatSilence = std::chrono::seconds(5);
 constexpr auto kStateSilent = Millis(1500);
 constexpr auto kStateIdle = Millis(700);
 constexpr auto kProbeTime = Millis(600);  // the load balancer waits 1 s
@@ -53,21 +53,21 @@
       peers_(loop, platform,
              {[this] { return status(); },
               [this](const wire::peer::Status& s) {
-                elector_.heard_of(
+                elector_.observe_epoch(
                     s.epoch, s.leader.empty() ? std::nullopt : std::optional(s.leader), s.node);
               },
               [this] { return progress(); },
               [this](const wire::peer::Progress& p) {
                 if (!elector_.leading()) jobs_.progress().replace(p);
               },
-              [this](const std::string& id) { heard_cancelled(id); }}),
+              [this](const std::string& id) { on_peer_cancellation(id); }}),
       jobs_(loop, state_, platform, op, seed,
-            [this](const std::string& id) { told_cancelled(id); }),
+            [this](const std::string& id) { on_user_cancellation(id); }),
       workers_(
           context_, elector_, [this] { return may_renew(); }, transport),
       allocation_store_(context_, state_,
                         {[this](std::string_view why) {
-                           elector_.heard_of(context_.epoch + 1, std::nullopt, why);
+                           elector_.observe_epoch(context_.epoch + 1, std::nullopt, why);
                          },
                          [this](const std::string& id, uint32_t tasks) {
                            jobs_.finals().put(id, {false, tasks});
@@ -93,7 +93,7 @@
 void Daemon::start_parts() {
   loop_.spawn(learn_catalog());
   loop_.spawn(elector_.run());
-  loop_.spawn(report_counts());
+  loop_.spawn(log_counters());
 }
 
 Task<Response> Daemon::handle(http::Request request) {
@@ -103,7 +103,7 @@
   const bool post = request.method == "POST";
   Response out;
   if (path == "/agent/beat") {
-    if (post) co_return co_await workers_.report(std::move(request.body));
+    if (post) co_return co_await workers_.handle(std::move(request.body));
     out.status = 405;
   } else if (path == "/ready") {
     out.status = 405;
@@ -144,7 +144,7 @@
                               state::Importance::essential);
   }
   if (loop_.now() - state_.last_served() < kStateSilent) co_return true;
-  co_return !peers_.any_served();
+  co_return !peers_.any_peer_reaches_store();
 }
 
 wire::peer::Status Daemon::status() const {
@@ -156,8 +156,8 @@
   s.up = to_millis(now - began_);
   s.state_known = state_.ever_served();
   if (s.state_known) s.state_silent = to_millis(now - state_.last_served());
-  s.reports_known = workers_.ever_reported();
-  if (s.reports_known) s.reports_silent = to_millis(now - workers_.last_report());
+  s.heartbeats_known = workers_.ever_received();
+  if (s.heartbeats_known) s.heartbeats_silent = to_millis(now - workers_.last_heartbeat());
   s.leading = elector_.leading();
   s.cancel_revision = jobs_.cancel_revision();
   return s;
@@ -174,15 +174,15 @@
 
 // The leader stops the job's tasks at once, wherever the user asked: a leader that the state
 // service refuses would hear of it too late to save the work. Only for speed.
-void Daemon::told_cancelled(const std::string& id) {
+void Daemon::on_user_cancellation(const std::string& id) {
   if (elector_.leading()) {
-    heard_cancelled(id);
+    on_peer_cancellation(id);
   } else {
-    peers_.tell_cancelled(id);
+    peers_.announce_cancellation(id);
   }
 }
 
-void Daemon::heard_cancelled(const std::string& id) {
+void Daemon::on_peer_cancellation(const std::string& id) {
   if (elector_.leading() && context_.loaded) allocation_store_.cancelled(id);
 }
 
@@ -295,7 +295,7 @@
                       p.cluster.allocation_count());
   });
   spdlog::info(
-      "take-over of epoch {} done in {} ms: {} open jobs, {} machines with allocations, {} "
+      "failover to epoch {} done in {} ms: {} open jobs, {} machines with allocations, {} "
       "allocations",
       context_.epoch, to_millis(loop_.now() - started).count(), jobs, machines, allocations);
   loop_.spawn(allocation_store_.watch_jobs(term));
@@ -327,15 +327,15 @@
       // Cut off from the workers while they reach our peers: another node can serve them. That they
       // leave a leader that may not renew their leases is another matter.
       if (!may_renew()) began = now;
-      const Instant heard = std::max(workers_.last_own_report(), began);
-      if (now - heard > kNoReports && peers_.any_reports()) {
+      const Instant last_heartbeat = std::max(workers_.last_answered_heartbeat(), began);
+      if (now - last_heartbeat > kHeartbeatSilence && peers_.any_peer_receives_heartbeats()) {
         elector_.resign("no worker reaches this node, but they reach others");
         co_return;
       }
     }
     if (elector_.may_start()) one_round(now);
     // The more a round takes, the longer the pause: rounds leave most of the processor to the
-    // workers' reports and the users, however large the cluster.
+    // workers' heartbeats and the users, however large the cluster.
     const Nanos took = loop_.now() - now;
     co_await loop_.sleep(
         std::clamp<Nanos>(took * kRoundRest, to_nanos(op_.round_pause), kTick * 3));
@@ -376,7 +376,7 @@
   });
 }
 
-void Daemon::report_cluster() {
+void Daemon::log_cluster_summary() {
   const bool by_type = spdlog::should_log(spdlog::level::debug);
   ClusterTotals totals;
   std::map<std::string, MachineTypeTotals> types;
@@ -392,7 +392,7 @@
 }
 
 // Refusals and the like are counted, not told one by one.
-Task<void> Daemon::report_counts() {
+Task<void> Daemon::log_counters() {
   uint64_t accepted = 0, refused = 0, throttled = 0, away = 0, evictions = 0;
   for (;;) {
     co_await loop_.sleep(std::chrono::seconds(30));
@@ -404,7 +404,7 @@
         "{} evictions; {} connections open",
         a - accepted, r - refused, t - throttled, w - away, e - evictions,
         server_ ? server_->connections() : 0);
-    if (elector_.leading() && context_.loaded) report_cluster();
+    if (elector_.leading() && context_.loaded) log_cluster_summary();
     accepted = a, refused = r, throttled = t, away = w, evictions = e;
   }
 }
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -10,7 +10,7 @@
 #include "dunlinknot/leadership/elector.hpp"
 #include "dunlinknot/leadership/peers.hpp"
 #include "dunlinknot/roles/singleton_roles.hpp"
-#include "dunlinknot/workers/report_handler.hpp"
+#include "dunlinknot/workers/heartbeat_handler.hpp"
 
 namespace dunlinknot::node {
 
@@ -32,7 +32,7 @@
   leadership::Peers& peers() { return peers_; }
   const roles::SingletonRoles* roles() const { return roles_.get(); }
   wire::peer::Status status() const;
-  void heard_cancelled(const std::string& id);  // a peer told its user so
+  void on_peer_cancellation(const std::string& id);  // a peer told its user so
 
  private:
   void gained(const leadership::Term& term);
@@ -43,14 +43,14 @@
   void log_waiting(const scheduler::Plan& plan, Instant now);
   Task<void> learn_catalog();
   Task<void> keep_catalog(uint64_t term);
-  Task<void> report_counts();
-  void report_cluster();
+  Task<void> log_counters();
+  void log_cluster_summary();
   Task<bool> ready();
   std::optional<std::vector<state::Guard>> cleanup_guards() const;
   void take_cleanup_result(const state::TxnResult& result, Instant sent);
   wire::peer::Progress progress();
   bool may_renew() const;
-  void told_cancelled(const std::string& id);
+  void on_user_cancellation(const std::string& id);
 
   Loop& loop_;
   const settings::Platform& platform_;
@@ -62,7 +62,7 @@
   leadership::Elector elector_;
   leadership::Peers peers_;
   jobs::RequestHandler jobs_;
-  workers::ReportHandler workers_;
+  workers::HeartbeatHandler workers_;
   cluster::AllocationStore allocation_store_;
   std::unique_ptr<roles::SingletonRoles> roles_;  // null when they are off
   autoscaler::Autoscaler autoscaler_;
--- a/src/dunlinknot/scheduler/round.cpp
+++ b/src/dunlinknot/scheduler/round.cpp
@@ -36,7 +36,9 @@
   // suffice for one task at a time, every freed place goes to whatever is due first.
   const double write_rps = platform_.lowest_state_write_rps();
   queue_span_ = static_cast<double>(slots_.size()) / (write_rps * kQueuedWriteShare);
-  queue_span_ = queue_span_ < platform_.report.count() ? 0 : std::min(queue_span_, kMostQueueSpan);
+  queue_span_ = queue_span_ < platform_.heartbeat_interval.count()
+                    ? 0
+                    : std::min(queue_span_, kMostQueueSpan);
   for (const auto& [id, j] : cluster_.jobs()) {
     if (j->spec().need.gpus <= 0 || j->pending() == 0 || j->team() < 0) continue;
     // What waits for its team's limit rather than for a place wants none; tasks that just ended
@@ -68,23 +70,23 @@
 }
 
 bool Round::usable(const Machine& h) const {
-  if (!h.heard || h.lost || h.draining || h.terminating || h.listed_failed || h.recall_at) {
+  if (!h.has_heartbeat || h.lost || h.draining || h.terminating || h.listed_failed || h.recall_at) {
     return false;
   }
-  // Only a report with our fencing token proves that the machine is alive under us: one without may
-  // be a late copy, of a machine that was deleted long ago even. And only a machine that hears our
-  // answers can be given anything.
+  // Only a heartbeat with our fencing token proves that the machine is alive under us: one without
+  // may be a late copy, of a machine that was deleted long ago even. And only a machine that hears
+  // our answers can be given anything.
   if (!h.ours || h.unreachable) return false;
-  return heard_of_late(h);
+  return heartbeat_is_recent(h);
 }
 
-bool Round::heard_of_late(const Machine& h) const {
-  return now_ - h.last_heard < to_nanos(platform_.report * 2 + Seconds(1));
+bool Round::heartbeat_is_recent(const Machine& h) const {
+  return now_ - h.last_heartbeat < to_nanos(platform_.heartbeat_interval * 2 + Seconds(1));
 }
 
 bool Round::expected_up(const Machine& h) const {
   if (h.draining || h.terminating || h.listed_failed) return false;
-  return !h.heard || (!h.ours && !h.lost && !h.recall_at && heard_of_late(h));
+  return !h.has_heartbeat || (!h.ours && !h.lost && !h.recall_at && heartbeat_is_recent(h));
 }
 
 void Round::collect() {
--- a/src/dunlinknot/scheduler/round.hpp
+++ b/src/dunlinknot/scheduler/round.hpp
@@ -99,7 +99,7 @@
   // --- preparation
   bool usable(const Machine& h) const;
 
-  bool heard_of_late(const Machine& h) const;
+  bool heartbeat_is_recent(const Machine& h) const;
 
   // Not up yet, or just up and about to bear our fencing token: counted on, so that nothing is
   // launched in its place for that moment.
--- a/src/dunlinknot/settings/settings.cpp
+++ b/src/dunlinknot/settings/settings.cpp
@@ -181,12 +181,13 @@
 void read_workers(const TomlReader& in, const toml::table& params, Platform& p) {
   const toml::table& workers = in.table(params, "workers", "params.workers");
   const std::string at = "params.workers.";
-  p.report = duration(in, workers, "report_s", at, 0.01);
+  p.heartbeat_interval = duration(in, workers, "report_s", at, 0.01);
   p.lease = duration(in, workers, "lease_s", at, 0.1);
   p.gang_wait = duration(in, workers, "gang_wait_s", at, 0);
   p.gang_peer = duration(in, workers, "gang_peer_s", at, 0);
   p.cancel = duration(in, workers, "cancel_s", at, 0.1);
-  if (p.lease <= p.report) in.fail("params.workers.lease_s", "must be longer than report_s");
+  if (p.lease <= p.heartbeat_interval)
+    in.fail("params.workers.lease_s", "must be longer than report_s");
 }
 
 constexpr double kBytesPerKb = 1024;
--- a/src/dunlinknot/settings/settings.hpp
+++ b/src/dunlinknot/settings/settings.hpp
@@ -60,7 +60,7 @@
   std::vector<Team> teams;
   std::vector<Objective> objectives;
 
-  Seconds report{0};
+  Seconds heartbeat_interval{0};
   Seconds lease{0};
   Seconds gang_wait{0};
   Seconds gang_peer{0};
--- a/src/dunlinknot/wire/messages.cpp
+++ b/src/dunlinknot/wire/messages.cpp
@@ -218,11 +218,11 @@
   return w.take();
 }
 
-std::optional<WorkerReport> read_report(std::string_view body) {
+std::optional<Heartbeat> read_heartbeat(std::string_view body) {
   const auto doc = Document::parse(body);
   if (!doc) return std::nullopt;
   const View r = doc->root();
-  WorkerReport b;
+  Heartbeat b;
   const auto name = [&](const char* field, std::string& into) {
     const auto t = r[field].text();
     if (!t || !plain_text(*t, 150)) return false;
@@ -235,11 +235,11 @@
   }
   const auto spot = r["loaners"].flag();
   const auto incarnation = r["shift"].count();
-  const auto seq = r["tally"].count();
-  if (!spot || !incarnation || !seq) return std::nullopt;
+  const auto sequence = r["tally"].count();
+  if (!spot || !incarnation || !sequence) return std::nullopt;
   b.spot = *spot;
   b.incarnation = *incarnation;
-  b.seq = *seq;
+  b.sequence = *sequence;
   b.fencing_token = r["baton"].count().value_or(0);
   if (!r["recallS"].null()) {
     const auto s = r["recallS"].amount();
@@ -251,12 +251,12 @@
   b.tasks.reserve(tasks.size());
   for (size_t i = 0; i < tasks.size(); ++i) {
     const View t = tasks.at(i);
-    TaskReport out;
+    TaskStatus out;
     const auto ref = t["piece"].text();
     const auto parsed = ref ? TaskRef::parse(*ref) : std::nullopt;
     const auto attempt = t["try"].count();
     const auto state = value_of(kTaskStates, t["standing"].text());
-    // A report that can't be read in full proves nothing about what is not in it: drop it whole.
+    // A heartbeat that can't be read in full proves nothing about what is not in it: drop it whole.
     if (!parsed || !attempt || !state) return std::nullopt;
     out.task = *parsed;
     out.attempt = *attempt;
@@ -270,11 +270,11 @@
   return b;
 }
 
-std::string write_report(const WorkerReport& b) {
+std::string write_heartbeat(const Heartbeat& b) {
   Writer w;
   w.map(10).key("host").text(b.machine).key("address").text(b.address).key("rig").text(b.type);
   w.key("yard").text(b.zone).key("loaners").flag(b.spot).key("shift").count(b.incarnation);
-  w.key("tally").count(b.seq).key("baton").count(b.fencing_token).key("recallS");
+  w.key("tally").count(b.sequence).key("baton").count(b.fencing_token).key("recallS");
   b.notice ? w.amount(b.notice->count()) : w.null();
   w.key("pieces").list(b.tasks.size());
   for (const auto& t : b.tasks) {
@@ -286,8 +286,8 @@
   return w.take();
 }
 
-std::string write_orders(uint64_t fencing_token, std::optional<uint64_t> incarnation,
-                         const std::vector<Command>& commands) {
+std::string write_commands(uint64_t fencing_token, std::optional<uint64_t> incarnation,
+                           const std::vector<Command>& commands) {
   Writer w;
   w.map(incarnation ? 3 : 2).key("baton").count(fencing_token);
   if (incarnation) w.key("shift").count(*incarnation);
--- a/src/dunlinknot/wire/messages.hpp
+++ b/src/dunlinknot/wire/messages.hpp
@@ -86,7 +86,7 @@
   auto operator<=>(const TaskRef&) const = default;
 };
 
-struct TaskReport {
+struct TaskStatus {
   TaskRef task;
   uint64_t attempt = 0;
   TaskState state = TaskState::fetching;
@@ -94,17 +94,17 @@
   bool saved = false;
 };
 
-struct WorkerReport {
+struct Heartbeat {
   std::string machine;
   std::string address;
   std::string type;
   std::string zone;
   bool spot = false;
   uint64_t incarnation = 0;
-  uint64_t seq = 0;
+  uint64_t sequence = 0;
   uint64_t fencing_token = 0;
   std::optional<Seconds> notice;
-  std::vector<TaskReport> tasks;
+  std::vector<TaskStatus> tasks;
 };
 
 struct Command {
@@ -152,10 +152,10 @@
 std::string write_standing(const JobStanding& s, bool with_counts);
 std::string write_error(std::string_view text);
 
-std::optional<WorkerReport> read_report(std::string_view body);
-std::string write_report(const WorkerReport& b);  // for scripted workers
-std::string write_orders(uint64_t fencing_token, std::optional<uint64_t> incarnation,
-                         const std::vector<Command>& commands);
+std::optional<Heartbeat> read_heartbeat(std::string_view body);
+std::string write_heartbeat(const Heartbeat& b);  // for scripted workers
+std::string write_commands(uint64_t fencing_token, std::optional<uint64_t> incarnation,
+                           const std::vector<Command>& commands);
 std::string write_misdirected(const std::optional<std::string>& leader);
 
 std::optional<std::vector<MachineType>> read_catalog(std::string_view body);
--- a/src/dunlinknot/wire/peer.hpp
+++ b/src/dunlinknot/wire/peer.hpp
@@ -34,17 +34,17 @@
 };
 
 struct Status {
-  uint64_t seq = 0;    // of the sender
-  uint64_t echo = 0;   // the last seq it has seen from the receiver
-  uint64_t epoch = 0;  // the highest leadership it knows of
+  uint64_t sequence = 0;  // of the sender
+  uint64_t echo = 0;      // the last seq it has seen from the receiver
+  uint64_t epoch = 0;     // the highest leadership it knows of
   // The latest revision of a cancellation that it has read or written since its process began.
   uint64_t cancel_revision = 0;
-  Millis state_silent{0};    // since the state service last served it
-  Millis up{0};              // since its process began
-  Millis reports_silent{0};  // since a worker last reached it
+  Millis state_silent{0};       // since the state service last served it
+  Millis up{0};                 // since its process began
+  Millis heartbeats_silent{0};  // since a worker last reached it
   bool leading = false;
   bool state_known = false;  // the state service has served it since it began
-  bool reports_known = false;
+  bool heartbeats_known = false;
   std::string node;
   std::string leader;  // the node leading `epoch`, if known
 };
--- a/src/dunlinknot/workers/report_handler.cpp
+++ b/src/dunlinknot/workers/heartbeat_handler.cpp
@@ -1,12 +1,12 @@
-#include "dunlinknot/workers/report_handler.hpp"
+#include "dunlinknot/workers/heartbeat_handler.hpp"
 
 #include <spdlog/spdlog.h>
 
 namespace dunlinknot::workers {
 
 using cluster::Effects;
+using cluster::HeartbeatResponse;
 using cluster::LeaderState;
-using cluster::ReportResponse;
 using http::Outcome;
 
 namespace {
@@ -15,17 +15,17 @@
 constexpr auto kMostRunWait = Millis(1000);  // far below what a worker waits for an answer
 }  // namespace
 
-ReportHandler::ReportHandler(cluster::LeaderContext& context, leadership::Elector& elector,
-                             std::function<bool()> may_renew, http::Transport& transport)
+HeartbeatHandler::HeartbeatHandler(cluster::LeaderContext& context, leadership::Elector& elector,
+                                   std::function<bool()> may_renew, http::Transport& transport)
     : context_(context),
       elector_(elector),
       may_renew_(std::move(may_renew)),
       transport_(transport) {}
 
-Task<http::Response> ReportHandler::report(std::string body) {
+Task<http::Response> HeartbeatHandler::handle(std::string body) {
   http::Response out;
   const Instant now = context_.loop.now();
-  last_report_ = now;
+  last_heartbeat_ = now;
   ever_ = true;
   if (!elector_.leading()) {
     out.status = 421;
@@ -37,52 +37,56 @@
     out.status = 503;
     co_return out;
   }
-  const auto report = wire::read_report(body);
-  if (!report) {
-    if (++bad_ % 100 == 1) spdlog::info("unreadable reports so far: {}", bad_);
+  const auto heartbeat = wire::read_heartbeat(body);
+  if (!heartbeat) {
+    if (++bad_ % 100 == 1) spdlog::info("unreadable heartbeats so far: {}", bad_);
     out.status = 400;
     co_return out;
   }
   Effects effects;
-  ReportResponse answer = context_.leader_state.with(
-      [&](LeaderState& p) { return p.cluster.hear(*report, now, elector_.may_start(), effects); });
+  HeartbeatResponse answer = context_.leader_state.with([&](LeaderState& p) {
+    return p.cluster.apply_heartbeat(*heartbeat, now, elector_.may_start(), effects);
+  });
   context_.follow_up(effects);
-  if (answer.kind == ReportResponse::Kind::accept) {
+  if (answer.kind == HeartbeatResponse::Kind::accept) {
     if (answer.run_soon) {
       // A `run` travels only in an answer, and the next one would be a whole period away.
       const uint64_t term = context_.term;
-      co_await await_run(report->machine);
+      co_await await_run(heartbeat->machine);
       if (!context_.in_term(term) || !context_.loaded || !may_renew_()) {
         out.status = 503;
         co_return out;
       }
     }
     const bool starts = answer.read && elector_.may_start();
-    answer = context_.leader_state.with(
-        [&](LeaderState& p) { return p.cluster.orders(*report, context_.loop.now(), starts); });
+    answer = context_.leader_state.with([&](LeaderState& p) {
+      return p.cluster.commands_for(*heartbeat, context_.loop.now(), starts);
+    });
   }
   switch (answer.kind) {
-    case ReportResponse::Kind::superseded:
-      elector_.heard_of(report->fencing_token, std::nullopt, "worker " + report->machine);
+    case HeartbeatResponse::Kind::superseded:
+      elector_.observe_epoch(heartbeat->fencing_token, std::nullopt,
+                             "worker " + heartbeat->machine);
       out.status = 421;
       out.body = wire::write_misdirected(elector_.known_leader());
       co_return out;
-    case ReportResponse::Kind::stale:
+    case HeartbeatResponse::Kind::stale:
       out.status = 503;
       co_return out;
-    case ReportResponse::Kind::accept:
+    case HeartbeatResponse::Kind::accept:
       break;
   }
-  last_own_report_ = now;
-  out.body = wire::write_orders(context_.epoch, std::nullopt, answer.commands);
+  last_answered_heartbeat_ = now;
+  out.body = wire::write_commands(context_.epoch, std::nullopt, answer.commands);
   co_return out;
 }
 
-Task<void> ReportHandler::await_run(std::string machine) {
+Task<void> HeartbeatHandler::await_run(std::string machine) {
   Signal signal(context_.loop);
   if (const auto it = waiting_.find(machine); it != waiting_.end()) it->second->notify();
   waiting_[machine] = &signal;
-  const Nanos most = std::min<Nanos>(kMostRunWait, to_nanos(context_.platform.report / 4));
+  const Nanos most =
+      std::min<Nanos>(kMostRunWait, to_nanos(context_.platform.heartbeat_interval / 4));
   const Instant until = context_.loop.now() + most;
   (void)co_await signal.wait_until(until);
   if (const auto it = waiting_.find(machine); it != waiting_.end() && it->second == &signal) {
@@ -90,7 +94,7 @@
   }
 }
 
-Task<void> ReportHandler::release_responses(uint64_t term) {
+Task<void> HeartbeatHandler::release_responses(uint64_t term) {
   while (context_.in_term(term)) {
     (void)co_await context_.runs.wait();
     if (!context_.in_term(term)) co_return;
@@ -101,20 +105,20 @@
   }
 }
 
-Task<void> ReportHandler::call_stops(uint64_t term) {
+Task<void> HeartbeatHandler::call_stops(uint64_t term) {
   while (context_.in_term(term)) {
     (void)co_await context_.stops.wait();
     if (!context_.in_term(term)) co_return;
     auto calls =
         context_.leader_state.with([](LeaderState& p) { return p.cluster.take_stop_calls(); });
     for (auto& call : calls) {
-      // Over the limit the reports alone carry the stops.
+      // Over the limit the heartbeats alone carry the stops.
       if (calling_ < kMaxCalls) context_.loop.spawn(call_stop(term, std::move(call)));
     }
   }
 }
 
-Task<void> ReportHandler::call_stop(uint64_t term, cluster::StopCall call) {
+Task<void> HeartbeatHandler::call_stop(uint64_t term, cluster::StopCall call) {
   const auto to = http::Endpoint::parse(call.address);
   if (!to) co_return;
   ++calling_;
@@ -122,26 +126,28 @@
   c.to = *to;
   c.method = "POST";
   c.target = "/do";
-  c.body = wire::write_orders(context_.epoch, call.incarnation, call.commands);
+  c.body = wire::write_commands(context_.epoch, call.incarnation, call.commands);
   c.deadline = context_.loop.now() + kStopTime;
   c.keep = false;
   http::Reply r = co_await transport_.exchange(std::move(c));
   --calling_;
   if (!context_.in_term(term)) co_return;
   if (r.outcome == Outcome::ok && (r.status == 200 || r.status == 409)) {
-    if (const auto report = wire::read_report(r.body)) {
-      if (report->fencing_token > context_.epoch) {
-        elector_.heard_of(report->fencing_token, std::nullopt, "worker " + report->machine);
+    if (const auto heartbeat = wire::read_heartbeat(r.body)) {
+      if (heartbeat->fencing_token > context_.epoch) {
+        elector_.observe_epoch(heartbeat->fencing_token, std::nullopt,
+                               "worker " + heartbeat->machine);
         co_return;
       }
-      Effects effects = context_.leader_state.with(
-          [&](LeaderState& p) { return p.cluster.on_direct_report(*report, context_.loop.now()); });
+      Effects effects = context_.leader_state.with([&](LeaderState& p) {
+        return p.cluster.apply_direct_status(*heartbeat, context_.loop.now());
+      });
       context_.follow_up(effects);
     }
     if (r.status == 200) co_return;
   }
   // The call failed: the nominations that counted on it are cleared. The stop itself stays ordered
-  // and goes out with the reports, since nobody knows whether the call may still arrive.
+  // and goes out with the heartbeats, since nobody knows whether the call may still arrive.
   std::vector<preemption::Victim> victims;
   for (const auto& k : call.commands) victims.push_back({k.task, k.attempt});
   context_.leader_state.with(
--- a/src/dunlinknot/workers/report_handler.hpp
+++ b/src/dunlinknot/workers/heartbeat_handler.hpp
@@ -1,4 +1,4 @@
-// Dealings with the workers: their reports, and direct calls for stops.
+// Dealings with the workers: their heartbeats, and direct calls for stops.
 #pragma once
 #include <functional>
 #include <unordered_map>
@@ -10,19 +10,21 @@
 
 namespace dunlinknot::workers {
 
-class ReportHandler {
+class HeartbeatHandler {
  public:
   // `may_renew`: whether a worker's lease may still be renewed (safety 2).
-  ReportHandler(cluster::LeaderContext& context, leadership::Elector& elector,
-                std::function<bool()> may_renew, http::Transport& transport);
+  HeartbeatHandler(cluster::LeaderContext& context, leadership::Elector& elector,
+                   std::function<bool()> may_renew, http::Transport& transport);
 
-  Task<http::Response> report(std::string body);
+  Task<http::Response> handle(std::string body);
   Task<void> call_stops(uint64_t term);
   Task<void> release_responses(uint64_t term);  // wakes the answers that wait for a `run`
 
-  bool ever_reported() const { return ever_; }
-  Instant last_report() const { return last_report_; }          // any worker reached us
-  Instant last_own_report() const { return last_own_report_; }  // and we answered it as the leader
+  bool ever_received() const { return ever_; }
+  Instant last_heartbeat() const { return last_heartbeat_; }  // any worker reached us
+  Instant last_answered_heartbeat() const {
+    return last_answered_heartbeat_;
+  }  // and we answered it as the leader
 
  private:
   Task<void> call_stop(uint64_t term, cluster::StopCall call);
@@ -33,8 +35,8 @@
   std::function<bool()> may_renew_;
   http::Transport& transport_;
   bool ever_ = false;
-  Instant last_report_{};
-  Instant last_own_report_{};
+  Instant last_heartbeat_{};
+  Instant last_answered_heartbeat_{};
   uint64_t bad_ = 0;
   size_t calling_ = 0;
   std::unordered_map<std::string, Signal*> waiting_;  // by machine: the answer that waits
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -28,22 +28,22 @@
     c.load_job({std::move(spec), WallTime(Millis(1))}, 10, now);
     return *c.job(id);
   }
-  WorkerReport report(const std::string& vm = "vm-1") {
-    WorkerReport b;
+  Heartbeat heartbeat(const std::string& vm = "vm-1") {
+    Heartbeat b;
     b.machine = vm;
     b.address = "10.0.0.1:9000";
     b.type = "box";
     b.zone = "a";
     b.incarnation = incarnation;
-    b.seq = ++seq;
+    b.sequence = ++sequence;
     b.fencing_token = fencing_token;
     return b;
   }
-  std::vector<Command> send(const WorkerReport& b, bool may_start = true) {
+  std::vector<Command> send(const Heartbeat& b, bool may_start = true) {
     effects = Effects{};
-    return c.on_report(b, now, may_start, effects).commands;
+    return c.handle_heartbeat(b, now, may_start, effects).commands;
   }
-  TaskReport on(const Allocation& b, TaskState s = TaskState::running,
+  TaskStatus on(const Allocation& b, TaskState s = TaskState::running,
                 ExitCause cause = ExitCause::none) {
     return {b.task, b.attempt, s, cause, false};
   }
@@ -63,98 +63,104 @@
   settings::Operator op;
   Cluster c{platform, op};
   Instant now{seconds(100)};
-  uint64_t incarnation = 1, seq = 0, fencing_token = 5, mod_revision = 20;
+  uint64_t incarnation = 1, sequence = 0, fencing_token = 5, mod_revision = 20;
   Effects effects;
 };
 
 TEST_F(ClusterTest, ARunGoesOutOnlyOnceItsAllocationIsDurable) {
   Job& j = add(job("run-000001", 2));
-  send(report());
+  send(heartbeat());
   Machine& h = *c.find_machine("vm-1");
   c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);
-  EXPECT_TRUE(send(report()).empty());
+  EXPECT_TRUE(send(heartbeat()).empty());
   Effects n;
   c.machine_stored(h, c.record_of(h), 21, n);
-  EXPECT_TRUE(send(report(), false).empty()) << "without the state service nothing starts";
-  const auto orders = send(report());
-  ASSERT_EQ(orders.size(), 1u);
-  EXPECT_EQ(orders[0].op, Command::Op::start);
+  EXPECT_TRUE(send(heartbeat(), false).empty()) << "without the state service nothing starts";
+  const auto commands = send(heartbeat());
+  ASSERT_EQ(commands.size(), 1u);
+  EXPECT_EQ(commands[0].op, Command::Op::start);
 }
 
-TEST_F(ClusterTest, AnAnswerWaitsOnlyWhereARunMayComeAndNeverOutlivesItsReport) {
+TEST_F(ClusterTest, AnAnswerWaitsOnlyWhereARunMayComeAndNeverOutlivesItsHeartbeat) {
   // A `run` travels only in answers, and on a large cluster the next one is seconds away.
   Job& j = add(job("run-000001", 8));
-  WorkerReport first = report();
+  Heartbeat first = heartbeat();
   first.fencing_token = 4;
-  EXPECT_FALSE(c.hear(first, now, true, effects).run_soon) << "does not bear our fencing token";
-  EXPECT_FALSE(c.hear(report(), now, true, effects).run_soon) << "nothing waits for a place";
+  EXPECT_FALSE(c.apply_heartbeat(first, now, true, effects).run_soon)
+      << "does not bear our fencing token";
+  EXPECT_FALSE(c.apply_heartbeat(heartbeat(), now, true, effects).run_soon)
+      << "nothing waits for a place";
   c.set_work_waits(true);
-  EXPECT_FALSE(c.hear(report(), now, true, effects).run_soon) << "nothing changed there";
+  EXPECT_FALSE(c.apply_heartbeat(heartbeat(), now, true, effects).run_soon)
+      << "nothing changed there";
   Machine& h = *c.find_machine("vm-1");
   c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);
-  const WorkerReport waiting = report();
-  EXPECT_TRUE(c.hear(waiting, now, true, effects).run_soon) << "its allocation is being written";
+  const Heartbeat waiting = heartbeat();
+  EXPECT_TRUE(c.apply_heartbeat(waiting, now, true, effects).run_soon)
+      << "its allocation is being written";
   Effects n;
   c.machine_stored(h, c.record_of(h), 21, n);
   EXPECT_TRUE(n.runs);
   EXPECT_EQ(c.take_runnable(), std::vector<std::string>{"vm-1"});
-  const WorkerReport newer = report();  // its worker gave the answer up
-  EXPECT_FALSE(c.hear(newer, now, true, effects).run_soon) << "the run goes at once";
-  EXPECT_EQ(c.orders(waiting, now, true).kind, ReportResponse::Kind::stale);
-  EXPECT_TRUE(c.orders(newer, now, false).commands.empty()) << "the state service went meanwhile";
-  ASSERT_EQ(c.orders(newer, now, true).commands.size(), 1u);
+  const Heartbeat newer = heartbeat();  // its worker gave the answer up
+  EXPECT_FALSE(c.apply_heartbeat(newer, now, true, effects).run_soon) << "the run goes at once";
+  EXPECT_EQ(c.commands_for(waiting, now, true).kind, HeartbeatResponse::Kind::stale);
+  EXPECT_TRUE(c.commands_for(newer, now, false).commands.empty())
+      << "the state service went meanwhile";
+  ASSERT_EQ(c.commands_for(newer, now, true).commands.size(), 1u);
   c.remove_machine("vm-1", now);
-  EXPECT_EQ(c.orders(newer, now, true).kind, ReportResponse::Kind::stale) << "deleted meanwhile";
+  EXPECT_EQ(c.commands_for(newer, now, true).kind, HeartbeatResponse::Kind::stale)
+      << "deleted meanwhile";
 }
 
 TEST_F(ClusterTest, ALostResponseIsSaidAgainAndTheAllocationStays) {
   Job& j = add(job("run-000001"));
-  send(report());
+  send(heartbeat());
   durable(j);
-  ASSERT_EQ(send(report()).size(), 1u);
-  const auto again = send(report());  // newer, and without the task: the response was dropped
+  ASSERT_EQ(send(heartbeat()).size(), 1u);
+  const auto again = send(heartbeat());  // newer, and without the task: the response was dropped
   ASSERT_EQ(again.size(), 1u);
   EXPECT_EQ(again[0].op, Command::Op::start);
   EXPECT_EQ(allocated(), 1u);
 }
 
-TEST_F(ClusterTest, ALateReportChangesNothing) {
+TEST_F(ClusterTest, ALateHeartbeatChangesNothing) {
   Job& j = add(job("run-000001"));
-  send(report());
-  const WorkerReport late = report();
+  send(heartbeat());
+  const Heartbeat late = heartbeat();
   const Allocation& b = durable(j);
-  WorkerReport with = report();
+  Heartbeat with = heartbeat();
   send(with);
-  WorkerReport running = report();
+  Heartbeat running = heartbeat();
   running.tasks = {on(b)};
   send(running);
   EXPECT_TRUE(send(late).empty());
   EXPECT_EQ(allocated(), 1u);
-  WorkerReport old_incarnation = late;
+  Heartbeat old_incarnation = late;
   old_incarnation.incarnation = 0;
-  old_incarnation.seq = 1000;
+  old_incarnation.sequence = 1000;
   EXPECT_TRUE(send(old_incarnation).empty());
   EXPECT_EQ(allocated(), 1u);
 }
 
 TEST_F(ClusterTest, ATaskThatVanishesEndsItsAllocationOnlyUnderOurFencingToken) {
   Job& j = add(job("run-000001"));
-  send(report());
+  send(heartbeat());
   const Allocation& b = durable(j);
-  send(report());
-  WorkerReport running = report();
+  send(heartbeat());
+  Heartbeat running = heartbeat();
   running.tasks = {on(b)};
   send(running);
   fencing_token = 4;  // an older leader's fencing token: its commands may still count there
-  send(report());
+  send(heartbeat());
   EXPECT_EQ(allocated(), 1u);
   fencing_token = 5;
-  send(report());
+  send(heartbeat());
   EXPECT_EQ(allocated(), 0u);
   EXPECT_EQ(j.pending(), 1u);
 }
 
-TEST_F(ClusterTest, InheritedAllocationsStayUntilAReportBearsOurFencingToken) {
+TEST_F(ClusterTest, InheritedAllocationsStayUntilAHeartbeatBearsOurFencingToken) {
   Job& j = add(job("run-000001", 2));
   wire::MachineRecord r{
       "box", "a", "10.0.0.1:9000", false, {{"run-000001", "red", {2, 0, 4}, false, {{0, 3}}}}};
@@ -162,19 +168,19 @@
   EXPECT_EQ(c.usage(0).used.cpus, 2);
   EXPECT_EQ(j.pending(), 1u) << "task 0 may run there and may not be started elsewhere";
   fencing_token = 4;
-  send(report());
+  send(heartbeat());
   EXPECT_EQ(allocated(), 1u) << "the former leader's `run` may still arrive";
   fencing_token = 5;
-  send(report());
+  send(heartbeat());
   EXPECT_EQ(allocated(), 0u);
   EXPECT_EQ(j.pending(), 2u);
 }
 
 TEST_F(ClusterTest, ASilentWorkerIsTimedOutFromWhatWeAnsweredLast) {
   Job& j = add(job("run-000001"));
-  send(report());
+  send(heartbeat());
   durable(j);
-  send(report());
+  send(heartbeat());
   const Instant answered = now;
   now = answered + seconds(14);
   c.expire(now);
@@ -183,11 +189,13 @@
   c.expire(now);
   EXPECT_EQ(allocated(), 0u);
   EXPECT_TRUE(c.find_machine("vm-1")->lost);
-  // A report of the old incarnation that was held up on its way brings nothing back.
-  EXPECT_EQ(c.on_report(report(), now, true, effects).kind, ReportResponse::Kind::stale);
+  // A heartbeat of the old incarnation that was held up on its way brings nothing back.
+  EXPECT_EQ(c.handle_heartbeat(heartbeat(), now, true, effects).kind,
+            HeartbeatResponse::Kind::stale);
   incarnation = 2;
-  seq = 0;
-  EXPECT_EQ(c.on_report(report(), now, true, effects).kind, ReportResponse::Kind::accept);
+  sequence = 0;
+  EXPECT_EQ(c.handle_heartbeat(heartbeat(), now, true, effects).kind,
+            HeartbeatResponse::Kind::accept);
 }
 
 TEST_F(ClusterTest, ANewLeaderWaitsForTheBlindWindowOfTheOldOne) {
@@ -204,53 +212,54 @@
   EXPECT_LT(wait + seconds(1), to_nanos(platform.cancel));
 }
 
-TEST_F(ClusterTest, DeletingAMachineEndsWhatWasOnItAndItsLateReportsAreNotBelieved) {
+TEST_F(ClusterTest, DeletingAMachineEndsWhatWasOnItAndItsLateHeartbeatsAreNotBelieved) {
   Job& j = add(job("run-000001"));
-  send(report());
+  send(heartbeat());
   durable(j);
   c.remove_machine("vm-1", now);
   EXPECT_EQ(j.pending(), 1u);
   EXPECT_EQ(c.usage(0).used.cpus, 0);
-  EXPECT_EQ(c.on_report(report(), now, true, effects).kind, ReportResponse::Kind::stale);
+  EXPECT_EQ(c.handle_heartbeat(heartbeat(), now, true, effects).kind,
+            HeartbeatResponse::Kind::stale);
   EXPECT_EQ(c.find_machine("vm-1"), nullptr);
   EXPECT_EQ(c.take_dead_records().size(), 1u);
 }
 
 TEST_F(ClusterTest, ANewIncarnationEndsWhatWasSentInTheOldOne) {
   Job& j = add(job("run-000001", 2));
-  send(report());
+  send(heartbeat());
   durable(j);
-  send(report());
+  send(heartbeat());
   incarnation = 2;
-  seq = 0;
-  EXPECT_TRUE(send(report()).empty());
+  sequence = 0;
+  EXPECT_TRUE(send(heartbeat()).empty());
   EXPECT_EQ(allocated(), 0u);
   EXPECT_EQ(j.pending(), 2u);
 }
 
 TEST_F(ClusterTest, ADoneTaskIsForgottenOnlyWhenItsCompletionIsDurable) {
   Job& j = add(job("run-000001", 2));
-  send(report());
+  send(heartbeat());
   const Allocation b = durable(j);
-  send(report());
-  WorkerReport ended = report();
+  send(heartbeat());
+  Heartbeat ended = heartbeat();
   ended.tasks = {on(b, TaskState::exited, ExitCause::done)};
   EXPECT_TRUE(send(ended).empty());
   EXPECT_TRUE(effects.store_done);
   EXPECT_EQ(j.done_count(), 1u);
   j.chunk_stored(0, j.done_bits(), 30);
-  ended.seq = ++seq;
-  const auto orders = send(ended);
-  ASSERT_EQ(orders.size(), 1u);
-  EXPECT_EQ(orders[0].op, Command::Op::forget);
+  ended.sequence = ++sequence;
+  const auto commands = send(ended);
+  ASSERT_EQ(commands.size(), 1u);
+  EXPECT_EQ(commands[0].op, Command::Op::forget);
 }
 
 TEST_F(ClusterTest, ACancelledJobIsStoppedEverywhereAndStaysAllocatedUntilGone) {
   Job& j = add(job("run-000001", 3));
-  send(report());
+  send(heartbeat());
   const Allocation running = durable(j);
-  send(report());
-  WorkerReport b = report();
+  send(heartbeat());
+  Heartbeat b = heartbeat();
   b.tasks = {on(running)};
   send(b);
   durable(j);  // its run has not gone out
@@ -260,22 +269,22 @@
   const auto calls = c.take_stop_calls();
   ASSERT_EQ(calls.size(), 1u);
   EXPECT_EQ(calls[0].commands[0].grace, Seconds(0));
-  b.seq = ++seq;
-  const auto orders = send(b);
-  ASSERT_EQ(orders.size(), 1u);
-  EXPECT_EQ(orders[0].op, Command::Op::stop);
-  send(report());
+  b.sequence = ++sequence;
+  const auto commands = send(b);
+  ASSERT_EQ(commands.size(), 1u);
+  EXPECT_EQ(commands[0].op, Command::Op::stop);
+  send(heartbeat());
   EXPECT_EQ(allocated(), 0u);
   EXPECT_EQ(c.usage(0).used.cpus, 0);
 }
 
 TEST_F(ClusterTest, AReturningMachineWithTasksOfAClosedJobIsToldToStopThem) {
-  WorkerReport b = report();
+  Heartbeat b = heartbeat();
   b.tasks = {{{"run-000009", 0}, 3, TaskState::running, ExitCause::none, false}};
-  const auto orders = send(b);
-  ASSERT_EQ(orders.size(), 1u);
-  EXPECT_EQ(orders[0].op, Command::Op::stop);
-  EXPECT_EQ(orders[0].grace, Seconds(0));
+  const auto commands = send(b);
+  ASSERT_EQ(commands.size(), 1u);
+  EXPECT_EQ(commands[0].op, Command::Op::stop);
+  EXPECT_EQ(commands[0].grace, Seconds(0));
   EXPECT_EQ(allocated(), 1u);
 }
 
@@ -283,8 +292,8 @@
   JobSpec g = job("run-000001", 2);
   g.gang = true;
   Job& j = add(g);
-  send(report("vm-1"));
-  send(report("vm-2"));
+  send(heartbeat("vm-1"));
+  send(heartbeat("vm-2"));
   const uint64_t attempt = c.next_attempt();
   Machine& h1 = *c.find_machine("vm-1");
   Machine& h2 = *c.find_machine("vm-2");
@@ -292,11 +301,11 @@
   c.allocate(h2, j, *j.take_pending(), attempt, now);
   Effects n;
   c.machine_stored(h1, c.record_of(h1), 21, n);
-  EXPECT_TRUE(send(report("vm-1")).empty()) << "the other allocation does not stand yet";
+  EXPECT_TRUE(send(heartbeat("vm-1")).empty()) << "the other allocation does not stand yet";
   c.machine_stored(h2, c.record_of(h2), 22, n);
-  EXPECT_EQ(send(report("vm-1")).size(), 1u);
-  EXPECT_EQ(send(report("vm-2")).size(), 1u);
-  WorkerReport b1 = report("vm-1");
+  EXPECT_EQ(send(heartbeat("vm-1")).size(), 1u);
+  EXPECT_EQ(send(heartbeat("vm-2")).size(), 1u);
+  Heartbeat b1 = heartbeat("vm-1");
   b1.tasks = {on(h1.allocations[0], TaskState::waiting)};
   send(b1);
   // One machine goes: the rest is stopped at once, and nothing starts before all of it is gone.
@@ -305,7 +314,7 @@
   const auto calls = c.take_stop_calls();
   ASSERT_EQ(calls.size(), 1u);
   EXPECT_EQ(calls[0].machine, "vm-1");
-  send(report("vm-1"));
+  send(heartbeat("vm-1"));
   EXPECT_FALSE(j.any_live());
   EXPECT_EQ(j.pending(), 2u);
 }
@@ -315,10 +324,10 @@
   for (int i = 1; i <= 3; ++i) {
     const std::string vm = "vm-" + std::to_string(i);
     for (int k = 0; k < 3; ++k) {
-      send(report(vm));
+      send(heartbeat(vm));
       const Allocation b = durable(j, vm);
-      send(report(vm));
-      WorkerReport ended = report(vm);
+      send(heartbeat(vm));
+      Heartbeat ended = heartbeat(vm);
       ended.tasks = {on(b, TaskState::exited, ExitCause::error)};
       send(ended);
     }
@@ -330,17 +339,17 @@
 
 TEST_F(ClusterTest, AMachineFailingWhatOthersCompleteIsDrained) {
   Job& j = add(job("run-000001", 10));
-  send(report("vm-2"));
+  send(heartbeat("vm-2"));
   const Allocation fine = durable(j, "vm-2");
-  send(report("vm-2"));
-  WorkerReport ok = report("vm-2");
+  send(heartbeat("vm-2"));
+  Heartbeat ok = heartbeat("vm-2");
   ok.tasks = {on(fine, TaskState::exited, ExitCause::done)};
   send(ok);
   for (int k = 0; k < 3; ++k) {
-    send(report());
+    send(heartbeat());
     const Allocation b = durable(j);
-    send(report());
-    WorkerReport ended = report();
+    send(heartbeat());
+    Heartbeat ended = heartbeat();
     ended.tasks = {on(b, TaskState::exited, ExitCause::error)};
     send(ended);
   }
@@ -355,7 +364,7 @@
   for (const int why : {0, 1, 2, 3}) {
     const std::string vm = "vm-" + std::to_string(why + 1);
     Job& j = add(job("run-00000" + std::to_string(why + 1), 2));
-    send(report(vm));
+    send(heartbeat(vm));
     durable(j, vm);
     Machine& h = *c.find_machine(vm);
     c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);  // not even written down
@@ -370,9 +379,10 @@
   }
 }
 
-TEST_F(ClusterTest, AHigherTokenInAReportSupersedesUs) {
+TEST_F(ClusterTest, AHigherTokenInAHeartbeatSupersedesUs) {
   fencing_token = 6;
-  EXPECT_EQ(c.on_report(report(), now, true, effects).kind, ReportResponse::Kind::superseded);
+  EXPECT_EQ(c.handle_heartbeat(heartbeat(), now, true, effects).kind,
+            HeartbeatResponse::Kind::superseded);
 }
 
 TEST_F(ClusterTest, ACheckpointingTaskIsSavedBeforeARecall) {
@@ -380,10 +390,10 @@
   s.checkpoint = Seconds(10);
   s.save = Seconds(3);
   Job& j = add(s);
-  send(report());
+  send(heartbeat());
   const Allocation b = durable(j);
-  send(report());
-  WorkerReport r = report();
+  send(heartbeat());
+  Heartbeat r = heartbeat();
   r.tasks = {on(b)};
   r.notice = Seconds(12);
   send(r);
@@ -404,12 +414,12 @@
   Job& j = add(g);
   const uint64_t attempt = c.next_attempt();
   for (const char* vm : {"vm-1", "vm-2"}) {
-    send(report(vm));
+    send(heartbeat(vm));
     Allocation& b = *c.allocate(*c.find_machine(vm), j, *j.take_pending(), attempt, now);
     b.phase = Phase::seen;
     b.state = TaskState::running;
   }
-  WorkerReport r = report("vm-1");
+  Heartbeat r = heartbeat("vm-1");
   r.tasks = {on(c.find_machine("vm-1")->allocations[0])};
   r.notice = Seconds(6);
   send(r);
@@ -421,7 +431,7 @@
   r.tasks[0].state = TaskState::exited;
   r.tasks[0].cause = ExitCause::stopped;
   r.tasks[0].saved = true;
-  r.seq = ++seq;
+  r.sequence = ++sequence;
   send(r);
   EXPECT_TRUE(c.take_stop_calls().empty());
   EXPECT_TRUE(j.any_live());
@@ -431,7 +441,7 @@
   JobSpec s = job("run-000001", 10'000);
   s.need = {0.001, 0, 0.001};
   Job& j = add(s);
-  send(report());
+  send(heartbeat());
   Machine& h = *c.find_machine("vm-1");
   size_t n = 0;
   const auto room_for_one_more = [&] {
@@ -452,10 +462,10 @@
   EXPECT_LT(wire::write_machine_record(c.record_of(h)).size(), platform.state_limits.value_bytes);
 }
 
-TEST_F(ClusterTest, AQueuedTaskStartsWithTheReportThatTellsOfTheRoom) {
+TEST_F(ClusterTest, AQueuedTaskStartsWithTheHeartbeatThatTellsOfTheRoom) {
   // Found on the grown deployment: one write a task used the state service's budget up.
   Job& j = add(job("run-000001", 2));
-  send(report());
+  send(heartbeat());
   Machine& h = *c.find_machine("vm-1");
   j.mod_revision = 10;
   JobSpec big = job("run-000002", 1);
@@ -469,18 +479,18 @@
   EXPECT_EQ(h.used.cpus, 8) << "what waits takes no room";
   EXPECT_EQ(c.usage(0).used.cpus, 8);
   EXPECT_EQ(j.pending(), 0u);
-  ASSERT_EQ(send(report()).size(), 1u) << "the machine is full";
-  WorkerReport b = report();
+  ASSERT_EQ(send(heartbeat()).size(), 1u) << "the machine is full";
+  Heartbeat b = heartbeat();
   b.tasks = {on(first)};
   EXPECT_TRUE(send(b).empty());
   // The room is there; some of it is promised to a preemptor.
   c.set_held({{"vm-1", {5, 0, 4}}}, {});
-  b = report();
+  b = heartbeat();
   b.tasks = {on(first, TaskState::exited, ExitCause::done)};
-  const auto orders = send(b);
-  ASSERT_EQ(orders.size(), 1u);
-  EXPECT_EQ(orders[0].op, Command::Op::start);
-  EXPECT_EQ(orders[0].task.index, 1u) << "the one whose turn comes first";
+  const auto commands = send(b);
+  ASSERT_EQ(commands.size(), 1u);
+  EXPECT_EQ(commands[0].op, Command::Op::start);
+  EXPECT_EQ(commands[0].task.index, 1u) << "the one whose turn comes first";
   EXPECT_EQ(h.used.cpus, 2);
   EXPECT_EQ(c.usage(0).used.cpus, 2) << "counted from here on";
 }
@@ -488,8 +498,8 @@
 TEST_F(ClusterTest, AMachineThatGoesLeavesNothingHeldBehind) {
   // The next round clears what the last one held: not on a machine that is gone (address
   // sanitizer).
-  send(report());
-  send(report("vm-2"));
+  send(heartbeat());
+  send(heartbeat("vm-2"));
   c.set_held({{"vm-1", {5, 0, 4}}, {"vm-2", {1, 0, 1}}}, {});
   c.remove_machine("vm-1", now);
   c.set_held({}, {});
@@ -501,14 +511,14 @@
   JobSpec s = job("run-000001", 3);
   s.team = "tiny";  // at most 4 cpus
   Job& j = add(s);
-  send(report());
+  send(heartbeat());
   Machine& h = *c.find_machine("vm-1");
   for (int i = 0; i < 3; ++i) {
     c.queue_on(h, j, *j.take_pending(), c.next_attempt(), {}, now);
   }
   Effects n;
   c.machine_stored(h, c.record_of(h), ++mod_revision, n);
-  EXPECT_EQ(send(report()).size(), 2u);
+  EXPECT_EQ(send(heartbeat()).size(), 2u);
   // Saved up for a gang of the team: nothing more of it is given away.
   c.set_held({}, {Resources{}, Resources{}, Resources{4, 0, 0}});
   EXPECT_EQ(j.queued_tasks, 1u);
@@ -516,7 +526,7 @@
 
 TEST_F(ClusterTest, AQueuedTaskLeavesAMachineThatNothingIsHeardOf) {
   Job& j = add(job("run-000001", 2));
-  send(report());
+  send(heartbeat());
   Machine& h = *c.find_machine("vm-1");
   c.queue_on(h, j, *j.take_pending(), c.next_attempt(), {}, now);
   EXPECT_EQ(j.pending(), 1u);
@@ -529,39 +539,39 @@
   EXPECT_TRUE(h.allocations.empty());
 }
 
-TEST_F(ClusterTest, ACopyOfAnAnsweredReportIsNoSignOfLife) {
-  // Copies of reports may come seconds or more than a lease late. One kept a dead machine's
+TEST_F(ClusterTest, ACopyOfAnAnsweredHeartbeatIsNoSignOfLife) {
+  // Copies of heartbeats may come seconds or more than a lease late. One kept a dead machine's
   // allocations, because whatever was answered counted as a renewal.
   Job& j = add(job("run-000001"));
-  send(report());
+  send(heartbeat());
   const Allocation& b = durable(j);
-  const WorkerReport answered = report();
+  const Heartbeat answered = heartbeat();
   send(answered);
-  WorkerReport running = report();
+  Heartbeat running = heartbeat();
   running.tasks = {on(b)};
   send(running);
   for (int i = 0; i < 20; ++i) {
     now += seconds(1);
-    EXPECT_EQ(c.on_report(i % 2 ? answered : running, now, true, effects).kind,
-              ReportResponse::Kind::stale);
+    EXPECT_EQ(c.handle_heartbeat(i % 2 ? answered : running, now, true, effects).kind,
+              HeartbeatResponse::Kind::stale);
     c.expire(now);
   }
   EXPECT_TRUE(c.find_machine("vm-1")->lost);
   EXPECT_EQ(allocated(), 0u);
   // And it stays lost, however many copies come.
-  EXPECT_EQ(c.on_report(running, now, true, effects).kind, ReportResponse::Kind::stale);
+  EXPECT_EQ(c.handle_heartbeat(running, now, true, effects).kind, HeartbeatResponse::Kind::stale);
   EXPECT_TRUE(c.find_machine("vm-1")->lost);
 }
 
 TEST_F(ClusterTest, AMachineThatOurAnswersDoNotReachIsFoundOut) {
-  // Its reports come, so it never falls silent; whatever it is given is lost.
+  // Its heartbeats come, so it never falls silent; whatever it is given is lost.
   Job& j = add(job("run-000001"));
-  send(report());
-  send(report("vm-2"));
+  send(heartbeat());
+  send(heartbeat("vm-2"));
   durable(j);
   for (int i = 0; i < 8; ++i) {
     EXPECT_TRUE(c.unreachable_machines().empty() || i > 2);
-    send(report());
+    send(heartbeat());
     now += Millis(1500);
   }
   EXPECT_EQ(c.unreachable_machines(), std::vector<std::string>{"vm-1"});
@@ -575,39 +585,40 @@
 TEST_F(ClusterTest, AMachineThatWasDeafIsUsedAgainOnceItsIncarnationOutlivesALease) {
   // Found by random scenarios: nothing was sent to it that it could obey, and it stayed marked.
   Job& j = add(job("run-000001"));
-  send(report());
+  send(heartbeat());
   durable(j);
   for (int i = 0; i < 8; ++i) {
-    send(report());
+    send(heartbeat());
     now += Millis(1500);
   }
   ASSERT_TRUE(c.find_machine("vm-1")->unreachable);
   c.tick(now);
-  const auto reports_for = [&](Nanos time) {
+  const auto heartbeats_for = [&](Nanos time) {
     for (Nanos t{0}; t < time; t += Millis(1500)) {
       now += Millis(1500);
-      send(report());
+      send(heartbeat());
     }
   };
   ++incarnation;  // its lease ran out: still deaf
-  reports_for(seconds(13));
+  heartbeats_for(seconds(13));
   EXPECT_TRUE(c.find_machine("vm-1")->unreachable);
   ++incarnation;
-  reports_for(seconds(13));
+  heartbeats_for(seconds(13));
   EXPECT_TRUE(c.find_machine("vm-1")->unreachable);
-  reports_for(seconds(4));  // the same incarnation for longer than a lease: some answer renewed it
+  heartbeats_for(
+      seconds(4));  // the same incarnation for longer than a lease: some answer renewed it
   EXPECT_FALSE(c.find_machine("vm-1")->unreachable);
 }
 
 TEST_F(ClusterTest, AMachineThatObeysLateIsNotTakenForDeaf) {
   Job& j = add(job("run-000001"));
-  send(report());
+  send(heartbeat());
   const Allocation& b = durable(j);
   for (int i = 0; i < 2; ++i) {
-    send(report());
+    send(heartbeat());
     now += seconds(5);
   }
-  WorkerReport running = report();
+  Heartbeat running = heartbeat();
   running.tasks = {on(b)};
   send(running);
   EXPECT_EQ(c.find_machine("vm-1")->suspicions, 0u);
@@ -620,11 +631,11 @@
   Job& j = add(s);
   for (int m = 0; m < 12; ++m) {
     const std::string vm = "vm-" + std::to_string(m);
-    send(report(vm));
+    send(heartbeat(vm));
     durable(j, vm);
   }
   for (int i = 0; i < 10; ++i) {
-    for (int m = 0; m < 12; ++m) send(report("vm-" + std::to_string(m)));
+    for (int m = 0; m < 12; ++m) send(heartbeat("vm-" + std::to_string(m)));
     now += Millis(1500);
   }
   EXPECT_TRUE(c.find_machine("vm-3")->unreachable);
@@ -633,16 +644,16 @@
 
 TEST_F(ClusterTest, AMachineBackWithinAFractionOfASecondHasANewIncarnationAndNoTasks) {
   Job& j = add(job("run-000001"));
-  send(report());
+  send(heartbeat());
   const Allocation& b = durable(j);
-  send(report());
-  WorkerReport running = report();
+  send(heartbeat());
+  Heartbeat running = heartbeat();
   running.tasks = {on(b)};
   send(running);
   now += Millis(300);
   ++incarnation;
-  seq = 0;
-  send(report());
+  sequence = 0;
+  send(heartbeat());
   EXPECT_EQ(allocated(), 0u);
   EXPECT_EQ(j.pending(), 1u);
   EXPECT_TRUE(send(running).empty()) << "a copy from its former life";
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -151,7 +151,7 @@
 TEST_F(Gap, APeersWordStopsTheTasksAtOnce) {
   s.nodes[old]->refused_by_state = true;
   ASSERT_EQ(s.cancel(long_job.id, other).status, 200);
-  s.daemon(old).heard_cancelled(long_job.id);
+  s.daemon(old).on_peer_cancellation(long_job.id);
   s.run_for(seconds(2));
   EXPECT_EQ(on_machines(), 0u);
   expect_rules(s);
@@ -174,21 +174,21 @@
   expect_rules(s);
 }
 
-TEST_F(Gap, AReportOlderThanADirectAnswerIsStillAnsweredWithTheStops) {
+TEST_F(Gap, AHeartbeatOlderThanADirectAnswerIsStillAnsweredWithTheStops) {
   // Its lease was renewed by an answer without them.
   const size_t l = *s.leader();
   auto& w = *s.workers.begin()->second;
   w.mute = true;
   w.refuse_direct = true;
   s.run_for(Millis(1600));
-  const WorkerReport held = w.report();
-  const WorkerReport newer = w.report();
+  const Heartbeat held = w.heartbeat();
+  const Heartbeat newer = w.heartbeat();
   auto& d = s.daemon(l).context();
   d.leader_state.with(
-      [&](cluster::LeaderState& p) { (void)p.cluster.on_direct_report(newer, s.clock.now()); });
+      [&](cluster::LeaderState& p) { (void)p.cluster.apply_direct_status(newer, s.clock.now()); });
   ASSERT_EQ(s.cancel(long_job.id, other).status, 200);
   s.run_for(Millis(200));
-  const http::Response r = s.ask(l, "POST", "/agent/beat", wire::write_report(held));
+  const http::Response r = s.ask(l, "POST", "/agent/beat", wire::write_heartbeat(held));
   ASSERT_EQ(r.status, 200);
   EXPECT_NE(r.body.find("stop"), std::string::npos);
 }
@@ -277,10 +277,10 @@
       s.loop.spawn(one(s, n, "POST", "/v1/jobs", body));
     }
     s.run_for(Millis(300));
-    const std::string told = s.standing(j.id, 0);
-    EXPECT_TRUE(told == "done" || told == "cancelled") << told;
-    EXPECT_EQ(s.standing(j.id, 1), told);
-    EXPECT_EQ(s.standing(j.id, 2), told);
+    const std::string answer = s.standing(j.id, 0);
+    EXPECT_TRUE(answer == "done" || answer == "cancelled") << answer;
+    EXPECT_EQ(s.standing(j.id, 1), answer);
+    EXPECT_EQ(s.standing(j.id, 2), answer);
   }
   s.run_for(seconds(60));
   expect_rules(s);
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -76,9 +76,9 @@
 }
 
 struct AllocationConstraints : test::ZonedCluster {
-  // A report that lists one task, running, whose allocation nobody made.
-  WorkerReport with_orphan(const std::string& id, const std::string& zone, uint32_t index) {
-    WorkerReport out = report(id, zone);
+  // A heartbeat that lists one task, running, whose allocation nobody made.
+  Heartbeat with_orphan(const std::string& id, const std::string& zone, uint32_t index) {
+    Heartbeat out = heartbeat(id, zone);
     out.tasks.push_back({{"run-000001", index}, 77, TaskState::running, ExitCause::none, false});
     return out;
   }
@@ -125,7 +125,7 @@
   Job& j = add(zoned(2, true, false));
   allocate(j, add_machine("vm-1", "a"));
   EXPECT_FALSE(stops_any(send(with_orphan("vm-2", "b", 1)))) << "it is there, and may stay";
-  EXPECT_FALSE(starts_any(send(report("vm-1", "a"))));
+  EXPECT_FALSE(starts_any(send(heartbeat("vm-1", "a"))));
   EXPECT_TRUE(cluster.find_machine("vm-1")->allocations.empty());
   EXPECT_EQ(j.pending(), 1u);
 }
@@ -134,14 +134,14 @@
   Job& j = add(zoned(2, true, false));
   allocate(j, add_machine("vm-1", "a"));
   send(with_orphan("vm-2", "a", 1));
-  EXPECT_TRUE(starts_any(send(report("vm-1", "a"))));
+  EXPECT_TRUE(starts_any(send(heartbeat("vm-1", "a"))));
 }
 
 TEST_F(AllocationConstraints, TheTaskThatAnOrphanIsDoesNotStartElsewhere) {
   Job& j = add(zoned(1, false, false));
   allocate(j, add_machine("vm-1", "a"));
   EXPECT_TRUE(stops_any(send(with_orphan("vm-2", "a", 0))));
-  EXPECT_FALSE(starts_any(send(report("vm-1", "a")))) << "not before the orphan is gone";
+  EXPECT_FALSE(starts_any(send(heartbeat("vm-1", "a")))) << "not before the orphan is gone";
 }
 
 TEST_F(AllocationConstraints, AnOrphanInAnotherZoneThanTheJobsTasksIsStopped) {
@@ -160,9 +160,9 @@
   allocate(j, a, attempt);
   ASSERT_TRUE(j.gang_go);
   EXPECT_TRUE(stops_any(send(with_orphan("vm-2", "b", 1))));
-  EXPECT_FALSE(starts_any(send(report("vm-1", "a"))));
+  EXPECT_FALSE(starts_any(send(heartbeat("vm-1", "a"))));
   EXPECT_TRUE(j.any_live()) << "no attempt begins while the orphan is there";
-  send(report("vm-2", "b"));
+  send(heartbeat("vm-2", "b"));
   EXPECT_FALSE(j.any_live());
 }
 
@@ -174,7 +174,7 @@
   EXPECT_TRUE(j.any_live());
   add_machine("vm-1", "a");
   EXPECT_TRUE(plan().gangs.empty());
-  send(report("vm-2", "b"));
+  send(heartbeat("vm-2", "b"));
   EXPECT_EQ(plan().gangs.size(), 1u);
 }
 
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -29,16 +29,16 @@
     cloud_capacity.refused = {{"box", "a", false}, {"box", "a", true}};
   }
   Machine& machine(const std::string& id) {
-    WorkerReport b;
+    Heartbeat b;
     b.machine = id;
     b.address = "10.0.0.1:9000";
     b.type = "box";
     b.zone = "a";
     b.incarnation = 1;
-    b.seq = ++seq;
+    b.sequence = ++sequence;
     b.fencing_token = 1;
     Effects effects;
-    c.on_report(b, now, false, effects);
+    c.handle_heartbeat(b, now, false, effects);
     return *c.find_machine(id);
   }
   Job& add(const std::string& id, Priority p, double cpus, uint32_t tasks = 1,
@@ -47,7 +47,7 @@
     s.priority = p;
     s.team = team;
     s.need = {cpus, 0, 1};
-    c.load_job({s, WallTime(Millis(seq++))}, 10, now);
+    c.load_job({s, WallTime(Millis(sequence++))}, 10, now);
     return *c.job(id);
   }
   Allocation& run(Job& j, Machine& h) {
@@ -73,21 +73,21 @@
       n.add(e.job, e.machine, e.room, e.priority, e.victims);
     }
   }
-  // The worker's report drops what was stopped.
+  // The worker's heartbeat drops what was stopped.
   void victims_gone(Machine& h) {
-    WorkerReport b;
+    Heartbeat b;
     b.machine = h.id;
     b.address = h.address;
     b.type = "box";
     b.zone = "a";
     b.incarnation = 1;
-    b.seq = seq = std::max(seq, h.seq) + 1;
+    b.sequence = sequence = std::max(sequence, h.sequence) + 1;
     b.fencing_token = 1;
     for (const Allocation& k : h.allocations) {
       if (!k.stopping()) b.tasks.push_back({k.task, k.attempt, TaskState::running, {}, false});
     }
     Effects effects;
-    c.on_report(b, now, false, effects);
+    c.handle_heartbeat(b, now, false, effects);
     n.settle(c);
   }
 
@@ -108,7 +108,7 @@
   Nominations n;
   scheduler::CloudCapacity cloud_capacity;
   Instant now{seconds(100)};
-  uint64_t seq = 1;
+  uint64_t sequence = 1;
 };
 
 TEST_F(PreemptionTest, EvictsOnlyWhenNothingCanBeLaunched) {
@@ -164,7 +164,7 @@
   ASSERT_EQ(n.all().size(), 1u);
   for (int i = 0; i < 3; ++i) {
     now += seconds(30);
-    other.last_heard = h.last_heard = now;
+    other.last_heartbeat = h.last_heartbeat = now;
     EXPECT_TRUE(plan().evictions.empty()) << "no timer makes it try elsewhere";
     EXPECT_EQ(n.all().size(), 1u);
   }
--- a/tests/random_scenario.hpp
+++ b/tests/random_scenario.hpp
@@ -73,7 +73,8 @@
     }
   }
 
-  // Copies of reports that arrive again, at any node, from two seconds to well over a lease late.
+  // Copies of heartbeats that arrive again, at any node, from two seconds to well over a lease
+  // late.
   Task<void> copy_later(std::string body) {
     co_await s.loop.sleep(in(2, 40));
     http::Request r;
@@ -151,11 +152,11 @@
     s.cut.clear();
   }
 
-  Task<void> late_copies_of_reports() {
+  Task<void> late_copies_of_heartbeats() {
     for (int k = 0; k < 30; ++k) {
       for (auto& [id, w] : s.workers) {
         if (w->on && !w->hung && chance(0.3)) {
-          s.loop.spawn(copy_later(wire::write_report(w->report())));
+          s.loop.spawn(copy_later(wire::write_heartbeat(w->heartbeat())));
         }
       }
       co_await s.loop.sleep(in(0.3, 1));
@@ -215,7 +216,7 @@
         co_await reach_one_controller_alone(some, leader);
         break;
       default:
-        co_await late_copies_of_reports();
+        co_await late_copies_of_heartbeats();
         break;
     }
   }
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -201,14 +201,14 @@
     c.set_catalog({box});
   }
   cluster::Machine& machine(const std::string& id) {
-    WorkerReport report;
-    report.machine = id;
-    report.type = "box";
-    report.zone = "a";
-    report.incarnation = 1;
-    report.seq = ++seq;
-    report.fencing_token = 1;
-    (void)c.on_report(report, now, false, effects);
+    Heartbeat heartbeat;
+    heartbeat.machine = id;
+    heartbeat.type = "box";
+    heartbeat.zone = "a";
+    heartbeat.incarnation = 1;
+    heartbeat.sequence = ++sequence;
+    heartbeat.fencing_token = 1;
+    (void)c.handle_heartbeat(heartbeat, now, false, effects);
     return *c.find_machine(id);
   }
   cluster::Job& add(JobSpec spec) {
@@ -234,7 +234,7 @@
   cluster::Effects effects;
   Instant now{seconds(100)};
   WallTime wall{Millis(1'000'000)};
-  uint64_t seq = 0;
+  uint64_t sequence = 0;
 };
 
 TEST_F(ReplicaDecisions, RoomIsLaunchedForAllAtOnceSinceNoPlaceIsUsedTwice) {
@@ -313,24 +313,24 @@
   cluster::Machine& sound = machine("vm-0");
   run(sound, api);
   now += seconds(40);
-  WorkerReport alive;
+  Heartbeat alive;
   alive.machine = "vm-0";
   alive.type = "box";
   alive.zone = "a";
   alive.incarnation = 1;
-  alive.seq = ++seq;
+  alive.sequence = ++sequence;
   alive.fencing_token = 1;
   alive.tasks = {{sound.allocations[0].task, sound.allocations[0].attempt, TaskState::running}};
-  (void)c.on_report(alive, now, false, effects);
+  (void)c.handle_heartbeat(alive, now, false, effects);
   EXPECT_TRUE(api.proven);
   for (int n = 1; n <= 5; ++n) {
     cluster::Machine& sick = machine("vm-" + std::to_string(n));
     const cluster::Allocation& b = run(sick, api);
-    WorkerReport failed = alive;
+    Heartbeat failed = alive;
     failed.machine = sick.id;
-    failed.seq = ++seq;
+    failed.sequence = ++sequence;
     failed.tasks = {{b.task, b.attempt, TaskState::exited, ExitCause::error}};
-    (void)c.on_report(failed, now, false, effects);
+    (void)c.handle_heartbeat(failed, now, false, effects);
   }
   EXPECT_FALSE(api.failing);
   EXPECT_EQ(c.replica_restarts().ended, 5u);
--- a/tests/rules.cpp
+++ b/tests/rules.cpp
@@ -38,9 +38,9 @@
   if (!type_ok || (j.spec.zone && *j.spec.zone != at.zone) || (at.spot && !j.spec.spot)) {
     breaks("wrong_place", task.text() + " on " + at.machine);
   }
-  if (j.told_cancelled != Instant::max()) {
+  if (j.on_user_cancellation != Instant::max()) {
     ++late_starts_;
-    if (clock_.now() > j.told_cancelled + to_nanos(platform_.cancel)) {
+    if (clock_.now() > j.on_user_cancellation + to_nanos(platform_.cancel)) {
       breaks("ran_cancelled", task.text() + " started");
     }
   }
@@ -75,29 +75,29 @@
 void Rules::sweep() {
   for (const Running& r : running_) {
     JobState& j = jobs_[r.task.job];
-    if (j.reported || j.told_cancelled == Instant::max()) continue;
-    if (clock_.now() <= j.told_cancelled + to_nanos(platform_.cancel)) continue;
+    if (j.reported || j.on_user_cancellation == Instant::max()) continue;
+    if (clock_.now() <= j.on_user_cancellation + to_nanos(platform_.cancel)) continue;
     j.reported = true;
     breaks("ran_cancelled", r.task.text() + " is on " + r.at.machine);
   }
 }
 
-void Rules::told(const std::string& id, const std::string& standing, Instant asked) {
+void Rules::answered(const std::string& id, const std::string& standing, Instant asked) {
   JobState& j = jobs_[id];
   const Instant now = clock_.now();
   // Only what was told before the question was sent binds its answer.
-  if (j.told_done < asked && standing != "done")
+  if (j.answered_done < asked && standing != "done")
     breaks("went_back", id + " done, then " + standing);
-  if (j.told_cancelled < asked && standing != "cancelled") {
+  if (j.on_user_cancellation < asked && standing != "cancelled") {
     breaks("went_back", id + " cancelled, then " + standing);
   }
   if (standing == "done") {
     if (j.spec.service) breaks("not_done", id + " is a service");
     if (j.done.size() < j.spec.tasks) breaks("not_done", id);
-    j.told_done = std::min(j.told_done, now);
+    j.answered_done = std::min(j.answered_done, now);
   } else if (standing == "cancelled") {
     if (!j.cancel_asked) breaks("went_back", id + " cancelled, and nobody asked for it");
-    j.told_cancelled = std::min(j.told_cancelled, now);
+    j.on_user_cancellation = std::min(j.on_user_cancellation, now);
   }
 }
 
@@ -109,7 +109,7 @@
   }
   if (status != 200 && status != 201) return;
   j.accepted = std::min(j.accepted, clock_.now());
-  told(id, standing, asked);
+  answered(id, standing, asked);
 }
 
 void Rules::poll_answered(const std::string& id, int status, const std::string& standing,
@@ -122,7 +122,7 @@
   if (j == jobs_.end()) {
     breaks("invented", id);
   } else {
-    told(id, standing, asked);
+    answered(id, standing, asked);
   }
 }
 
--- a/tests/rules.hpp
+++ b/tests/rules.hpp
@@ -49,12 +49,13 @@
   };
   struct JobState {
     JobSpec spec;
-    Instant accepted = Instant::max(), told_done = Instant::max(), told_cancelled = Instant::max();
+    Instant accepted = Instant::max(), answered_done = Instant::max(),
+            on_user_cancellation = Instant::max();
     bool cancel_asked = false;
     std::set<uint32_t> done;
     bool reported = false;  // as running for too long after its cancellation
   };
-  void told(const std::string& id, const std::string& standing, Instant asked);
+  void answered(const std::string& id, const std::string& standing, Instant asked);
   void breaks(const std::string& rule, const std::string& what);
 
   const Clock& clock_;
--- a/tests/scenario_leadership_test.cpp
+++ b/tests/scenario_leadership_test.cpp
@@ -22,7 +22,7 @@
   s.run_for(seconds(40));
   EXPECT_EQ(s.standing("run-000001", *s.leader()), "done");
   expect_rules(s);
-  EXPECT_EQ(s.starts, 12u) << "what ran through the take-over was not started again";
+  EXPECT_EQ(s.starts, 12u) << "what ran through the failover was not started again";
 }
 
 TEST(Leadership, AnElectionWithAnUnknownOutcomeIsReadBack) {
--- a/tests/scenario_machines_test.cpp
+++ b/tests/scenario_machines_test.cpp
@@ -174,8 +174,8 @@
   expect_rules(s);
 }
 
-TEST(Machines, ARunGoesOutWithTheAnswerToTheReportThatToldOfTheRoom) {
-  // Found on a autoscaler: every task waited for the report after the one that told of the room.
+TEST(Machines, ARunGoesOutWithTheAnswerToTheHeartbeatThatToldOfTheRoom) {
+  // Found on a autoscaler: every task waited for the heartbeat after the one that told of the room.
   Site s(1);
   s.run_for(seconds(2));
   std::map<std::string, std::vector<Instant>> starts;
@@ -203,7 +203,7 @@
   expect_rules(s);
 }
 
-TEST(Machines, LateCopiesOfReportsChangeNothing) {
+TEST(Machines, LateCopiesOfHeartbeatsChangeNothing) {
   // Of a machine that was deleted, from seconds to well over a lease late, also after a take-over.
   Site s(3);
   s.run_for(seconds(2));
@@ -211,7 +211,7 @@
   s.run_for(seconds(12));
   ASSERT_FALSE(s.workers.empty());
   auto& w = *s.workers.begin()->second;
-  const std::string copy = wire::write_report(w.report());
+  const std::string copy = wire::write_heartbeat(w.heartbeat());
   s.run_for(seconds(60));  // idle: returned
   ASSERT_FALSE(w.on);
   const auto send = [&](size_t node) { return s.ask(node, "POST", "/agent/beat", copy).status; };
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -37,7 +37,7 @@
     bool stopped = false;
   };
   std::map<TaskRef, Running> tasks;
-  std::vector<TaskReport> exited;
+  std::vector<TaskStatus> exited;
   std::optional<wire::MachineRecord> stored;
   uint64_t sequence = 0;
   uint64_t fencing_token = 0;
@@ -75,12 +75,12 @@
       if (chance(0.04)) begin_term();
       if (chance(0.1)) fail_a_stop_call();
       end_tasks();
-      report_all();
+      heartbeat_all();
       (void)state_.cluster.expire(clock_.now());
       (void)state_.cluster.tick(clock_.now());
       round();
       store_some();
-      report_all();
+      heartbeat_all();
     }
     tally_.used += state_.nominations.ended(End::placed);
     tally_.cleared += state_.nominations.ended(End::cleared);
@@ -212,9 +212,9 @@
     }
   }
 
-  void report_all() {
+  void heartbeat_all() {
     for (auto& [id, m] : machines_) {
-      if (!m.gone && clock_.now() >= m.silent_until) report(id, m);
+      if (!m.gone && clock_.now() >= m.silent_until) heartbeat(id, m);
     }
     std::vector<std::string> over;
     for (const auto& [id, spec] : open_) {
@@ -224,15 +224,15 @@
     for (const auto& id : over) close(id, false);
   }
 
-  void report(const std::string& id, SimulatedMachine& m) {
-    WorkerReport r;
+  void heartbeat(const std::string& id, SimulatedMachine& m) {
+    Heartbeat r;
     r.machine = id;
     r.address = "10.0.0.1:9000";
     r.type = m.place.type;
     r.zone = m.place.zone;
     r.spot = m.place.spot;
     r.incarnation = 1;
-    r.seq = ++m.sequence;
+    r.sequence = ++m.sequence;
     r.fencing_token = m.fencing_token;
     r.tasks = m.exited;
     for (const auto& [task, running] : m.tasks) {
@@ -240,8 +240,8 @@
     }
     m.exited.clear();
     Effects effects;
-    const auto answer = state_.cluster.on_report(r, clock_.now(), true, effects);
-    if (answer.kind != cluster::ReportResponse::Kind::accept) return;
+    const auto answer = state_.cluster.handle_heartbeat(r, clock_.now(), true, effects);
+    if (answer.kind != cluster::HeartbeatResponse::Kind::accept) return;
     m.fencing_token = epoch_;
     for (const Command& command : answer.commands) obey(m, command);
   }
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -44,17 +44,17 @@
   }
   Machine& machine(const std::string& id, const std::string& zone = "a",
                    const std::string& type = "box", bool spot = false) {
-    WorkerReport b;
+    Heartbeat b;
     b.machine = id;
     b.address = "10.0.0.1:9000";
     b.type = type;
     b.zone = zone;
     b.spot = spot;
     b.incarnation = 1;
-    b.seq = ++seq;
+    b.sequence = ++sequence;
     b.fencing_token = 1;
     Effects effects;
-    c.on_report(b, now, false, effects);
+    c.handle_heartbeat(b, now, false, effects);
     return *c.find_machine(id);
   }
   Job& add(JobSpec s) {
@@ -86,7 +86,7 @@
   CloudCapacity cloud_capacity;
   Instant now{seconds(100)};
   WallTime wall{Millis(1'000'000)};
-  uint64_t seq = 1;
+  uint64_t sequence = 1;
 };
 
 TEST_F(SchedulerTest, ATeamsLimitCountsEveryAllocationEvenOfClosedJobs) {
@@ -274,17 +274,18 @@
 }
 
 TEST_F(SchedulerTest, AMachineThatJustCameUpIsCountedOnBeforeItBearsOurFencingToken) {
-  // Its first report bears none: for the moment until the next, another was launched in its place.
+  // Its first heartbeat bears none: for the moment until the next, another was launched in its
+  // place.
   cloud_capacity.refused.erase({"box", "a", false});
   add(job("run-000001", 2));
   EXPECT_EQ(plan().capacity_requests.size(), 1u);
-  WorkerReport b;
+  Heartbeat b;
   b.machine = "vm-1";
   b.type = "box";
   b.zone = "a";
-  b.incarnation = b.seq = 1;
+  b.incarnation = b.sequence = 1;
   Effects effects;
-  c.on_report(b, now, true, effects);
+  c.handle_heartbeat(b, now, true, effects);
   const Plan p = plan();
   EXPECT_TRUE(p.capacity_requests.empty());
   EXPECT_TRUE(p.placements.empty()) << "nothing is given to it yet";
@@ -475,24 +476,24 @@
   EXPECT_TRUE(plan().queued.empty()) << "filled up when half of it is gone";
 }
 
-TEST_F(SchedulerTest, AReportWithoutOurFencingTokenMayBeALateCopy) {
-  // After a take-over nothing is known of a machine's last report, nor of what was deleted: a copy
-  // of an old report must not bring a machine back to life.
-  WorkerReport b;
+TEST_F(SchedulerTest, AHeartbeatWithoutOurFencingTokenMayBeALateCopy) {
+  // After a take-over nothing is known of a machine's last heartbeat, nor of what was deleted: a
+  // copy of an old heartbeat must not bring a machine back to life.
+  Heartbeat b;
   b.machine = "vm-1";
   b.address = "10.0.0.1:9000";
   b.type = "box";
   b.zone = "a";
   b.incarnation = 1;
-  b.seq = 7;
+  b.sequence = 7;
   b.fencing_token = 0;
   Effects effects;
-  c.on_report(b, now, true, effects);
+  c.handle_heartbeat(b, now, true, effects);
   add(job("run-000001"));
   EXPECT_TRUE(plan().placements.empty());
-  b.seq = 8;
+  b.sequence = 8;
   b.fencing_token = 1;
-  c.on_report(b, now, true, effects);
+  c.handle_heartbeat(b, now, true, effects);
   EXPECT_EQ(plan().placements.size(), 1u);
 }
 
--- a/tests/support.cpp
+++ b/tests/support.cpp
@@ -118,7 +118,7 @@
   p.nodes = static_cast<uint32_t>(count);
   p.zones = {"a", "b"};
   p.teams = {{"red", 8, 64, 0, 0}, {"blue", 8, 64, 0, 0}, {"tiny", 0, 4, 0, 0}};
-  p.report = Seconds(1.5);
+  p.heartbeat_interval = Seconds(1.5);
   p.lease = Seconds(14);
   p.gang_wait = Seconds(40);
   p.gang_peer = Seconds(6);
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -213,7 +213,7 @@
   Task<void> watch_lease();
   void power_off();
   Task<http::Reply> direct(http::Call call);  // POST /do
-  WorkerReport report();
+  Heartbeat heartbeat();
   void obey(wire::View orders);
   void lose_lease();
 
@@ -232,7 +232,7 @@
   std::vector<std::pair<TaskRef, uint64_t>> started;
   std::function<void(const TaskRef&)> on_start;
   std::function<void(const Running&)> on_end;
-  uint64_t incarnation = 1, seq = 0, fencing_token = 0;
+  uint64_t incarnation = 1, sequence = 0, fencing_token = 0;
   std::string id;
   std::string address;
 
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -206,7 +206,7 @@
     for (const auto& [key, task] : w->tasks) {
       stops.push_back({Command::Op::stop, key.first, key.second, Seconds(0)});
     }
-    late.body = wire::write_orders(w->fencing_token - 1, w->incarnation, stops);
+    late.body = wire::write_commands(w->fencing_token - 1, w->incarnation, stops);
     EXPECT_EQ(s.get(w->direct(std::move(late))).status, 409);
   }
   EXPECT_EQ(on_machines(spec), 4u);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -104,19 +104,19 @@
   EXPECT_FALSE(Document::parse(std::string(5000, '\x91')));
 }
 
-TEST(WorkerReport, IsReadBackAsWritten) {
-  WorkerReport b;
+TEST(Heartbeat, IsReadBackAsWritten) {
+  Heartbeat b;
   b.machine = "vm-000231";
   b.address = "10.1.0.232:9000";
   b.type = "g8";
   b.zone = "a";
   b.incarnation = 3;
-  b.seq = 88;
+  b.sequence = 88;
   b.fencing_token = 41;
   b.notice = Seconds(7.5);
   b.tasks = {{{"run-000412", 3}, 2, TaskState::running, ExitCause::none, false},
              {{"run-000398", 0}, 1, TaskState::exited, ExitCause::stopped, true}};
-  const auto r = read_report(write_report(b));
+  const auto r = read_heartbeat(write_heartbeat(b));
   ASSERT_TRUE(r);
   EXPECT_EQ(r->tasks.size(), 2u);
   EXPECT_EQ(r->tasks[1].cause, ExitCause::stopped);
@@ -125,14 +125,15 @@
   EXPECT_EQ(r->fencing_token, 41u);
 }
 
-TEST(WorkerReport, WithOneUnreadableTaskIsDroppedWhole) {
-  // What is not listed in a report counts as gone: a report of which a part is unclear must not.
+TEST(Heartbeat, WithOneUnreadableTaskIsDroppedWhole) {
+  // What is not listed in a heartbeat counts as gone: a heartbeat of which a part is unclear must
+  // not.
   Writer w;
   w.map(9).key("host").text("vm-1").key("address").text("10.0.0.1:1").key("rig").text("g8");
   w.key("yard").text("a").key("loaners").flag(false).key("shift").count(1).key("tally").count(1);
   w.key("baton").count(1).key("pieces").list(1).map(2).key("piece").text("run-000001/0");
   w.key("try").count(1);
-  EXPECT_FALSE(read_report(w.take()));
+  EXPECT_FALSE(read_heartbeat(w.take()));
 }
 
 TEST(Records, AHundredThousandTasksFitTheSmallestValues) {
@@ -177,7 +178,7 @@
 
 TEST(PeerFrames, AreCheckedBeforeTheyAreRead) {
   peer::Status s;
-  s.seq = 7;
+  s.sequence = 7;
   s.echo = 6;
   s.epoch = 0x1122334455667788;
   s.cancel_revision = 4'300'000'000;
@@ -199,7 +200,7 @@
   EXPECT_EQ(back->cancel_revision, s.cancel_revision);
   EXPECT_EQ(back->leader, "dunlin-2");
   EXPECT_TRUE(back->leading);
-  EXPECT_FALSE(back->reports_known);
+  EXPECT_FALSE(back->heartbeats_known);
 
   std::string other = frame;
   other[4] = 9;  // another version
--- a/tests/worker.cpp
+++ b/tests/worker.cpp
@@ -19,16 +19,16 @@
       lease_(lease),
       answered_sent_(loop.now()) {}
 
-WorkerReport Worker::report() {
+Heartbeat Worker::heartbeat() {
   advance();
-  WorkerReport b;
+  Heartbeat b;
   b.machine = id;
   b.address = address;
   b.type = type_.name;
   b.zone = zone_;
   b.spot = spot_;
   b.incarnation = incarnation;
-  b.seq = ++seq;
+  b.sequence = ++sequence;
   b.fencing_token = fencing_token;
   b.notice = notice;
   for (const auto& [key, t] : tasks) {
@@ -136,7 +136,7 @@
     http::Request r;
     r.method = "POST";
     r.target = "/agent/beat";
-    r.body = wire::write_report(report());
+    r.body = wire::write_heartbeat(heartbeat());
     http::Response answer = co_await handler(std::move(r));
     co_await loop_.sleep(Millis(1));
     if (!on) co_return;
@@ -191,7 +191,7 @@
     obey(root["orders"]);
     status = 200;
   }
-  return reply(status, wire::write_report(report()));
+  return reply(status, wire::write_heartbeat(heartbeat()));
 }
 
 }  // namespace dunlinknot::test
--- a/tests/zoned_cluster.hpp
+++ b/tests/zoned_cluster.hpp
@@ -26,23 +26,23 @@
       for (const bool spot : {false, true}) cloud_capacity.refused.insert({"box", zone, spot});
     }
   }
-  WorkerReport report(const std::string& id, const std::string& zone) {
-    WorkerReport out;
+  Heartbeat heartbeat(const std::string& id, const std::string& zone) {
+    Heartbeat out;
     out.machine = id;
     out.address = "10.0.0.1:9000";
     out.type = "box";
     out.zone = zone;
     out.incarnation = 1;
-    out.seq = ++sequence;
+    out.sequence = ++sequence;
     out.fencing_token = 1;
     return out;
   }
-  std::vector<Command> send(const WorkerReport& r) {
+  std::vector<Command> send(const Heartbeat& r) {
     cluster::Effects effects;
-    return cluster.on_report(r, now, true, effects).commands;
+    return cluster.handle_heartbeat(r, now, true, effects).commands;
   }
   cluster::Machine& add_machine(const std::string& id, const std::string& zone) {
-    send(report(id, zone));
+    send(heartbeat(id, zone));
     return *cluster.find_machine(id);
   }
   cluster::Job& add(JobSpec spec) {
--- a/tools/handover_run.cpp
+++ b/tools/handover_run.cpp
@@ -217,13 +217,13 @@
     Worker* raw = worker.get();
     workers_[m.id] = std::move(worker);
     const auto at = std::make_shared<size_t>(0);
-    loop_.spawn(
-        raw->run([this, at](http::Request request) { return send_report(std::move(request), at); },
-                 kWorkerPace));
+    loop_.spawn(raw->run(
+        [this, at](http::Request request) { return send_heartbeat(std::move(request), at); },
+        kWorkerPace));
     loop_.spawn(raw->watch_lease());
   }
 
-  Task<http::Response> send_report(http::Request request, std::shared_ptr<size_t> at) {
+  Task<http::Response> send_heartbeat(http::Request request, std::shared_ptr<size_t> at) {
     http::Response out;
     out.status = 503;
     for (size_t k = 0; k < controllers_.size() && out.status != 200; ++k) {
