--- a/src/dunlinknot/autoscaler/autoscaler.cpp
+++ b/src/dunlinknot/autoscaler/autoscaler.cpp
@@ -158,15 +158,15 @@
       }
       // Its notice came and then nothing more: taken, or about to be. What was not saved there need
       // not wait for the lease.
-      if (h->recall_at && now - h->last_heartbeat > silent) {
-        out.emplace_back(id, "it was recalled and is silent");
+      if (h->interruption_at && now - h->last_heartbeat > silent) {
+        out.emplace_back(id, "interrupted and silent");
         continue;
       }
       if (!h->allocations.empty()) continue;
       if (h->draining) {
         out.emplace_back(id, h->drain_reason);
-      } else if (h->recall_at) {
-        out.emplace_back(id, "it is recalled and empty");
+      } else if (h->interruption_at) {
+        out.emplace_back(id, "interrupted and empty");
       } else if (now - h->idle_since > to_nanos(op.idle_return) &&
                  !std::binary_search(wanted.begin(), wanted.end(), id)) {
         out.emplace_back(id, waiting_tasks > 0 ? "idle, and nothing that waits fits" : "idle");
--- a/src/dunlinknot/cluster/allocations.cpp
+++ b/src/dunlinknot/cluster/allocations.cpp
@@ -335,7 +335,7 @@
   for (Machine* h : holders(id)) {
     for (Allocation& b : h->allocations) {
       if (b.task.job == id && b.attempt == attempt && !b.stopping()) {
-        stop(*h, b, StopReason::recall, grace, now);
+        stop(*h, b, StopReason::interruption, grace, now);
       }
     }
   }
--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -1,4 +1,4 @@
-// Take-over, jobs and machines; expiry of leases and recalls.
+// Take-over, jobs and machines; expiry of leases and interruptions.
 #include "dunlinknot/cluster/cluster.hpp"
 
 #include <spdlog/spdlog.h>
@@ -294,7 +294,7 @@
     // What waits on a machine that nothing is heard of, or that will not get it, goes elsewhere.
     // Found on days of our own with machines that fail their tasks: a drained one gets no `run`, so
     // what was allocated there and not sent yet stayed for good, and its job with it.
-    if (h->recall_at || h->draining || h->terminating || h->unreachable ||
+    if (h->interruption_at || h->draining || h->terminating || h->unreachable ||
         (h->has_heartbeat && now - h->last_heartbeat >= silent)) {
       for (size_t i = h->allocations.size(); i-- > 0;) {
         if (i < h->allocations.size() && h->allocations[i].unsent())
@@ -302,19 +302,19 @@
       }
     }
     move_replicas(*h, now);
-    if (!h->recall_at) continue;
+    if (!h->interruption_at) continue;
     for (size_t i = h->allocations.size(); i-- > 0;) {
       Allocation& b = h->allocations[i];
       const Job* j = job(b.task.job);
       if (!j || b.stopping() || j->spec().checkpoint <= Seconds(0)) continue;
-      const Seconds left = to_seconds(*h->recall_at - now);
+      const Seconds left = to_seconds(*h->interruption_at - now);
       if (left > j->spec().save + kSaveSlack) continue;
       // Saved before the machine goes. A gang saves as a whole or not at all: all its tasks are
       // told in the same moment, well inside gang_peer_s of one another.
       if (b.gang) {
         stop_gang(b.task.job, b.attempt, j->spec().save + platform_.gang_peer, now);
       } else {
-        stop(*h, b, StopReason::recall, j->spec().save + Seconds(1), now);
+        stop(*h, b, StopReason::interruption, j->spec().save + Seconds(1), now);
       }
     }
   }
@@ -323,15 +323,16 @@
   return effects;
 }
 
-// A replica never ends by itself: it leaves a machine that is recalled as late as the stop and the
-// report of it are sure to get there and back. One that runs on a drained machine stays: a machine
-// that fails what it starts does no harm to what runs (cellarline-qld-next, day `troubles`:
+// A replica never ends by itself: it leaves a machine that is interrupted as late as the stop and
+// the report of it are sure to get there and back. One that runs on a drained machine stays: a
+// machine that fails what it starts does no harm to what runs (cellarline-qld-next, day `troubles`:
 // stopping them there cost more served time than the loss of machines).
 void Cluster::move_replicas(Machine& h, Instant now) {
-  if (!h.recall_at || *h.recall_at - now > to_nanos(platform_.heartbeat_interval * 2)) return;
+  if (!h.interruption_at || *h.interruption_at - now > to_nanos(platform_.heartbeat_interval * 2))
+    return;
   for (Allocation& b : h.allocations) {
     if (!b.service || b.stopping() || b.unsent()) continue;
-    stop(h, b, StopReason::recall, Seconds(0), now);
+    stop(h, b, StopReason::interruption, Seconds(0), now);
   }
 }
 
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -29,12 +29,12 @@
   inherited,  // written down by a former leader, which may or may not have sent the `run`
 };
 
-enum class StopReason : uint8_t { none, preempted, recall, cancelled, orphan, gang_broken };
+enum class StopReason : uint8_t { none, preempted, interruption, cancelled, orphan, gang_broken };
 
 // Why replicas of services had to run again, since the leader's term began.
 struct ReplicaRestarts {
   uint64_t machine_lost = 0;  // silent beyond its lease, or deleted
-  uint64_t moved = 0;         // stopped because its machine is recalled, or to keep a rule
+  uint64_t moved = 0;         // stopped because its machine is interrupted, or to keep a rule
   uint64_t preempted = 0;
   uint64_t ended = 0;  // by itself: failed, or reported as completed
 };
@@ -108,7 +108,7 @@
   Instant first_suspicion{};
   Instant last_suspicion{};
   bool unreachable = false;
-  std::optional<Instant> recall_at;
+  std::optional<Instant> interruption_at;
 
   // What the cloud told.
   Instant known_since{};
@@ -268,7 +268,7 @@
   Effects drop_unsent(const std::string& job,
                       Instant now);  // planned allocations of a job are undone
   std::vector<StopCall> take_stop_calls();
-  Effects tick(Instant now);  // recalls that are due, stops that hang
+  Effects tick(Instant now);  // interruptions that are due, stops that hang
 
   const ReplicaRestarts& replica_restarts() const { return replica_restarts_; }
 
--- a/src/dunlinknot/cluster/heartbeats.cpp
+++ b/src/dunlinknot/cluster/heartbeats.cpp
@@ -72,7 +72,7 @@
   if (!may_start || h.draining || h.terminating) return answer;
   start_queued(h, now);
   const auto planned = [](const Allocation& k) { return k.phase == Phase::planned; };
-  if (!h.ours || h.unreachable || h.recall_at) return answer;
+  if (!h.ours || h.unreachable || h.interruption_at) return answer;
   if (find_where(h.allocations, [&](const Allocation& k) { return sendable(k); })) return answer;
   const bool has_room = work_waits_ && (changed.schedule || !was_ours) && h.free().cpus > 0;
   answer.run_soon = has_room || find_where(h.allocations, planned);
@@ -152,13 +152,14 @@
   h.sequence = b.sequence;
   if (complete) h.last_heartbeat = now;
   if (b.fencing_token == epoch_) h.ours = true;
-  const std::optional<Instant> recall =
-      b.notice ? std::optional(now + to_nanos(*b.notice)) : std::nullopt;
-  if (recall.has_value() != h.recall_at.has_value()) effects.schedule = true;
-  if (recall && !h.recall_at) {
-    spdlog::info("machine {} is recalled in {:.1f} s", h.id, b.notice->count());
+  const std::optional<Instant> interruption =
+      b.interruption_notice ? std::optional(now + to_nanos(*b.interruption_notice)) : std::nullopt;
+  if (interruption.has_value() != h.interruption_at.has_value()) effects.schedule = true;
+  if (interruption && !h.interruption_at) {
+    spdlog::info("machine {}: interruption notice, {:.1f} s left", h.id,
+                 b.interruption_notice->count());
   }
-  h.recall_at = recall;
+  h.interruption_at = interruption;
 }
 
 // The worker killed all it had when its lease ran out; a `run` from before is dropped there.
--- a/src/dunlinknot/scheduler/arrays.cpp
+++ b/src/dunlinknot/scheduler/arrays.cpp
@@ -157,12 +157,12 @@
   if (!j.spec().service) return 0;
   uint32_t leaving = 0;
   for (const Machine* h : cluster_.holders(j.spec().id)) {
-    if (h->recall_at) leaving += tasks_there(j, *h);
+    if (h->interruption_at) leaving += tasks_there(j, *h);
   }
   return leaving;
 }
 
-// Replicas on machines that are recalled move late: until then there should be a place for them.
+// Replicas on machines that are interrupted move late: until then there should be a place for them.
 // Those that leave a zone make room there for others, so the job's zones are of no concern here.
 void Round::prepare_move(const Waiting& w) {
   const JobSpec& spec = w.job->spec();
--- a/src/dunlinknot/scheduler/round.cpp
+++ b/src/dunlinknot/scheduler/round.cpp
@@ -70,7 +70,8 @@
 }
 
 bool Round::usable(const Machine& h) const {
-  if (!h.has_heartbeat || h.lost || h.draining || h.terminating || h.listed_failed || h.recall_at) {
+  if (!h.has_heartbeat || h.lost || h.draining || h.terminating || h.listed_failed ||
+      h.interruption_at) {
     return false;
   }
   // Only a heartbeat with our fencing token proves that the machine is alive under us: one without
@@ -86,7 +87,7 @@
 
 bool Round::expected_up(const Machine& h) const {
   if (h.draining || h.terminating || h.listed_failed) return false;
-  return !h.has_heartbeat || (!h.ours && !h.lost && !h.recall_at && heartbeat_is_recent(h));
+  return !h.has_heartbeat || (!h.ours && !h.lost && !h.interruption_at && heartbeat_is_recent(h));
 }
 
 void Round::collect() {
--- a/src/dunlinknot/wire/messages.cpp
+++ b/src/dunlinknot/wire/messages.cpp
@@ -244,7 +244,7 @@
   if (!r["recallS"].null()) {
     const auto s = r["recallS"].amount();
     if (!s) return std::nullopt;
-    b.notice = Seconds(std::max(0.0, *s));
+    b.interruption_notice = Seconds(std::max(0.0, *s));
   }
   const View tasks = r["pieces"];
   if (!tasks.null() && !tasks.is_list()) return std::nullopt;
@@ -275,7 +275,7 @@
   w.map(10).key("host").text(b.machine).key("address").text(b.address).key("rig").text(b.type);
   w.key("yard").text(b.zone).key("loaners").flag(b.spot).key("shift").count(b.incarnation);
   w.key("tally").count(b.sequence).key("baton").count(b.fencing_token).key("recallS");
-  b.notice ? w.amount(b.notice->count()) : w.null();
+  b.interruption_notice ? w.amount(b.interruption_notice->count()) : w.null();
   w.key("pieces").list(b.tasks.size());
   for (const auto& t : b.tasks) {
     const bool ended = t.state == TaskState::exited;
--- a/src/dunlinknot/wire/messages.hpp
+++ b/src/dunlinknot/wire/messages.hpp
@@ -103,7 +103,7 @@
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
   uint64_t fencing_token = 0;
-  std::optional<Seconds> notice;
+  std::optional<Seconds> interruption_notice;
   std::vector<TaskStatus> tasks;
 };
 
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -385,7 +385,7 @@
             HeartbeatResponse::Kind::superseded);
 }
 
-TEST_F(ClusterTest, ACheckpointingTaskIsSavedBeforeARecall) {
+TEST_F(ClusterTest, ACheckpointingTaskIsSavedBeforeAnInterruption) {
   JobSpec s = job("run-000001");
   s.checkpoint = Seconds(10);
   s.save = Seconds(3);
@@ -395,7 +395,7 @@
   send(heartbeat());
   Heartbeat r = heartbeat();
   r.tasks = {on(b)};
-  r.notice = Seconds(12);
+  r.interruption_notice = Seconds(12);
   send(r);
   c.tick(now);
   EXPECT_TRUE(c.take_stop_calls().empty()) << "it works on while there is time";
@@ -406,7 +406,7 @@
   EXPECT_GE(calls[0].commands[0].grace, s.save);
 }
 
-TEST_F(ClusterTest, AGangOnARecalledMachineIsToldToSaveAsAWhole) {
+TEST_F(ClusterTest, AGangOnAnInterruptedMachineIsToldToSaveAsAWhole) {
   JobSpec g = job("run-000001", 2);
   g.gang = true;
   g.checkpoint = Seconds(10);
@@ -421,7 +421,7 @@
   }
   Heartbeat r = heartbeat("vm-1");
   r.tasks = {on(c.find_machine("vm-1")->allocations[0])};
-  r.notice = Seconds(6);
+  r.interruption_notice = Seconds(6);
   send(r);
   c.tick(now);
   const auto calls = c.take_stop_calls();
--- a/tests/random_placements_test.cpp
+++ b/tests/random_placements_test.cpp
@@ -51,7 +51,7 @@
     if (up.empty()) co_return;
     Worker& w = *up[pick(up.size())];
     if (chance(0.6)) {
-      w.notice = Seconds(8);
+      w.interruption_notice = Seconds(8);
       co_await s.loop.sleep(seconds(8));
     }
     if (!w.on) co_return;  // returned meanwhile
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -118,13 +118,13 @@
   expect_rules(s);
 }
 
-TEST_F(Replicas, LeaveARecalledMachineBeforeItGoes) {
+TEST_F(Replicas, LeaveAnInterruptedMachineBeforeItGoes) {
   start();
-  Worker& recalled = machine_of(0);
+  Worker& interrupted = machine_of(0);
   const auto on_it = [&] {
     size_t n = 0;
     for (uint32_t i = 0; i < api.tasks; ++i) {
-      for (const auto& [key, task] : recalled.tasks) {
+      for (const auto& [key, task] : interrupted.tasks) {
         n += key.first == TaskRef{api.id, i} && task.state == TaskState::running;
       }
     }
@@ -132,12 +132,12 @@
   };
   const size_t before = on_it();
   for (int left = 12; left > 4; --left) {
-    recalled.notice = Seconds(left);
+    interrupted.interruption_notice = Seconds(left);
     s.run_for(seconds(1));
     EXPECT_EQ(on_it(), before) << "it stays as long as is safe";
   }
   for (int left = 4; left > 0; --left) {
-    recalled.notice = Seconds(left);
+    interrupted.interruption_notice = Seconds(left);
     s.run_for(seconds(1));
   }
   EXPECT_EQ(on_it(), 0u);
--- a/tests/role_history.cpp
+++ b/tests/role_history.cpp
@@ -78,7 +78,7 @@
   const auto worker = site_.workers.find(machine);
   if (worker == site_.workers.end()) return;
   const Worker& w = *worker->second;
-  if (!w.on || w.cut || w.hung || w.mute || w.drop_responses || w.notice) return;
+  if (!w.on || w.cut || w.hung || w.mute || w.drop_responses || w.interruption_notice) return;
   for (const auto& [key, task] : w.tasks) {
     if (task.state == TaskState::exited) continue;
     violations_.push_back("machine " + machine + " was returned with " + key.first.text());
--- a/tests/scenario_machines_test.cpp
+++ b/tests/scenario_machines_test.cpp
@@ -150,7 +150,7 @@
   expect_rules(s);
 }
 
-TEST(Machines, ARecalledOneThatFallsSilentIsDeletedAndItsTasksGoElsewhere) {
+TEST(Machines, AnInterruptedOneThatFallsSilentIsDeletedAndItsTasksGoElsewhere) {
   // Its tasks waited for the end of its lease, though the cloud had said that it would take it.
   Site s(1);
   s.run_for(seconds(2));
@@ -161,7 +161,7 @@
   s.run_for(seconds(12));
   ASSERT_EQ(s.workers.size(), 1u);
   ASSERT_EQ(s.copies({"run-000001", 0}), 1u);
-  w.notice = Seconds(4);
+  w.interruption_notice = Seconds(4);
   s.run_for(seconds(2));
   EXPECT_TRUE(w.on) << "it may still save and complete what it has";
   w.cut = true;
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -227,7 +227,7 @@
   std::function<Nanos(const TaskRef&)> fetch_time;  // of its image, default none
   std::function<bool(const TaskRef&)> fails;        // default never
   std::map<std::string, JobSpec>* specs = nullptr;
-  std::optional<Seconds> notice;
+  std::optional<Seconds> interruption_notice;
   std::map<std::pair<TaskRef, uint64_t>, Running> tasks;
   std::vector<std::pair<TaskRef, uint64_t>> started;
   std::function<void(const TaskRef&)> on_start;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -113,7 +113,7 @@
   b.incarnation = 3;
   b.sequence = 88;
   b.fencing_token = 41;
-  b.notice = Seconds(7.5);
+  b.interruption_notice = Seconds(7.5);
   b.tasks = {{{"run-000412", 3}, 2, TaskState::running, ExitCause::none, false},
              {{"run-000398", 0}, 1, TaskState::exited, ExitCause::stopped, true}};
   const auto r = read_heartbeat(write_heartbeat(b));
@@ -121,7 +121,7 @@
   EXPECT_EQ(r->tasks.size(), 2u);
   EXPECT_EQ(r->tasks[1].cause, ExitCause::stopped);
   EXPECT_TRUE(r->tasks[1].saved);
-  EXPECT_EQ(r->notice, Seconds(7.5));
+  EXPECT_EQ(r->interruption_notice, Seconds(7.5));
   EXPECT_EQ(r->fencing_token, 41u);
 }
 
--- a/tests/worker.cpp
+++ b/tests/worker.cpp
@@ -30,7 +30,7 @@
   b.incarnation = incarnation;
   b.sequence = ++sequence;
   b.fencing_token = fencing_token;
-  b.notice = notice;
+  b.interruption_notice = interruption_notice;
   for (const auto& [key, t] : tasks) {
     b.tasks.push_back({t.task, t.attempt, t.state, t.cause, t.saved});
   }
