--- a/src/dunlinknot/scheduler/gangs.cpp
+++ b/src/dunlinknot/scheduler/gangs.cpp
@@ -19,22 +19,22 @@
   return within;
 }
 
-double Round::soonest_boot(const JobSpec& spec, Lend lend) const {
+double Round::soonest_boot(const JobSpec& spec, Borrowing borrowing) const {
   double soonest = std::numeric_limits<double>::max();
   for (const MachineType& t : cluster_.catalog()) {
     if (!cluster::type_allowed(spec, t.name) || !spec.need.fits_in(t.size)) continue;
-    if (lent(spec, &t, lend)) soonest = std::min(soonest, t.boot.count());
+    if (may_borrow(spec, &t, borrowing)) soonest = std::min(soonest, t.boot.count());
   }
   return soonest;
 }
 
 bool Round::hold_overdue(const Waiting& w) {
   const Job& j = *w.job;
-  if (below_limit(j) >= j.spec().tasks && place_gang(j, false, Lend::any)) {
+  if (below_limit(j) >= j.spec().tasks && place_gang(j, false, Borrowing::any)) {
     overdue_placed_.insert(&j);
     return false;
   }
-  return keep_for_gang(j, Lend::any);
+  return keep_for_gang(j, Borrowing::any);
 }
 
 std::optional<WaitCause> Round::consider_gang(const Waiting& w) {
@@ -54,27 +54,29 @@
   // any case.
   const double within = start_within(w);
   const double left = within - waited(j);
-  for (const Lend lend : {Lend::none, Lend::cheap, Lend::any}) {
-    if (place_gang(j, false, lend)) return std::nullopt;
-    const bool last = lend == Lend::any;
-    const double boot = last || left <= 0 ? 0 : soonest_boot(j.spec(), lend);
-    if (boot < std::max(left, 0.1) && (place_gang(j, true, lend) || scale_out_for_gang(w, lend))) {
+  for (const Borrowing borrowing : {Borrowing::none, Borrowing::cheap, Borrowing::any}) {
+    if (place_gang(j, false, borrowing)) return std::nullopt;
+    const bool last = borrowing == Borrowing::any;
+    const double boot = last || left <= 0 ? 0 : soonest_boot(j.spec(), borrowing);
+    if (boot < std::max(left, 0.1) &&
+        (place_gang(j, true, borrowing) || scale_out_for_gang(w, borrowing))) {
       return WaitCause::machine_coming;
     }
     const bool waits =
-        lend != Lend::none || (accelerators_wanted_ && waited(j) < within * kPatience);
+        borrowing != Borrowing::none || (accelerators_wanted_ && waited(j) < within * kPatience);
     const double most = last ? std::numeric_limits<double>::max() : std::max(left, 0.0);
     // What it waits for longer is no machine where its tasks strand several accelerators.
-    if (waits && keep_for_gang(j, last ? Lend::cheap : lend, most)) return WaitCause::room_kept;
+    if (waits && keep_for_gang(j, last ? Borrowing::cheap : borrowing, most))
+      return WaitCause::room_kept;
   }
   return WaitCause::no_room;
 }
 
-bool Round::place_gang(const Job& j, bool coming, Lend lend) {
+bool Round::place_gang(const Job& j, bool coming, Borrowing borrowing) {
   const JobSpec& spec = j.spec();
-  std::vector<std::pair<double, Slot*>> order = ranked(j, false, lend);
+  std::vector<std::pair<double, Slot*>> order = ranked(j, false, borrowing);
   if (coming) {
-    auto later = ranked(j, true, lend);
+    auto later = ranked(j, true, borrowing);
     order.insert(order.end(), later.begin(), later.end());
   }
   std::vector<std::string> zones;
@@ -150,12 +152,13 @@
   return chosen;
 }
 
-bool Round::keep_for_gang(const Job& j, Lend lend, double most) {
+bool Round::keep_for_gang(const Job& j, Borrowing borrowing, double most) {
   const JobSpec& spec = j.spec();
   if (kept_gangs_.contains(&j)) return true;
   std::map<std::string, std::vector<Place>> zones;
   for (auto& [offer, kind] : kinds_) {
-    if (!kind.type || !offer_allowed(spec, offer) || !lent(spec, kind.type, lend)) continue;
+    if (!kind.type || !offer_allowed(spec, offer) || !may_borrow(spec, kind.type, borrowing))
+      continue;
     if (!spec.need.fits_in(kind.type->size)) continue;
     auto& places = zones[spec.one_zone ? offer.zone : std::string()];
     for (Slot* s : kind.ready) {
--- a/src/dunlinknot/scheduler/headroom.cpp
+++ b/src/dunlinknot/scheduler/headroom.cpp
@@ -49,7 +49,7 @@
   for (Slot& s : slots_) {
     const MachineType* t = s.kind->type;
     if (!t || !offer_allowed(spec, s.kind->offer) || !spec.need.fits_in(t->size)) continue;
-    if (s.machine && borrowed(spec, t)) {
+    if (s.machine && would_borrow(spec, t)) {
       for (const Allocation& b : s.machine->allocations)
         there += b.gang && b.need.gpus <= 0 ? 1 : 0;
     }
@@ -58,7 +58,7 @@
     double rank = 0;
     if (s.coming) rank += 30;
     if (!spec.need.fits_in(s.room.free())) rank += 20;
-    if (borrowed(spec, t))
+    if (would_borrow(spec, t))
       rank += 25 * t->size.gpus;  // each strands what is left of its accelerators
     for (const auto& [image, at] : e.images) {
       if (!(s.machine && s.machine->has_image(image))) rank += 10;
@@ -72,8 +72,8 @@
     if (!s->kept_for.empty()) continue;
     // Machines with accelerators are dear to hold free: no more of them than the mean asks for,
     // and where a task would strand several, not for a rush that is over.
-    if (const MachineType* t = s->kind->type; borrowed(spec, t)) {
-      const uint32_t most = lent(spec, t, Lend::cheap) ? h.mean : h.steady;
+    if (const MachineType* t = s->kind->type; would_borrow(spec, t)) {
+      const uint32_t most = may_borrow(spec, t, Borrowing::cheap) ? h.mean : h.steady;
       left = std::min(left, most > kept + there ? most - kept - there : 0);
     }
     // What it may hold once shorter work there is done: all but what its own kind holds.
--- a/src/dunlinknot/scheduler/round.cpp
+++ b/src/dunlinknot/scheduler/round.cpp
@@ -141,7 +141,7 @@
   return &s;
 }
 
-bool Round::borrowed(const JobSpec& spec, const MachineType* t) {
+bool Round::would_borrow(const JobSpec& spec, const MachineType* t) {
   return spec.need.gpus <= 0 && t && t->size.gpus > 0;
 }
 
@@ -154,9 +154,10 @@
   return t.size.gpus - std::clamp(usable, 0.0, t.size.gpus);
 }
 
-bool Round::lent(const JobSpec& spec, const MachineType* t, Lend lend) const {
-  if (lend == Lend::any || !borrowed(spec, t)) return true;
-  return lend == Lend::cheap && !(accelerators_wanted_ && stranded(spec, *t) > kMostStranded);
+bool Round::may_borrow(const JobSpec& spec, const MachineType* t, Borrowing borrowing) const {
+  if (borrowing == Borrowing::any || !would_borrow(spec, t)) return true;
+  return borrowing == Borrowing::cheap &&
+         !(accelerators_wanted_ && stranded(spec, *t) > kMostStranded);
 }
 
 double Round::waited(const Job& j) const {
@@ -269,7 +270,7 @@
   }
   if (t) {
     // A machine with accelerators is kept for work that needs them.
-    if (borrowed(spec, t)) cost += 20 + 10 * t->size.gpus;
+    if (would_borrow(spec, t)) cost += 20 + 10 * t->size.gpus;
     if (spec.spot && !s.kind->offer.spot) cost += 5;
   }
   // Filling up what is in use lets idle machines go.
@@ -278,11 +279,12 @@
   return cost;
 }
 
-std::vector<std::pair<double, Slot*>> Round::ranked(const Job& j, bool coming, Lend lend) {
+std::vector<std::pair<double, Slot*>> Round::ranked(const Job& j, bool coming,
+                                                    Borrowing borrowing) {
   std::vector<std::pair<double, Slot*>> out;
   for (auto& [offer, kind] : kinds_) {
     if (!offer_allowed(j.spec(), offer)) continue;
-    if (!lent(j.spec(), kind.type, lend)) continue;
+    if (!may_borrow(j.spec(), kind.type, borrowing)) continue;
     for (Slot* s : kind.slots(coming)) {
       if (!j.spec().need.fits_in(s->room.free()) || !may_use(j, *s)) continue;
       out.emplace_back(place_cost(j, *s), s);
--- a/src/dunlinknot/scheduler/round.hpp
+++ b/src/dunlinknot/scheduler/round.hpp
@@ -147,14 +147,14 @@
 
   std::vector<Waiting> queue() const;
 
-  static bool borrowed(const JobSpec& spec, const MachineType* t);
+  static bool would_borrow(const JobSpec& spec, const MachineType* t);
 
   // How many accelerators of an empty machine a task that needs none would keep from use.
   double stranded(const JobSpec& spec, const MachineType& t) const;
   // Machines with accelerators, for work that needs none: not at all; where a task strands few;
   // any.
-  enum class Lend { none, cheap, any };
-  bool lent(const JobSpec& spec, const MachineType* t, Lend lend) const;
+  enum class Borrowing { none, cheap, any };
+  bool may_borrow(const JobSpec& spec, const MachineType* t, Borrowing borrowing) const;
 
   double waited(const Job& j) const;
 
@@ -162,7 +162,7 @@
   double start_within(const Waiting& w) const;
 
   // Until a machine of a kind that may be used is up, were it launched now.
-  double soonest_boot(const JobSpec& spec, Lend lend) const;
+  double soonest_boot(const JobSpec& spec, Borrowing borrowing) const;
 
   // A gang that waits for longer than any order may ask of it has its room, and what its team's
   // limit lacks, kept before anything else is placed: work that is ahead of it in the queue, and
@@ -224,7 +224,8 @@
   // Lower is better: the seconds until the task would run there, and what it would block.
   double place_cost(const Job& j, const Slot& s) const;
 
-  std::vector<std::pair<double, Slot*>> ranked(const Job& j, bool coming, Lend lend = Lend::any);
+  std::vector<std::pair<double, Slot*>> ranked(const Job& j, bool coming,
+                                               Borrowing borrowing = Borrowing::any);
 
   // On machines that are there, where it costs no more than `most`.
   uint32_t place_array(const Waiting& w, uint32_t want, PlacementConstraints& constraints,
@@ -257,7 +258,7 @@
 
   // All tasks or none. With `coming`, machines that are not up yet count too, and nothing is
   // placed.
-  bool place_gang(const Job& j, bool coming, Lend lend);
+  bool place_gang(const Job& j, bool coming, Borrowing borrowing);
 
   // --- launching
   struct RankedOffer {
@@ -282,7 +283,7 @@
                                const PlacementConstraints& expected);
 
   // Where what is missing costs least; false when there is nothing to launch.
-  bool scale_out_for_gang(const Waiting& w, Lend lend);
+  bool scale_out_for_gang(const Waiting& w, Borrowing borrowing);
 
   // Seconds until the task ends, as its owner reckons; what runs over may end at any time.
   double ends_in(const Allocation& b) const;
@@ -298,7 +299,8 @@
   // No room and nothing to launch: gangs do not evict, so the room that others leave is kept for
   // this one where it will be enough first. Else single tasks take it piece by piece, and the
   // larger the gang the longer it waits. Only if all of it is there within `most` seconds.
-  bool keep_for_gang(const Job& j, Lend lend, double most = std::numeric_limits<double>::max());
+  bool keep_for_gang(const Job& j, Borrowing borrowing,
+                     double most = std::numeric_limits<double>::max());
 
   // --- preemption: only when nothing can be launched, one machine, never by or of gangs
   // `promised`: what the job holds and is promised; each eviction adds to it.
--- a/src/dunlinknot/scheduler/scale_out.cpp
+++ b/src/dunlinknot/scheduler/scale_out.cpp
@@ -70,12 +70,12 @@
   return all_there ? open : std::min(open, static_cast<uint32_t>(most_there * times));
 }
 
-bool Round::scale_out_for_gang(const Waiting& w, Lend lend) {
+bool Round::scale_out_for_gang(const Waiting& w, Borrowing borrowing) {
   const JobSpec& spec = w.job->spec();
   if (w.job->failing) return true;
   std::map<std::string, uint32_t> zone_free;
   for (Slot& s : slots_) {
-    if (!lent(spec, s.kind->type, lend)) continue;
+    if (!may_borrow(spec, s.kind->type, borrowing)) continue;
     if (spec.need.fits_in(s.room.free()) && may_go(*w.job, s)) {
       zone_free[s.zone()] += count_on(*w.job, s, spec.tasks);
     }
@@ -92,7 +92,7 @@
   uint32_t machines = 0;
   double lowest = 0;
   for (const RankedOffer& d : offers) {
-    if (!lent(spec, d.type, lend)) continue;
+    if (!may_borrow(spec, d.type, borrowing)) continue;
     const uint32_t free_there = zone_free[d.offer.zone];
     const uint32_t allowed_there = held.tasks_allowed(d.offer.zone);
     if (free_there >= allowed_there) continue;  // more machines there would not help
@@ -109,7 +109,7 @@
   if (!best) return false;
   for (uint32_t i = 0; i < machines && !machine_limit_reached(); ++i)
     (void)request_machine(best->offer, spec.id);
-  (void)place_gang(*w.job, true, lend);
+  (void)place_gang(*w.job, true, borrowing);
   return true;
 }
 
