--- a/src/dunlinknot/autoscaler/autoscaler.hpp
+++ b/src/dunlinknot/autoscaler/autoscaler.hpp
@@ -32,7 +32,7 @@
   void order(const std::vector<scheduler::CapacityRequest>& capacity_requests) {
     scale_out_.order(capacity_requests);
   }
-  // Looks for machines to return; called after each round.
+  // Looks for machines to return; called after each cycle.
   void sweep(std::vector<std::string> wanted, size_t waiting_tasks, Instant now);
 
  private:
--- a/src/dunlinknot/autoscaler/scale_out.cpp
+++ b/src/dunlinknot/autoscaler/scale_out.cpp
@@ -100,7 +100,7 @@
       same->parked = false;
       continue;  // one question at a time for each offer
     }
-    if (launches_.size() >= kMaxLaunches) continue;  // the next round asks again
+    if (launches_.size() >= kMaxLaunches) continue;  // the next cycle asks again
     if (roles_ && !roles_->holder.may_act(Role::scale_out)) return;
     Launch launch;
     launch.request = next_name();
--- a/src/dunlinknot/cluster/allocations.cpp
+++ b/src/dunlinknot/cluster/allocations.cpp
@@ -113,7 +113,7 @@
 // only where it has allocations.
 bool Cluster::may_allocate(const Machine& h, Job& j, uint32_t index) {
   const bool allowed =
-      kind_allowed(j.spec(), h.type, h.zone, h.spot) && constraints_of(j).tasks_allowed(h.zone) > 0;
+      pool_allowed(j.spec(), h.type, h.zone, h.spot) && constraints_of(j).tasks_allowed(h.zone) > 0;
   if (allowed) return true;
   j.requeue(index);
   ++refused_allocations_;
@@ -128,12 +128,12 @@
   return &h.allocations.back();
 }
 
-Allocation* Cluster::queue_on(Machine& h, Job& j, uint32_t index, uint64_t attempt, Turn turn,
-                              Instant now) {
+Allocation* Cluster::queue_on(Machine& h, Job& j, uint32_t index, uint64_t attempt,
+                              QueuePosition queue_position, Instant now) {
   if (!may_allocate(h, j, index)) return nullptr;
   Allocation b = make_allocation(h, j, index, attempt, now);
   b.queued = true;
-  b.turn = turn;
+  b.queue_position = queue_position;
   add_allocation(h, std::move(b));
   return &h.allocations.back();
 }
@@ -197,14 +197,14 @@
     if (b.queued && b.phase == Phase::durable) waiting.push_back(&b);
   }
   std::stable_sort(waiting.begin(), waiting.end(), [](const Allocation* a, const Allocation* b) {
-    return a->turn.before(b->turn);
+    return a->queue_position.before(b->queue_position);
   });
   for (Allocation* b : waiting) {
     Job* j = job(b->task.job);
     if (!j || j->is_done(b->task.index) || now < j->not_before) continue;
     // Work without accelerators leaves beside each free one what its next task will need.
     Resources room = h.free() - h.held;
-    if (b->need.gpus <= 0 && h.free().gpus > 0) room -= beside_gpu_ * h.free().gpus;
+    if (b->need.gpus <= 0 && h.free().gpus > 0) room -= resources_per_gpu_ * h.free().gpus;
     if (!b->need.fits_in(room)) continue;
     if (b->team >= 0) {
       // Safety 4: its team's limit counts it from here on.
--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -50,7 +50,7 @@
   jobs_.clear();
   machines_.clear();
   holders_.clear();
-  expected_.clear();  // the jobs still open are loaded anew
+  forecasts_.clear();  // the jobs still open are loaded anew
   urgent_machines_.clear();
   dirty_machines_.clear();
   runnable_.clear();
@@ -89,8 +89,8 @@
     const auto seen = [](double& most, double now_seen) {
       most = std::max(now_seen, most * 0.95 + now_seen * 0.05);
     };
-    seen(beside_gpu_.cpus, need.cpus / need.gpus);
-    seen(beside_gpu_.memory_gb, need.memory_gb / need.gpus);
+    seen(resources_per_gpu_.cpus, need.cpus / need.gpus);
+    seen(resources_per_gpu_.memory_gb, need.memory_gb / need.gpus);
   }
   // The shortest of the class's aims for its start; each job is counted once, however many there
   // are.
@@ -100,7 +100,7 @@
     within = within ? std::min(*within, o.within) : o.within;
   }
   if (within) {
-    Expected& e = expected_[record.spec.job_class];
+    DemandForecast& e = forecasts_[record.spec.job_class];
     e.sample = record.spec;
     e.within = *within;
     e.images[record.spec.image] = record.submitted;
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -40,10 +40,10 @@
 };
 
 // Where a task stands among those that wait: the higher tier first, then what is due first.
-struct Turn {
+struct QueuePosition {
   int tier = 0;
   double due = 0;  // seconds of this process's steady clock
-  bool before(const Turn& o) const { return tier != o.tier ? tier > o.tier : due < o.due; }
+  bool before(const QueuePosition& o) const { return tier != o.tier ? tier > o.tier : due < o.due; }
 };
 
 struct Allocation {
@@ -66,7 +66,7 @@
   // Stands in the record, but waits on the machine for room that other tasks there will leave: its
   // `run` has not gone out. It takes no room and none of its team's limit until then.
   bool queued = false;
-  Turn turn;
+  QueuePosition queue_position;
   StopReason stop = StopReason::none;
   Seconds grace{0};
   Instant stop_at{};
@@ -146,7 +146,7 @@
 };
 
 // A class of jobs that is expected to start within a time: how it looked and came in of late.
-struct Expected {
+struct DemandForecast {
   JobSpec sample;
   Seconds within{0};
   std::vector<std::pair<WallTime, uint32_t>> arrivals;  // submitted, tasks; the recent ones
@@ -208,9 +208,9 @@
   const TeamUsage& usage(int team) const { return usage_[static_cast<size_t>(team)]; }
 
   // What a task with one accelerator takes besides, as seen of late; empty before the first.
-  const Resources& beside_gpu() const { return beside_gpu_; }
+  const Resources& resources_per_gpu() const { return resources_per_gpu_; }
 
-  const std::map<std::string, Expected>& expected() const { return expected_; }
+  const std::map<std::string, DemandForecast>& forecasts() const { return forecasts_; }
 
   // --- machines
   void set_catalog(std::vector<MachineType> types);
@@ -236,7 +236,7 @@
   HeartbeatResponse commands_for(const Heartbeat& heartbeat, Instant now, bool may_start);
   // Machines that a `run` may go out to since this was last asked.
   std::vector<std::string> take_runnable() { return std::exchange(runnable_, {}); }
-  // Whether the last round left work waiting for a place.
+  // Whether the last cycle left work waiting for a place.
   void set_work_waits(bool waits) { work_waits_ = waits; }
   // A heartbeat that came as the answer to a direct call: news, but no proof of what is not in it.
   Effects apply_direct_status(const Heartbeat& heartbeat, Instant now);
@@ -254,8 +254,8 @@
   // an allocation has asked `constraints_of` before, so that is a fault of the plan: it is logged
   // and counted.
   Allocation* allocate(Machine& machine, Job& job, uint32_t index, uint64_t attempt, Instant now);
-  Allocation* queue_on(Machine& machine, Job& job, uint32_t index, uint64_t attempt, Turn turn,
-                       Instant now);
+  Allocation* queue_on(Machine& machine, Job& job, uint32_t index, uint64_t attempt,
+                       QueuePosition queue_position, Instant now);
   uint64_t refused_allocations() const { return refused_allocations_; }
   // Takes one of the job's tasks that wait on some machine back, so that it can go elsewhere.
   bool withdraw_queued(const std::string& job, Instant now);
@@ -369,9 +369,9 @@
   // them.
   std::unordered_map<std::string, std::vector<Machine*>> holders_;
   std::vector<TeamUsage> usage_;
-  Resources beside_gpu_;
-  std::map<std::string, Expected> expected_;  // by class
-  std::set<std::string> terminating_;         // by the decision of a former leader
+  Resources resources_per_gpu_;
+  std::map<std::string, DemandForecast> forecasts_;  // by class
+  std::set<std::string> terminating_;                // by the decision of a former leader
   std::map<std::string, Instant>
       gone_;  // machines removed of late: late heartbeats are not believed
   std::vector<std::pair<std::string, uint64_t>> dead_records_;
--- a/src/dunlinknot/cluster/heartbeats.cpp
+++ b/src/dunlinknot/cluster/heartbeats.cpp
@@ -182,7 +182,7 @@
 // it.
 bool Cluster::welcome(const Machine& h, const Job& j, uint32_t index) const {
   if (j.spec().gang || j.is_done(index) || j.is_live(index)) return false;
-  if (!kind_allowed(j.spec(), h.type, h.zone, h.spot)) return false;
+  if (!pool_allowed(j.spec(), h.type, h.zone, h.spot)) return false;
   return constraints_of_sent(j).tasks_allowed(h.zone) > 0;
 }
 
--- a/src/dunlinknot/cluster/placement_constraints.cpp
+++ b/src/dunlinknot/cluster/placement_constraints.cpp
@@ -10,7 +10,7 @@
          std::find(spec.types.begin(), spec.types.end(), type) != spec.types.end();
 }
 
-bool kind_allowed(const JobSpec& spec, std::string_view type, std::string_view zone, bool spot) {
+bool pool_allowed(const JobSpec& spec, std::string_view type, std::string_view zone, bool spot) {
   return type_allowed(spec, type) && (!spec.zone || *spec.zone == zone) && (!spot || spec.spot);
 }
 
--- a/src/dunlinknot/cluster/placement_constraints.hpp
+++ b/src/dunlinknot/cluster/placement_constraints.hpp
@@ -16,7 +16,7 @@
 bool type_allowed(const JobSpec& spec, std::string_view type);
 // Whether the job may run on machines of this type in this zone, spot or not, as far as that does
 // not depend on where its other tasks are.
-bool kind_allowed(const JobSpec& spec, std::string_view type, std::string_view zone, bool spot);
+bool pool_allowed(const JobSpec& spec, std::string_view type, std::string_view zone, bool spot);
 
 // Counts the tasks that a job has, or is promised, in each zone and tells how many more it may have
 // there. Only jobs with a rule about zones are counted; for all others `add` and `remove` do
--- a/src/dunlinknot/jobs/request_handler.cpp
+++ b/src/dunlinknot/jobs/request_handler.cpp
@@ -89,7 +89,7 @@
   for (const MachineType& t : catalog_) {
     if (!spec.need.fits_in(t.size)) continue;
     for (const auto& zone : t.zones) {
-      if (cluster::kind_allowed(spec, t.name, zone, false)) zones.insert(zone);
+      if (cluster::pool_allowed(spec, t.name, zone, false)) zones.insert(zone);
     }
   }
   return zones;
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -16,7 +16,7 @@
 using http::Response;
 
 constexpr auto kTick = Millis(500);
-constexpr int kRoundRest = 3;  // times what the last round took
+constexpr int kCycleRestFactor = 3;  // times what the last cycle took
 constexpr auto kHeartbeatSilence = std::chrono::seconds(5);
 constexpr auto kStateSilent = Millis(1500);
 constexpr auto kStateIdle = Millis(700);
@@ -305,11 +305,11 @@
   loop_.spawn(workers_.release_responses(term));
   loop_.spawn(autoscaler_.work(term));
   loop_.spawn(autoscaler_.watch_machines(term));
-  loop_.spawn(rounds(term));
+  loop_.spawn(scheduling_loop(term));
   loop_.spawn(keep_catalog(term));
 }
 
-Task<void> Daemon::rounds(uint64_t term) {
+Task<void> Daemon::scheduling_loop(uint64_t term) {
   Instant began = loop_.now();
   Instant next_tick = began;
   while (context_.in_term(term)) {
@@ -333,16 +333,16 @@
         co_return;
       }
     }
-    if (elector_.may_start()) one_round(now);
-    // The more a round takes, the longer the pause: rounds leave most of the processor to the
+    if (elector_.may_start()) run_scheduling_cycle(now);
+    // The more a cycle takes, the longer the pause: cycles leave most of the processor to the
     // workers' heartbeats and the users, however large the cluster.
     const Nanos took = loop_.now() - now;
     co_await loop_.sleep(
-        std::clamp<Nanos>(took * kRoundRest, to_nanos(op_.round_pause), kTick * 3));
+        std::clamp<Nanos>(took * kCycleRestFactor, to_nanos(op_.cycle_pause), kTick * 3));
   }
 }
 
-void Daemon::one_round(Instant now) {
+void Daemon::run_scheduling_cycle(Instant now) {
   Effects effects;
   const scheduler::Plan plan = context_.leader_state.with([&](LeaderState& p) {
     p.nominations.settle(p.cluster);
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -1,4 +1,4 @@
-// One controller: all parts together, and the leader's rounds.
+// One controller: all parts together, and the leader's cycles.
 #pragma once
 #include <memory>
 
@@ -38,8 +38,8 @@
   void gained(const leadership::Term& term);
   void lost(uint64_t epoch);
   Task<void> take_over(uint64_t term);
-  Task<void> rounds(uint64_t term);
-  void one_round(Instant now);
+  Task<void> scheduling_loop(uint64_t term);
+  void run_scheduling_cycle(Instant now);
   void log_waiting(const scheduler::Plan& plan, Instant now);
   Task<void> learn_catalog();
   Task<void> keep_catalog(uint64_t term);
--- a/src/dunlinknot/preemption/fit.hpp
+++ b/src/dunlinknot/preemption/fit.hpp
@@ -11,7 +11,7 @@
 // How many tasks of this size fit into the room, up to `most`.
 uint32_t tasks_in(const Resources& room, const Resources& need, uint32_t most);
 
-// The room on one machine as a round goes on: allocations made in the round are taken off `free`.
+// The room on one machine as a cycle goes on: allocations made in the cycle are taken off `free`.
 class Room {
  public:
   Room(const cluster::Machine& machine, const Nominations& nominations, const Resources& size);
--- a/src/dunlinknot/scheduler/apply.cpp
+++ b/src/dunlinknot/scheduler/apply.cpp
@@ -56,7 +56,8 @@
   for (uint32_t i = 0; i < placement.count; ++i) {
     const auto index = job.take_pending();
     if (!index) return;
-    if (!cluster.queue_on(machine, job, *index, cluster.next_attempt(), placement.turn, now))
+    if (!cluster.queue_on(machine, job, *index, cluster.next_attempt(), placement.queue_position,
+                          now))
       return;
     effects.store_machines = true;
   }
--- a/src/dunlinknot/scheduler/arrays.cpp
+++ b/src/dunlinknot/scheduler/arrays.cpp
@@ -1,5 +1,5 @@
 // Placement of arrays: on machines with room, ahead on full ones, on machines that are coming.
-#include "dunlinknot/scheduler/round.hpp"
+#include "dunlinknot/scheduler/scheduling_cycle.hpp"
 
 namespace dunlinknot::scheduler {
 
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void Round::consider_array(const Waiting& w) {
+void SchedulingCycle::consider_array(const Waiting& w) {
   const Job& j = *w.job;
   if (j.pending() + j.queued_tasks == 0) {
     prepare_move(w);
@@ -55,12 +55,12 @@
   }
 }
 
-void Round::queue_on_busy_machines(const Waiting& w, uint32_t n) {
+void SchedulingCycle::queue_on_busy_machines(const Waiting& w, uint32_t n) {
   const JobSpec& spec = w.job->spec();
   if (n == 0 || queue_span_ <= 0 || w.job->failing || spec.service) return;
   // Where a task that waits on a machine would be in the way of the others, or they in its way.
   if (PlacementConstraints(spec).zone_bound()) return;
-  const cluster::Turn mine = absolute(w.turn());
+  const cluster::QueuePosition mine = absolute(w.queue_position());
   const double run = std::max(1.0, spec.estimate.count());
   const Resources& used = usage_[static_cast<size_t>(w.job->team())];
   if (below_limit(*w.job) == 0) {
@@ -73,21 +73,21 @@
     n = std::min(n, most > already ? most - already : 0);
     already += n;
   }
-  for (auto& [offer, kind] : kinds_) {
+  for (auto& [offer, pool] : pools_) {
     if (n == 0) return;
-    if (!kind.type || !offer_allowed(spec, offer)) continue;
-    const uint32_t slots = preemption::tasks_in(kind.type->size, spec.need, 10'000);
-    if (slots == 0) continue;
-    const auto cap = std::clamp(static_cast<uint32_t>(std::ceil(slots * queue_span_ / run)), 1u,
-                                slots * kMostQueuedRuns);
-    for (Slot* s : kind.ready) {
+    if (!pool.type || !offer_allowed(spec, offer)) continue;
+    const uint32_t places = preemption::tasks_in(pool.type->size, spec.need, 10'000);
+    if (places == 0) continue;
+    const auto cap = std::clamp(static_cast<uint32_t>(std::ceil(places * queue_span_ / run)), 1u,
+                                places * kMostQueuedRuns);
+    for (CandidateMachine* s : pool.ready) {
       if (n == 0) return;
       if (!s->kept_for.empty() || s->queued_tasks >= cap * 2 || !s->machine->has_image(spec.image))
         continue;
       uint32_t before = s->queued_tasks - s->machine->queued_tasks;
       if (s->machine->queued_tasks > 0) {
         for (const Allocation& b : s->machine->allocations) {
-          if (b.queued && !mine.before(b.turn)) ++before;
+          if (b.queued && !mine.before(b.queue_position)) ++before;
         }
       }
       // Filled up when half is gone, not one by one.
@@ -101,12 +101,12 @@
   }
 }
 
-uint32_t Round::place_nominated(const Job& j, uint32_t want, std::vector<uint64_t>& own,
-                                PlacementConstraints& constraints) {
+uint32_t SchedulingCycle::place_nominated(const Job& j, uint32_t want, std::vector<uint64_t>& own,
+                                          PlacementConstraints& constraints) {
   uint32_t placed = 0;
   for (size_t i = 0; i < own.size() && placed < want;) {
     const auto& n = nominations_.all().at(own[i]);
-    Slot* s = slot_of(n.machine);
+    CandidateMachine* s = find_candidate(n.machine);
     if (!s || s->coming || !may_go(j, *s) ||
         !s->room.fits(j.spec().need, j.spec().priority, n.id) ||
         constraints.tasks_allowed(s->zone()) == 0) {
@@ -122,18 +122,20 @@
   return placed;
 }
 
-std::string_view Round::zone_of(uint64_t nomination) const {
+std::string_view SchedulingCycle::zone_of(uint64_t nomination) const {
   const auto machine = cluster_.machines().find(nominations_.all().at(nomination).machine);
   return machine == cluster_.machines().end() ? std::string_view() : machine->second->zone;
 }
 
-void Round::clear_nomination(uint64_t nomination) {
+void SchedulingCycle::clear_nomination(uint64_t nomination) {
   plan_.cleared.push_back(nomination);
-  if (Slot* s = slot_of(nominations_.all().at(nomination).machine)) s->room.end_hold(nomination);
+  if (CandidateMachine* s = find_candidate(nominations_.all().at(nomination).machine))
+    s->room.end_hold(nomination);
 }
 
 // The job's other tasks may have gone elsewhere since the nomination was made.
-void Round::promise_nominated(std::vector<uint64_t>& own, PlacementConstraints& constraints) {
+void SchedulingCycle::promise_nominated(std::vector<uint64_t>& own,
+                                        PlacementConstraints& constraints) {
   std::vector<uint64_t> kept;
   for (const uint64_t id : own) {
     const std::string_view zone = zone_of(id);
@@ -147,13 +149,13 @@
   own = std::move(kept);
 }
 
-uint32_t Round::tasks_there(const Job& j, const Machine& h) {
+uint32_t SchedulingCycle::tasks_there(const Job& j, const Machine& h) {
   const auto is_of_job = [&](const Allocation& b) { return b.task.job == j.spec().id; };
   return static_cast<uint32_t>(
       std::count_if(h.allocations.begin(), h.allocations.end(), is_of_job));
 }
 
-uint32_t Round::replicas_leaving(const Job& j) const {
+uint32_t SchedulingCycle::replicas_leaving(const Job& j) const {
   if (!j.spec().service) return 0;
   uint32_t leaving = 0;
   for (const Machine* h : cluster_.holders(j.spec().id)) {
@@ -164,7 +166,7 @@
 
 // Replicas on machines that are interrupted move late: until then there should be a place for them.
 // Those that leave a zone make room there for others, so the job's zones are of no concern here.
-void Round::prepare_move(const Waiting& w) {
+void SchedulingCycle::prepare_move(const Waiting& w) {
   const JobSpec& spec = w.job->spec();
   uint32_t open = replicas_leaving(*w.job);
   for (const auto& [cost, s] : ranked(*w.job, false)) {
@@ -178,8 +180,8 @@
   if (open > 0) (void)scale_out_for_array(w, open, expected);
 }
 
-uint32_t Round::place_array(const Waiting& w, uint32_t want, PlacementConstraints& constraints,
-                            double most) {
+uint32_t SchedulingCycle::place_array(const Waiting& w, uint32_t want,
+                                      PlacementConstraints& constraints, double most) {
   if (want == 0) return 0;
   uint32_t placed = 0;
   if (w.job->spec().service) {
@@ -190,8 +192,9 @@
   return placed + place_ranked(*w.job, want - placed, constraints, most, w.job->spec().tasks);
 }
 
-uint32_t Round::place_ranked(const Job& j, uint32_t want, PlacementConstraints& constraints,
-                             double most, uint32_t most_on_machine) {
+uint32_t SchedulingCycle::place_ranked(const Job& j, uint32_t want,
+                                       PlacementConstraints& constraints, double most,
+                                       uint32_t most_on_machine) {
   const JobSpec& spec = j.spec();
   if (want == 0) return 0;
   uint32_t placed = 0;
@@ -213,7 +216,7 @@
   return placed;
 }
 
-double Round::turns(const Waiting& w, const MachineType& t, double up_in) const {
+double SchedulingCycle::uses_until_due(const Waiting& w, const MachineType& t, double up_in) const {
   const JobSpec& spec = w.job->spec();
   if (spec.service) return 1;  // its tasks never leave their places
   const double fetch = t.fetch_gb_per_s > 0 ? spec.image_gb / t.fetch_gb_per_s : 0;
@@ -222,15 +225,16 @@
   return std::max(1.0, std::floor(span / run));
 }
 
-uint32_t Round::place_coming(const Waiting& w, uint32_t want, PlacementConstraints& expected) {
+uint32_t SchedulingCycle::place_coming(const Waiting& w, uint32_t want,
+                                       PlacementConstraints& expected) {
   const JobSpec& spec = w.job->spec();
   uint32_t provided = 0;
   for (const auto& [cost, s] : ranked(*w.job, true)) {
     if (provided == want) break;
-    const MachineType& t = *s->kind->type;
+    const MachineType& t = *s->pool->type;
     double up_in = t.boot.count();
     if (s->machine) up_in -= std::min(up_in, to_seconds(now_ - s->machine->known_since).count());
-    const double times = turns(w, t, up_in);
+    const double times = uses_until_due(w, t, up_in);
     auto places = static_cast<uint32_t>(std::ceil((want - provided) / times));
     places = std::min(places, expected.tasks_allowed(s->zone()));
     const uint32_t n = places > 0 ? count_on(*w.job, *s, places) : 0;
--- a/src/dunlinknot/scheduler/eviction.cpp
+++ b/src/dunlinknot/scheduler/eviction.cpp
@@ -1,16 +1,16 @@
 // Preemption: only when nothing can be launched, on one machine, never by or of gangs.
-#include "dunlinknot/scheduler/round.hpp"
+#include "dunlinknot/scheduler/scheduling_cycle.hpp"
 
 namespace dunlinknot::scheduler {
 
 namespace {
 
-constexpr uint32_t kMaxEvictionsPerRound = 6;
+constexpr uint32_t kMaxPreemptionsPerCycle = 6;
 
 }  // namespace
 
-void Round::preempt(const Waiting& w, const std::vector<uint64_t>& own, uint32_t open,
-                    PlacementConstraints& promised) {
+void SchedulingCycle::preempt(const Waiting& w, const std::vector<uint64_t>& own, uint32_t open,
+                              PlacementConstraints& promised) {
   const Job& j = *w.job;
   if (j.failing) return;  // safety 6
   uint32_t tries = open;
@@ -29,13 +29,13 @@
     promised.remove(zone_of(id), 1);
   }
   if (can_scale_out) return;
-  while (tries-- > 0 && plan_.evictions.size() < kMaxEvictionsPerRound) {
+  while (tries-- > 0 && plan_.evictions.size() < kMaxPreemptionsPerCycle) {
     if (!evict_for(w, 0, promised)) break;
   }
 }
 
-bool Round::evict_for(const Waiting& w, uint64_t renews, PlacementConstraints& promised) {
-  if (plan_.evictions.size() >= kMaxEvictionsPerRound) return renews != 0;
+bool SchedulingCycle::evict_for(const Waiting& w, uint64_t renews, PlacementConstraints& promised) {
+  if (plan_.evictions.size() >= kMaxPreemptionsPerCycle) return renews != 0;
   const Job& j = *w.job;
   const JobSpec& spec = j.spec();
   std::vector<Resources> beyond;
@@ -54,7 +54,7 @@
   PlacementConstraints beside = promised;
   if (renews) beside.remove(zone_of(renews), 1);
   std::optional<preemption::Candidate> best;
-  Slot* best_slot = nullptr;
+  CandidateMachine* best_candidate = nullptr;
   // What nobody could be evicted for a moment ago, nobody can be evicted for now: jobs of one
   // shape are alike in this.
   const Shape shape{j.team(),
@@ -67,47 +67,49 @@
                     spec.types,
                     promised.zone_bound() ? spec.id : spec.zone.value_or("")};
   if (renews == 0 && hopeless_.contains(shape)) return false;
-  for (Slot& s : slots_) {
+  for (CandidateMachine& s : candidates_) {
     if (s.coming || !spec.need.fits_in(s.machine->size)) continue;
     if (evicted_on_.contains(s.machine->id) || !may_go(j, s)) continue;
     if (beside.tasks_allowed(s.zone()) == 0) continue;
     auto c = preemption::simulate(s.room, nominations_, cluster_, spec.need, renews, who, now_);
     if (!c) continue;
-    if (!best || better(*c, s, *best, *best_slot, spec)) {
+    if (!best || better(*c, s, *best, *best_candidate, spec)) {
       best = std::move(c);
-      best_slot = &s;
+      best_candidate = &s;
     }
   }
   if (!best) {
     if (renews == 0) hopeless_.insert(shape);
     return false;
   }
-  evicted_on_.insert(best_slot->machine->id);
-  plan_.evictions.push_back({spec.id, best_slot->machine->id, spec.need, spec.priority,
+  evicted_on_.insert(best_candidate->machine->id);
+  plan_.evictions.push_back({spec.id, best_candidate->machine->id, spec.need, spec.priority,
                              best->victims, best->lost_seconds, renews});
   if (renews) {
-    if (Slot* s = slot_of(nominations_.all().at(renews).machine)) s->room.end_hold(renews);
+    if (CandidateMachine* s = find_candidate(nominations_.all().at(renews).machine))
+      s->room.end_hold(renews);
   }
   for (const size_t i : best->victim_indices) {
-    const Allocation& b = best_slot->machine->allocations[i];
+    const Allocation& b = best_candidate->machine->allocations[i];
     if (!b.stopping()) {
-      best_slot->room.add_victims(b.need);
+      best_candidate->room.add_victims(b.need);
       // Its team's limit still counts the victim until it is gone (safety 4).
       if (b.team >= 0) given_up_[static_cast<size_t>(b.team)] += b.need;
     }
   }
-  best_slot->room.add_hold(std::numeric_limits<uint64_t>::max(), spec.need, spec.priority);
+  best_candidate->room.add_hold(std::numeric_limits<uint64_t>::max(), spec.need, spec.priority);
   usage_[static_cast<size_t>(j.team())] += spec.need;
-  beside.add(best_slot->zone(), 1);
+  beside.add(best_candidate->zone(), 1);
   promised = std::move(beside);
   return true;
 }
 
-bool Round::better(const preemption::Candidate& a, const Slot& sa, const preemption::Candidate& b,
-                   const Slot& sb, const JobSpec& spec) const {
+bool SchedulingCycle::better(const preemption::Candidate& a, const CandidateMachine& sa,
+                             const preemption::Candidate& b, const CandidateMachine& sb,
+                             const JobSpec& spec) const {
   if (a.highest != b.highest) return a.highest < b.highest;
-  const auto cost = [&](const preemption::Candidate& c, const Slot& s) {
-    const MachineType* t = s.kind->type;
+  const auto cost = [&](const preemption::Candidate& c, const CandidateMachine& s) {
+    const MachineType* t = s.pool->type;
     const double fetch = s.machine->has_image(spec.image) || !t || t->fetch_gb_per_s <= 0
                              ? 0
                              : spec.image_gb / t->fetch_gb_per_s;
--- a/src/dunlinknot/scheduler/gangs.cpp
+++ b/src/dunlinknot/scheduler/gangs.cpp
@@ -1,5 +1,5 @@
 // Placement of gangs: all tasks or none, and room kept for a gang that waits.
-#include "dunlinknot/scheduler/round.hpp"
+#include "dunlinknot/scheduler/scheduling_cycle.hpp"
 
 namespace dunlinknot::scheduler {
 
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-double Round::start_within(const Waiting& w) const {
+double SchedulingCycle::start_within(const Waiting& w) const {
   double within = kNoDeadline.count() / 10;
   for (const auto& o : platform_.objectives) {
     const bool wait = o.kind == "wait" && o.job_class == w.job->spec().job_class;
@@ -19,7 +19,7 @@
   return within;
 }
 
-double Round::soonest_boot(const JobSpec& spec, Borrowing borrowing) const {
+double SchedulingCycle::soonest_boot(const JobSpec& spec, Borrowing borrowing) const {
   double soonest = std::numeric_limits<double>::max();
   for (const MachineType& t : cluster_.catalog()) {
     if (!cluster::type_allowed(spec, t.name) || !spec.need.fits_in(t.size)) continue;
@@ -28,7 +28,7 @@
   return soonest;
 }
 
-bool Round::hold_overdue(const Waiting& w) {
+bool SchedulingCycle::hold_overdue(const Waiting& w) {
   const Job& j = *w.job;
   if (below_limit(j) >= j.spec().tasks && place_gang(j, false, Borrowing::any)) {
     overdue_placed_.insert(&j);
@@ -37,7 +37,7 @@
   return keep_for_gang(j, Borrowing::any);
 }
 
-std::optional<WaitCause> Round::consider_gang(const Waiting& w) {
+std::optional<WaitCause> SchedulingCycle::consider_gang(const Waiting& w) {
   const Job& j = *w.job;
   const auto team = static_cast<size_t>(j.team());
   if (below_limit(j) < j.spec().tasks) {
@@ -72,9 +72,9 @@
   return WaitCause::no_room;
 }
 
-bool Round::place_gang(const Job& j, bool coming, Borrowing borrowing) {
+bool SchedulingCycle::place_gang(const Job& j, bool coming, Borrowing borrowing) {
   const JobSpec& spec = j.spec();
-  std::vector<std::pair<double, Slot*>> order = ranked(j, false, borrowing);
+  std::vector<std::pair<double, CandidateMachine*>> order = ranked(j, false, borrowing);
   if (coming) {
     auto later = ranked(j, true, borrowing);
     order.insert(order.end(), later.begin(), later.end());
@@ -91,7 +91,7 @@
   }
   struct Choice {
     double cost = 0;
-    std::vector<std::pair<Slot*, uint32_t>> on;
+    std::vector<std::pair<CandidateMachine*, uint32_t>> on;
   };
   std::optional<Choice> best;
   const PlacementConstraints held = cluster_.constraints_of(j);
@@ -129,7 +129,7 @@
   return true;
 }
 
-double Round::ends_in(const Allocation& b) const {
+double SchedulingCycle::ends_in(const Allocation& b) const {
   if (b.service) return std::numeric_limits<double>::max();
   const double run = std::max(1.0, b.estimate.count());
   if (b.running_since == Instant{}) return run * 1.5;
@@ -137,31 +137,32 @@
   return ran < run ? run - ran : run / 4;
 }
 
-std::vector<Round::Place> Round::soonest_places(const Job& j, std::vector<Place> places) const {
+std::vector<SchedulingCycle::Place> SchedulingCycle::soonest_places(
+    const Job& j, std::vector<Place> places) const {
   std::stable_sort(places.begin(), places.end(),
                    [](const Place& a, const Place& b) { return a.in < b.in; });
   PlacementConstraints constraints = cluster_.constraints_of(j);
   std::vector<Place> chosen;
   for (const Place& place : places) {
     if (chosen.size() == j.spec().tasks) break;
-    if (constraints.tasks_allowed(place.slot->zone()) == 0) continue;
-    constraints.add(place.slot->zone(), 1);
+    if (constraints.tasks_allowed(place.candidate->zone()) == 0) continue;
+    constraints.add(place.candidate->zone(), 1);
     chosen.push_back(place);
   }
   if (chosen.size() < j.spec().tasks) chosen.clear();
   return chosen;
 }
 
-bool Round::keep_for_gang(const Job& j, Borrowing borrowing, double most) {
+bool SchedulingCycle::keep_for_gang(const Job& j, Borrowing borrowing, double most) {
   const JobSpec& spec = j.spec();
   if (kept_gangs_.contains(&j)) return true;
   std::map<std::string, std::vector<Place>> zones;
-  for (auto& [offer, kind] : kinds_) {
-    if (!kind.type || !offer_allowed(spec, offer) || !may_borrow(spec, kind.type, borrowing))
+  for (auto& [offer, pool] : pools_) {
+    if (!pool.type || !offer_allowed(spec, offer) || !may_borrow(spec, pool.type, borrowing))
       continue;
-    if (!spec.need.fits_in(kind.type->size)) continue;
+    if (!spec.need.fits_in(pool.type->size)) continue;
     auto& places = zones[spec.one_zone ? offer.zone : std::string()];
-    for (Slot* s : kind.ready) {
+    for (CandidateMachine* s : pool.ready) {
       if (!s->kept_for.empty() && s->kept_for != spec.job_class) continue;
       if (!may_use(j, *s)) continue;
       std::vector<std::pair<double, const Allocation*>> ends;
--- a/src/dunlinknot/scheduler/headroom.cpp
+++ b/src/dunlinknot/scheduler/headroom.cpp
@@ -1,5 +1,5 @@
 // Headroom: room kept free for classes of jobs that are expected to start soon after they arrive.
-#include "dunlinknot/scheduler/round.hpp"
+#include "dunlinknot/scheduler/scheduling_cycle.hpp"
 
 namespace dunlinknot::scheduler {
 
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-Round::Headroom Round::headroom(const cluster::Expected& e) const {
+SchedulingCycle::Headroom SchedulingCycle::headroom(const cluster::DemandForecast& e) const {
   double tasks = 0;
   double of_late = 0;
   double squares = 0;  // a few large jobs vary more than many small ones
@@ -36,7 +36,7 @@
           static_cast<uint32_t>(std::ceil(std::min(coming, of_late) * kMeanShare))};
 }
 
-void Round::keep_headroom(const std::string& name, const cluster::Expected& e) {
+void SchedulingCycle::keep_headroom(const std::string& name, const cluster::DemandForecast& e) {
   // A class that has the time to wait for new machines needs no idle ones.
   if (e.within > kRoomTakes) return;
   const Headroom h = headroom(e);
@@ -45,10 +45,10 @@
   uint32_t kept = 0;
   uint32_t there = 0;  // tasks of its kind on borrowed machines
   const JobSpec& spec = e.sample;
-  std::vector<std::pair<double, Slot*>> order;
-  for (Slot& s : slots_) {
-    const MachineType* t = s.kind->type;
-    if (!t || !offer_allowed(spec, s.kind->offer) || !spec.need.fits_in(t->size)) continue;
+  std::vector<std::pair<double, CandidateMachine*>> order;
+  for (CandidateMachine& s : candidates_) {
+    const MachineType* t = s.pool->type;
+    if (!t || !offer_allowed(spec, s.pool->offer) || !spec.need.fits_in(t->size)) continue;
     if (s.machine && would_borrow(spec, t)) {
       for (const Allocation& b : s.machine->allocations)
         there += b.gang && b.need.gpus <= 0 ? 1 : 0;
@@ -72,12 +72,12 @@
     if (!s->kept_for.empty()) continue;
     // Machines with accelerators are dear to hold free: no more of them than the mean asks for,
     // and where a task would strand several, not for a rush that is over.
-    if (const MachineType* t = s->kind->type; would_borrow(spec, t)) {
+    if (const MachineType* t = s->pool->type; would_borrow(spec, t)) {
       const uint32_t most = may_borrow(spec, t, Borrowing::cheap) ? h.mean : h.steady;
       left = std::min(left, most > kept + there ? most - kept - there : 0);
     }
     // What it may hold once shorter work there is done: all but what its own kind holds.
-    Resources room = s->kind->type->size;
+    Resources room = s->pool->type->size;
     if (s->machine) {
       for (const Allocation& b : s->machine->allocations) {
         if (b.gang || b.service || b.priority > spec.priority) room -= b.need;
--- a/src/dunlinknot/scheduler/queue.cpp
+++ b/src/dunlinknot/scheduler/queue.cpp
@@ -1,5 +1,5 @@
 // The order in which jobs are considered: due times, and the bound on waiting.
-#include "dunlinknot/scheduler/round.hpp"
+#include "dunlinknot/scheduler/scheduling_cycle.hpp"
 
 namespace dunlinknot::scheduler {
 
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-Round::Due Round::due(const Job& j) const {
+SchedulingCycle::Due SchedulingCycle::due(const Job& j) const {
   const JobSpec& spec = j.spec();
   const double age = std::chrono::duration<double>(wall_ - j.submitted()).count();
   if (!spec.deadline) {
@@ -33,7 +33,7 @@
   return {spec.deadline->count() - age, true};
 }
 
-double Round::most_wait(const JobSpec& spec) const {
+double SchedulingCycle::most_wait(const JobSpec& spec) const {
   double most = kMostWait.count();
   for (const auto& o : platform_.objectives) {
     if (o.kind != "wait" || o.job_class != spec.job_class || o.within <= kRoomTakes) continue;
@@ -42,7 +42,7 @@
   return most;
 }
 
-bool Round::overdue(const Job& j) const {
+bool SchedulingCycle::overdue(const Job& j) const {
   const double age = waited(j);
   if (j.done_count() == 0 && j.live_count() == j.queued_tasks) return age > most_wait(j.spec());
   if (j.spec().service) return false;
@@ -50,7 +50,7 @@
   return age > due + kMostLate.count();
 }
 
-std::vector<Round::Waiting> Round::queue() const {
+std::vector<SchedulingCycle::Waiting> SchedulingCycle::queue() const {
   std::vector<Waiting> q;
   for (const auto& [id, j] : cluster_.jobs()) {
     const bool waits = j->pending() + j->queued_tasks > 0 || replicas_leaving(*j) > 0;
@@ -63,7 +63,7 @@
   // job is brought to its end a little too late. But no job waits for ever: what is overdue goes
   // before all else.
   std::sort(q.begin(), q.end(), [](const Waiting& x, const Waiting& y) {
-    const cluster::Turn a = x.turn(), b = y.turn();
+    const cluster::QueuePosition a = x.queue_position(), b = y.queue_position();
     if (a.before(b) || b.before(a)) return a.before(b);
     return x.job->spec().id < y.job->spec().id;
   });
--- a/src/dunlinknot/scheduler/scale_out.cpp
+++ b/src/dunlinknot/scheduler/scale_out.cpp
@@ -1,15 +1,15 @@
 // Requests for machines: the cheapest offers for what has no room.
-#include "dunlinknot/scheduler/round.hpp"
+#include "dunlinknot/scheduler/scheduling_cycle.hpp"
 
 namespace dunlinknot::scheduler {
 
 namespace {
 
-constexpr uint32_t kMostRequested = 50;  // machines for one job in one round
+constexpr uint32_t kMostRequested = 50;  // machines for one job in one cycle
 
 }  // namespace
 
-std::vector<Round::RankedOffer> Round::ranked_offers(
+std::vector<SchedulingCycle::RankedOffer> SchedulingCycle::ranked_offers(
     const JobSpec& spec, const PlacementConstraints& constraints) const {
   std::vector<RankedOffer> out;
   for (const MachineType& t : cluster_.catalog()) {
@@ -32,7 +32,7 @@
   return out;
 }
 
-Slot& Round::request_machine(const Offer& offer, const std::string& job) {
+CandidateMachine& SchedulingCycle::request_machine(const Offer& offer, const std::string& job) {
   ++requested_;
   const auto w = std::find_if(plan_.capacity_requests.begin(), plan_.capacity_requests.end(),
                               [&](const CapacityRequest& x) { return x.offer == offer; });
@@ -41,28 +41,28 @@
   } else {
     ++w->count;
   }
-  return *add_expected(offer);
+  return *add_pending_machine(offer);
 }
 
-uint32_t Round::scale_out_for_array(const Waiting& w, uint32_t open,
-                                    const PlacementConstraints& expected) {
+uint32_t SchedulingCycle::scale_out_for_array(const Waiting& w, uint32_t open,
+                                              const PlacementConstraints& expected) {
   const Job& j = *w.job;
   const JobSpec& spec = j.spec();
   if (j.failing) return 0;
   const auto offers = ranked_offers(spec, expected);
   if (offers.empty() || machine_limit_reached()) return 0;
   const RankedOffer& d = offers.front();
-  // What the job may not have in one zone has to be launched elsewhere, in the rounds that follow.
+  // What the job may not have in one zone has to be launched elsewhere, in the cycles that follow.
   const uint32_t most_there = expected.tasks_allowed(d.offer.zone);
   // As many machines as finish what is left in time, not one for every task at once.
-  const double times = turns(w, *d.type, d.type->boot.count());
+  const double times = uses_until_due(w, *d.type, d.type->boot.count());
   uint32_t places = static_cast<uint32_t>(std::ceil(open / times));
   const bool all_there = places <= most_there;
   places = std::min(places, most_there);
-  uint32_t machines = (places + d.slots - 1) / d.slots;
+  uint32_t machines = (places + d.tasks_per_machine - 1) / d.tasks_per_machine;
   machines = std::clamp(machines, 1u, kMostRequested);
   for (uint32_t i = 0; i < machines && !machine_limit_reached(); ++i) {
-    Slot& s = request_machine(d.offer, spec.id);
+    CandidateMachine& s = request_machine(d.offer, spec.id);
     const uint32_t n = s.room.count(spec.need, spec.priority, places);
     s.room.take(spec.need * n);
     places -= n;
@@ -70,12 +70,12 @@
   return all_there ? open : std::min(open, static_cast<uint32_t>(most_there * times));
 }
 
-bool Round::scale_out_for_gang(const Waiting& w, Borrowing borrowing) {
+bool SchedulingCycle::scale_out_for_gang(const Waiting& w, Borrowing borrowing) {
   const JobSpec& spec = w.job->spec();
   if (w.job->failing) return true;
   std::map<std::string, uint32_t> zone_free;
-  for (Slot& s : slots_) {
-    if (!may_borrow(spec, s.kind->type, borrowing)) continue;
+  for (CandidateMachine& s : candidates_) {
+    if (!may_borrow(spec, s.pool->type, borrowing)) continue;
     if (spec.need.fits_in(s.room.free()) && may_go(*w.job, s)) {
       zone_free[s.zone()] += count_on(*w.job, s, spec.tasks);
     }
@@ -99,8 +99,8 @@
     const uint32_t have = spec.one_zone ? free_there : everywhere;
     uint32_t missing = spec.tasks > have ? spec.tasks - have : 1;
     missing = std::min(missing, allowed_there - free_there);
-    const uint32_t n = (missing + d.slots - 1) / d.slots;
-    const double cost = n * d.slots * d.price;
+    const uint32_t n = (missing + d.tasks_per_machine - 1) / d.tasks_per_machine;
+    const double cost = n * d.tasks_per_machine * d.price;
     if (best && cost >= lowest) continue;
     best = &d;
     machines = n;
--- a/src/dunlinknot/scheduler/scheduler.cpp
+++ b/src/dunlinknot/scheduler/scheduler.cpp
@@ -1,6 +1,6 @@
 #include "dunlinknot/scheduler/scheduler.hpp"
 
-#include "dunlinknot/scheduler/round.hpp"
+#include "dunlinknot/scheduler/scheduling_cycle.hpp"
 
 namespace dunlinknot::scheduler {
 
@@ -25,7 +25,7 @@
 Plan plan(const Cluster& cluster, const preemption::Nominations& nominations,
           const CloudCapacity& cloud_capacity, const settings::Platform& platform,
           const settings::Operator& op, WallTime wall, Instant now) {
-  return Round(cluster, nominations, cloud_capacity, platform, op, wall, now).run();
+  return SchedulingCycle(cluster, nominations, cloud_capacity, platform, op, wall, now).run();
 }
 
 }  // namespace dunlinknot::scheduler
--- a/src/dunlinknot/scheduler/scheduler.hpp
+++ b/src/dunlinknot/scheduler/scheduler.hpp
@@ -40,7 +40,7 @@
   std::string job;
   std::string machine;
   uint32_t count = 0;
-  cluster::Turn turn;
+  cluster::QueuePosition queue_position;
 };
 
 struct GangPlacement {
--- a/src/dunlinknot/scheduler/round.cpp
+++ b/src/dunlinknot/scheduler/scheduling_cycle.cpp
@@ -1,5 +1,5 @@
-// The round itself: machines as it sees them, what a job may use, and what each choice costs.
-#include "dunlinknot/scheduler/round.hpp"
+// The cycle itself: machines as it sees them, what a job may use, and what each choice costs.
+#include "dunlinknot/scheduler/scheduling_cycle.hpp"
 
 namespace dunlinknot::scheduler {
 
@@ -25,7 +25,7 @@
   return n <= 0 ? 0 : static_cast<uint32_t>(n);
 }
 
-Plan Round::run() {
+Plan SchedulingCycle::run() {
   collect();
   for (size_t t = 0; t < cluster_.teams().size(); ++t) {
     usage_.push_back(cluster_.usage(static_cast<int>(t)).used);
@@ -35,7 +35,7 @@
   // So much queued work that the state service's writes suffice for the allocations. Where they
   // suffice for one task at a time, every freed place goes to whatever is due first.
   const double write_rps = platform_.lowest_state_write_rps();
-  queue_span_ = static_cast<double>(slots_.size()) / (write_rps * kQueuedWriteShare);
+  queue_span_ = static_cast<double>(candidates_.size()) / (write_rps * kQueuedWriteShare);
   queue_span_ = queue_span_ < platform_.heartbeat_interval.count()
                     ? 0
                     : std::min(queue_span_, kMostQueueSpan);
@@ -47,7 +47,7 @@
     accelerators_wanted_ |=
         tasks_below_limit(cluster_.teams()[team], usage_[team] * kNearLimit, j->spec().need) > 0;
   }
-  for (const auto& [name, e] : cluster_.expected()) keep_headroom(name, e);
+  for (const auto& [name, e] : cluster_.forecasts()) keep_headroom(name, e);
   const std::vector<Waiting> waiting = queue();
   size_t kept = 0;
   for (const Waiting& w : waiting) {
@@ -55,7 +55,7 @@
     if (w.overdue && w.job->spec().gang && !w.job->any_live()) kept += hold_overdue(w) ? 1 : 0;
   }
   for (const Waiting& w : waiting) consider(w);
-  for (const Slot& s : slots_) {
+  for (const CandidateMachine& s : candidates_) {
     if (!s.machine) continue;
     Resources held = s.room.held();
     if (!s.kept_for.empty()) held += s.kept;
@@ -64,12 +64,12 @@
   return std::move(plan_);
 }
 
-uint32_t Round::below_limit(const Job& j) const {
+uint32_t SchedulingCycle::below_limit(const Job& j) const {
   const auto team = static_cast<size_t>(j.team());
   return tasks_below_limit(cluster_.teams()[team], usage_[team], j.spec().need);
 }
 
-bool Round::usable(const Machine& h) const {
+bool SchedulingCycle::usable(const Machine& h) const {
   if (!h.has_heartbeat || h.lost || h.draining || h.terminating || h.listed_failed ||
       h.interruption_at) {
     return false;
@@ -81,21 +81,21 @@
   return heartbeat_is_recent(h);
 }
 
-bool Round::heartbeat_is_recent(const Machine& h) const {
+bool SchedulingCycle::heartbeat_is_recent(const Machine& h) const {
   return now_ - h.last_heartbeat < to_nanos(platform_.heartbeat_interval * 2 + Seconds(1));
 }
 
-bool Round::expected_up(const Machine& h) const {
+bool SchedulingCycle::expected_up(const Machine& h) const {
   if (h.draining || h.terminating || h.listed_failed) return false;
   return !h.has_heartbeat || (!h.ours && !h.lost && !h.interruption_at && heartbeat_is_recent(h));
 }
 
-void Round::collect() {
+void SchedulingCycle::collect() {
   for (const auto& [id, h] : cluster_.machines()) {
     const bool ready = usable(*h);
     const bool coming = expected_up(*h);
     if ((!ready && !coming) || h->size.cpus <= 0) continue;
-    Slot& s = add_slot(h.get(), *h, kind_of(*h), coming);
+    CandidateMachine& s = add_candidate(h.get(), *h, pool_of(*h), coming);
     s.queued_tasks = h->queued_tasks;
     for (const Allocation& b : h->allocations) {
       if (b.queued || b.state != TaskState::fetching || b.image.empty()) continue;
@@ -104,12 +104,12 @@
     }
   }
   for (const auto& [offer, n] : cloud_capacity_.pending) {
-    for (uint32_t i = 0; i < n; ++i) add_expected(offer);
+    for (uint32_t i = 0; i < n; ++i) add_pending_machine(offer);
   }
 }
 
-Kind& Round::kind_of(const Offer& offer) {
-  auto [it, fresh] = kinds_.try_emplace(offer);
+InstancePool& SchedulingCycle::pool_of(const Offer& offer) {
+  auto [it, fresh] = pools_.try_emplace(offer);
   if (fresh) {
     it->second.offer = offer;
     it->second.type = cluster_.type(offer.type);
@@ -117,36 +117,38 @@
   return it->second;
 }
 
-Kind& Round::kind_of(const Machine& h) {
+InstancePool& SchedulingCycle::pool_of(const Machine& h) {
   const auto is_of = [&](const Offer& o) {
     return o.spot == h.spot && o.type == h.type && o.zone == h.zone;
   };
-  if (!last_kind_ || !is_of(last_kind_->offer)) last_kind_ = &kind_of({h.type, h.zone, h.spot});
-  return *last_kind_;
+  if (!last_pool_ || !is_of(last_pool_->offer)) last_pool_ = &pool_of({h.type, h.zone, h.spot});
+  return *last_pool_;
 }
 
-Slot& Round::add_slot(const Machine* machine, const Machine& model, Kind& kind, bool coming) {
-  Slot& s = slots_.emplace_back(machine, Room(model, nominations_, model.size), kind, coming);
-  kind.slots(coming).push_back(&s);
+CandidateMachine& SchedulingCycle::add_candidate(const Machine* machine, const Machine& model,
+                                                 InstancePool& pool, bool coming) {
+  CandidateMachine& s =
+      candidates_.emplace_back(machine, Room(model, nominations_, model.size), pool, coming);
+  pool.machines(coming).push_back(&s);
   return s;
 }
 
-Slot* Round::add_expected(const Offer& offer) {
+CandidateMachine* SchedulingCycle::add_pending_machine(const Offer& offer) {
   const MachineType* t = cluster_.type(offer.type);
   if (!t) return nullptr;
   auto imagined = std::make_unique<Machine>();
   imagined->size = t->size;
-  Slot& s = add_slot(nullptr, *imagined, kind_of(offer), true);
+  CandidateMachine& s = add_candidate(nullptr, *imagined, pool_of(offer), true);
   imagined_.push_back(std::move(imagined));
   return &s;
 }
 
-bool Round::would_borrow(const JobSpec& spec, const MachineType* t) {
+bool SchedulingCycle::would_borrow(const JobSpec& spec, const MachineType* t) {
   return spec.need.gpus <= 0 && t && t->size.gpus > 0;
 }
 
-double Round::stranded(const JobSpec& spec, const MachineType& t) const {
-  const Resources& beside = cluster_.beside_gpu();
+double SchedulingCycle::stranded(const JobSpec& spec, const MachineType& t) const {
+  const Resources& beside = cluster_.resources_per_gpu();
   if (beside.cpus <= 0 || beside.memory_gb <= 0) return 0;
   const Resources rest = t.size - spec.need;
   const double usable = std::min(std::floor(rest.cpus / beside.cpus + Resources::kSlack),
@@ -154,13 +156,14 @@
   return t.size.gpus - std::clamp(usable, 0.0, t.size.gpus);
 }
 
-bool Round::may_borrow(const JobSpec& spec, const MachineType* t, Borrowing borrowing) const {
+bool SchedulingCycle::may_borrow(const JobSpec& spec, const MachineType* t,
+                                 Borrowing borrowing) const {
   if (borrowing == Borrowing::any || !would_borrow(spec, t)) return true;
   return borrowing == Borrowing::cheap &&
          !(accelerators_wanted_ && stranded(spec, *t) > kMostStranded);
 }
 
-double Round::waited(const Job& j) const {
+double SchedulingCycle::waited(const Job& j) const {
   // A service has been there for long when it loses a replica: that one waits since then.
   if (j.spec().service && now_ > j.waiting_since) {
     return to_seconds(now_ - j.waiting_since).count();
@@ -168,13 +171,13 @@
   return std::chrono::duration<double>(wall_ - j.submitted()).count();
 }
 
-void Round::note_waiting(const Job& j, WaitCause cause) {
+void SchedulingCycle::note_waiting(const Job& j, WaitCause cause) {
   if (j.live_count() > j.queued_tasks || j.done_count() > 0) return;
   plan_.waiting_jobs.push_back(
       {j.spec().id, j.queued_tasks > 0 ? WaitCause::queued_on_machine : cause});
 }
 
-void Round::consider(const Waiting& w) {
+void SchedulingCycle::consider(const Waiting& w) {
   const Job& j = *w.job;
   if (overdue_placed_.contains(&j)) return;
   plan_.waiting_tasks += j.pending();
@@ -185,19 +188,19 @@
   }
 }
 
-cluster::Turn Round::absolute(cluster::Turn t) const {
+cluster::QueuePosition SchedulingCycle::absolute(cluster::QueuePosition t) const {
   t.due += to_seconds(now_.time_since_epoch()).count();
   return t;
 }
 
-Slot* Round::slot_of(const std::string& machine) {
-  const auto it = std::find_if(slots_.begin(), slots_.end(), [&](const Slot& s) {
-    return s.machine && s.machine->id == machine;
-  });
-  return it == slots_.end() ? nullptr : &*it;
+CandidateMachine* SchedulingCycle::find_candidate(const std::string& machine) {
+  const auto it = std::find_if(
+      candidates_.begin(), candidates_.end(),
+      [&](const CandidateMachine& s) { return s.machine && s.machine->id == machine; });
+  return it == candidates_.end() ? nullptr : &*it;
 }
 
-bool Round::may_use(const Job& j, Slot& s) const {
+bool SchedulingCycle::may_use(const Job& j, CandidateMachine& s) const {
   if (!s.machine) return true;
   if (!j.failing && !j.failed_on.empty() && j.failed_on.contains(s.machine->id)) return false;
   if (!s.record_room) {
@@ -207,25 +210,25 @@
   return record_allows(j, s) > 0;
 }
 
-bool Round::may_go(const Job& j, Slot& s) const {
-  return offer_allowed(j.spec(), s.kind->offer) && may_use(j, s);
+bool SchedulingCycle::may_go(const Job& j, CandidateMachine& s) const {
+  return offer_allowed(j.spec(), s.pool->offer) && may_use(j, s);
 }
 
-uint32_t Round::record_allows(const Job& j, const Slot& s) const {
+uint32_t SchedulingCycle::record_allows(const Job& j, const CandidateMachine& s) const {
   if (!s.record_room) return std::numeric_limits<uint32_t>::max();
   const Cluster::RecordCost cost = cluster_.record_cost(j);
   const size_t left = *s.record_room - std::min(*s.record_room, cost.group);
   return static_cast<uint32_t>(left / cost.task);
 }
 
-uint32_t Round::count_on(const Job& j, const Slot& s, uint32_t most) const {
+uint32_t SchedulingCycle::count_on(const Job& j, const CandidateMachine& s, uint32_t most) const {
   const JobSpec& spec = j.spec();
   most = std::min(most, record_allows(j, s));
   const Resources& free = s.room.free();
   Resources rest = free;
   bool limited = false;
   if (!spec.gang && spec.need.gpus <= 0 && free.gpus > 0 && s.kept_for != spec.job_class) {
-    rest -= cluster_.beside_gpu() * free.gpus;
+    rest -= cluster_.resources_per_gpu() * free.gpus;
     limited = true;
   }
   const bool kept_for_other =
@@ -248,7 +251,7 @@
   return s.room.count(spec.need, spec.priority, most);
 }
 
-double Round::share_of(const Resources& need, const Resources& size) const {
+double SchedulingCycle::share_of(const Resources& need, const Resources& size) const {
   double share = 0;
   if (size.cpus > 0) share = std::max(share, need.cpus / size.cpus);
   if (size.memory_gb > 0) share = std::max(share, need.memory_gb / size.memory_gb);
@@ -256,10 +259,10 @@
   return share;
 }
 
-double Round::place_cost(const Job& j, const Slot& s) const {
+double SchedulingCycle::place_cost(const Job& j, const CandidateMachine& s) const {
   const JobSpec& spec = j.spec();
   double cost = 0;
-  const MachineType* t = s.kind->type;
+  const MachineType* t = s.pool->type;
   const bool cached = s.machine && s.machine->has_image(spec.image);
   if (!cached && t && t->fetch_gb_per_s > 0) {
     const bool under_way =
@@ -271,7 +274,7 @@
   if (t) {
     // A machine with accelerators is kept for work that needs them.
     if (would_borrow(spec, t)) cost += 20 + 10 * t->size.gpus;
-    if (spec.spot && !s.kind->offer.spot) cost += 5;
+    if (spec.spot && !s.pool->offer.spot) cost += 5;
   }
   // Filling up what is in use lets idle machines go.
   const Resources& free = s.room.free();
@@ -279,13 +282,13 @@
   return cost;
 }
 
-std::vector<std::pair<double, Slot*>> Round::ranked(const Job& j, bool coming,
-                                                    Borrowing borrowing) {
-  std::vector<std::pair<double, Slot*>> out;
-  for (auto& [offer, kind] : kinds_) {
+std::vector<std::pair<double, CandidateMachine*>> SchedulingCycle::ranked(const Job& j, bool coming,
+                                                                          Borrowing borrowing) {
+  std::vector<std::pair<double, CandidateMachine*>> out;
+  for (auto& [offer, pool] : pools_) {
     if (!offer_allowed(j.spec(), offer)) continue;
-    if (!may_borrow(j.spec(), kind.type, borrowing)) continue;
-    for (Slot* s : kind.slots(coming)) {
+    if (!may_borrow(j.spec(), pool.type, borrowing)) continue;
+    for (CandidateMachine* s : pool.machines(coming)) {
       if (!j.spec().need.fits_in(s->room.free()) || !may_use(j, *s)) continue;
       out.emplace_back(place_cost(j, *s), s);
     }
@@ -295,7 +298,8 @@
   return out;
 }
 
-void Round::put(const Job& j, Slot& s, uint32_t n, std::vector<uint64_t> ends) {
+void SchedulingCycle::put(const Job& j, CandidateMachine& s, uint32_t n,
+                          std::vector<uint64_t> ends) {
   s.room.take(j.spec().need * n);
   usage_[static_cast<size_t>(j.team())] += j.spec().need * n;
   s.fetching.push_back(j.spec().image);
@@ -303,7 +307,7 @@
   plan_.placements.push_back({j.spec().id, s.machine->id, n, std::move(ends)});
 }
 
-void Round::take_record(const Job& j, Slot& s, uint32_t n) const {
+void SchedulingCycle::take_record(const Job& j, CandidateMachine& s, uint32_t n) const {
   const Cluster::RecordCost cost = cluster_.record_cost(j);
   const size_t takes = cost.group + cost.task * n;
   if (s.record_room) *s.record_room -= std::min(*s.record_room, takes);
--- a/src/dunlinknot/scheduler/round.hpp
+++ b/src/dunlinknot/scheduler/scheduling_cycle.hpp
@@ -1,4 +1,4 @@
-// One round of scheduling, in stages. Internal to the scheduler: plan() runs one and returns what
+// One scheduling cycle, in stages. Internal to the scheduler: plan() runs one and returns what
 // it decided. Each stage works on the machines as the stages before it left them (Slot) and adds to
 // the plan; nothing here changes the cluster.
 #pragma once
@@ -26,30 +26,30 @@
 
 // Whether the job may run on such machines, wherever its other tasks are.
 inline bool offer_allowed(const JobSpec& s, const Offer& o) {
-  return cluster::kind_allowed(s, o.type, o.zone, o.spot);
+  return cluster::pool_allowed(s, o.type, o.zone, o.spot);
 }
 // The room that a team has left below its limit, in tasks of this size.
 uint32_t tasks_below_limit(const settings::Team& t, const Resources& used, const Resources& need);
 
-struct Slot;
+struct CandidateMachine;
 
 // Machines of one kind in one place. What a job allows is decided once for a kind, not for each of
 // its machines.
-struct Kind {
+struct InstancePool {
   Offer offer;
   const MachineType* type = nullptr;
-  std::vector<Slot*> ready;
-  std::vector<Slot*> coming;  // not up yet, or only asked for
-  std::vector<Slot*>& slots(bool not_yet) { return not_yet ? coming : ready; }
+  std::vector<CandidateMachine*> ready;
+  std::vector<CandidateMachine*> coming;  // not up yet, or only asked for
+  std::vector<CandidateMachine*>& machines(bool not_yet) { return not_yet ? coming : ready; }
 };
 
-// Machines as the round sees them: those there, those coming, those asked for.
-struct Slot {
-  Slot(const Machine* h, Room r, const Kind& k, bool is_coming)
-      : machine(h), room(std::move(r)), kind(&k), coming(is_coming) {}
+// Machines as the cycle sees them: those there, those coming, those asked for.
+struct CandidateMachine {
+  CandidateMachine(const Machine* h, Room r, const InstancePool& k, bool is_coming)
+      : machine(h), room(std::move(r)), pool(&k), coming(is_coming) {}
   const Machine* machine = nullptr;  // null: asked for
   Room room;
-  const Kind* kind;
+  const InstancePool* pool;
   bool coming = false;
   std::vector<std::string_view> fetching;  // images that tasks there are waiting for
   bool gang_fetches = false;               // a whole gang waits for the slowest of its fetches
@@ -57,15 +57,15 @@
   std::string_view kept_for;
   Priority kept_priority = Priority::low;  // of what it is kept for
   std::optional<size_t> record_room;       // bytes left in its record
-  uint32_t queued_tasks = 0;               // tasks that wait there, this round's included
-  const std::string& zone() const { return kind->offer.zone; }
+  uint32_t queued_tasks = 0;               // tasks that wait there, this cycle's included
+  const std::string& zone() const { return pool->offer.zone; }
 };
 
-class Round {
+class SchedulingCycle {
  public:
-  Round(const Cluster& cluster, const preemption::Nominations& nominations,
-        const CloudCapacity& cloud_capacity, const settings::Platform& platform,
-        const settings::Operator& op, WallTime wall, Instant now)
+  SchedulingCycle(const Cluster& cluster, const preemption::Nominations& nominations,
+                  const CloudCapacity& cloud_capacity, const settings::Platform& platform,
+                  const settings::Operator& op, WallTime wall, Instant now)
       : cluster_(cluster),
         nominations_(nominations),
         cloud_capacity_(cloud_capacity),
@@ -74,8 +74,8 @@
         wall_(wall),
         now_(now),
         guaranteed_(within_guarantee(cluster)) {}
-  Round(const Round&) = delete;
-  Round& operator=(const Round&) = delete;
+  SchedulingCycle(const SchedulingCycle&) = delete;
+  SchedulingCycle& operator=(const SchedulingCycle&) = delete;
 
   Plan run();
 
@@ -90,7 +90,7 @@
       return (overdue ? 100 : 0) + static_cast<int>(job->spec().priority) * 4 +
              (guaranteed ? 2 : 0) + (late ? 0 : 1);
     }
-    cluster::Turn turn() const { return {tier(), due}; }
+    cluster::QueuePosition queue_position() const { return {tier(), due}; }
   };
 
   // How many of the job's tasks its team's limit still allows.
@@ -107,15 +107,16 @@
 
   void collect();
 
-  Kind& kind_of(const Offer& offer);
+  InstancePool& pool_of(const Offer& offer);
 
   // Machines of one kind mostly stand side by side, since they were launched together: the kind of
   // the one before is tried first.
-  Kind& kind_of(const Machine& h);
+  InstancePool& pool_of(const Machine& h);
 
-  Slot& add_slot(const Machine* machine, const Machine& model, Kind& kind, bool coming);
+  CandidateMachine& add_candidate(const Machine* machine, const Machine& model, InstancePool& pool,
+                                  bool coming);
 
-  Slot* add_expected(const Offer& offer);
+  CandidateMachine* add_pending_machine(const Offer& offer);
 
   // How many tasks of a class may come before new room could be made for them.
   struct Headroom {
@@ -123,11 +124,11 @@
     uint32_t mean = 0;    // for what comes on average
     uint32_t steady = 0;  // the same, by the last minute where that saw less
   };
-  Headroom headroom(const cluster::Expected& e) const;
+  Headroom headroom(const cluster::DemandForecast& e) const;
 
   // Keeps room for a class with an aim for its start: on the machines chosen for it, other work of
   // no higher priority leaves that room alone, and they are not returned while they are idle.
-  void keep_headroom(const std::string& name, const cluster::Expected& e);
+  void keep_headroom(const std::string& name, const cluster::DemandForecast& e);
 
   struct Due {
     double in = 0;      // seconds from now
@@ -169,7 +170,7 @@
   // single tasks that always are, would else take each place as it comes free.
   bool hold_overdue(const Waiting& w);
 
-  // The cause for which the job did not begin in this round, if it has not begun.
+  // The cause for which the job did not begin in this cycle, if it has not begun.
   void note_waiting(const Job& j, WaitCause cause);
 
   // --- one job
@@ -184,7 +185,7 @@
   // allocations down is spent on many at a time, and that a task that ends is followed at once.
   void queue_on_busy_machines(const Waiting& w, uint32_t n);
 
-  cluster::Turn absolute(cluster::Turn t) const;
+  cluster::QueuePosition absolute(cluster::QueuePosition t) const;
 
   // The preemptor tries its held room before anything else, where the job's constraints still
   // allow that. Used nominations are taken out of `own`.
@@ -202,30 +203,30 @@
   void promise_nominated(std::vector<uint64_t>& own, PlacementConstraints& constraints);
 
   // Only nominations are looked up, and they are few: no index over all machines is kept for them.
-  Slot* slot_of(const std::string& machine);
+  CandidateMachine* find_candidate(const std::string& machine);
 
   // On a machine of a kind that the job allows: not where it failed, and its record has room.
-  bool may_use(const Job& j, Slot& s) const;
+  bool may_use(const Job& j, CandidateMachine& s) const;
 
-  bool may_go(const Job& j, Slot& s) const;
+  bool may_go(const Job& j, CandidateMachine& s) const;
 
   // How many more tasks of the job the machine's record has room for.
-  uint32_t record_allows(const Job& j, const Slot& s) const;
+  uint32_t record_allows(const Job& j, const CandidateMachine& s) const;
 
   // How many tasks of the job fit there, up to `most`. Single tasks without accelerators leave to
   // each free accelerator what its next task will need besides; else machines launched for their
   // accelerators fill up with work that could run anywhere, and is evicted for a guarantee soon
   // after.
-  uint32_t count_on(const Job& j, const Slot& s, uint32_t most) const;
+  uint32_t count_on(const Job& j, const CandidateMachine& s, uint32_t most) const;
 
   // The price per hour of what the task takes of the machine, as the machine's dearest part.
   double share_of(const Resources& need, const Resources& size) const;
 
   // Lower is better: the seconds until the task would run there, and what it would block.
-  double place_cost(const Job& j, const Slot& s) const;
+  double place_cost(const Job& j, const CandidateMachine& s) const;
 
-  std::vector<std::pair<double, Slot*>> ranked(const Job& j, bool coming,
-                                               Borrowing borrowing = Borrowing::any);
+  std::vector<std::pair<double, CandidateMachine*>> ranked(const Job& j, bool coming,
+                                                           Borrowing borrowing = Borrowing::any);
 
   // On machines that are there, where it costs no more than `most`.
   uint32_t place_array(const Waiting& w, uint32_t want, PlacementConstraints& constraints,
@@ -245,16 +246,16 @@
   void prepare_move(const Waiting& w);
 
   // How often a place on such a machine can be used before the job is due.
-  double turns(const Waiting& w, const MachineType& t, double up_in) const;
+  double uses_until_due(const Waiting& w, const MachineType& t, double up_in) const;
 
-  // Machines that are not up yet: kept in mind for this round, so that not every round launches
+  // Machines that are not up yet: kept in mind for this cycle, so that not every cycle launches
   // anew for the same work. A place there serves as many tasks as it has time for. What is counted
   // on is added to `expected`.
   uint32_t place_coming(const Waiting& w, uint32_t want, PlacementConstraints& expected);
 
-  void put(const Job& j, Slot& s, uint32_t n, std::vector<uint64_t> ends);
+  void put(const Job& j, CandidateMachine& s, uint32_t n, std::vector<uint64_t> ends);
 
-  void take_record(const Job& j, Slot& s, uint32_t n) const;
+  void take_record(const Job& j, CandidateMachine& s, uint32_t n) const;
 
   // All tasks or none. With `coming`, machines that are not up yet count too, and nothing is
   // placed.
@@ -263,8 +264,8 @@
   // --- launching
   struct RankedOffer {
     Offer offer;
-    uint32_t slots = 0;  // tasks of the job per machine
-    double price = 0;    // per task and hour
+    uint32_t tasks_per_machine = 0;  // tasks of the job per machine
+    double price = 0;                // per task and hour
     const MachineType* type = nullptr;
   };
 
@@ -276,7 +277,7 @@
     return cloud_capacity_.machines + requested_ >= op_.max_machines;
   }
 
-  Slot& request_machine(const Offer& offer, const std::string& job);
+  CandidateMachine& request_machine(const Offer& offer, const std::string& job);
 
   // Launches machines for what is left of an array; returns how many tasks that provides for.
   uint32_t scale_out_for_array(const Waiting& w, uint32_t open,
@@ -290,7 +291,7 @@
 
   struct Place {
     double in = 0;  // seconds until a task has room there, by the estimates
-    Slot* slot = nullptr;
+    CandidateMachine* candidate = nullptr;
   };
   // A place for each of the gang's tasks, the soonest that its constraints allow; none when there
   // are too few.
@@ -311,8 +312,9 @@
 
   // The ranking of machines is ours: the lowest highest victim, the least work lost (with the fetch
   // that the preemptor would wait for), the fewest victims.
-  bool better(const preemption::Candidate& a, const Slot& sa, const preemption::Candidate& b,
-              const Slot& sb, const JobSpec& spec) const;
+  bool better(const preemption::Candidate& a, const CandidateMachine& sa,
+              const preemption::Candidate& b, const CandidateMachine& sb,
+              const JobSpec& spec) const;
 
   const Cluster& cluster_;
   const preemption::Nominations& nominations_;
@@ -322,12 +324,12 @@
   WallTime wall_;
   Instant now_;
   std::set<std::string> guaranteed_;
-  std::map<Offer, Kind> kinds_;
-  std::deque<Slot> slots_;     // they stay where they are
-  Kind* last_kind_ = nullptr;  // of the machine looked at last
+  std::map<Offer, InstancePool> pools_;
+  std::deque<CandidateMachine> candidates_;  // they stay where they are
+  InstancePool* last_pool_ = nullptr;        // of the machine looked at last
   std::vector<std::unique_ptr<Machine>> imagined_;
   std::vector<Resources> usage_;
-  std::vector<Resources> given_up_;  // by team: victims chosen in this round
+  std::vector<Resources> given_up_;  // by team: victims chosen in this cycle
   std::set<std::string> evicted_on_;
   using Shape = std::tuple<int, bool, bool, Priority, double, double, double,
                            std::vector<std::string>, std::string>;
--- a/src/dunlinknot/settings/settings.cpp
+++ b/src/dunlinknot/settings/settings.cpp
@@ -310,7 +310,7 @@
         {"ttl", seconds(1, 60, &Operator::roles_ttl)},
         {"renew-every", seconds(0.1, 20, &Operator::roles_renew)}}},
       {"scheduler",
-       {{"round-pause", seconds(0.01, 10, &Operator::round_pause)},
+       {{"round-pause", seconds(0.01, 10, &Operator::cycle_pause)},
         {"backoff-first", seconds(0.1, 3600, &Operator::backoff_first)},
         {"backoff-most", seconds(1, 86'400, &Operator::backoff_most)},
         {"failing-machines", whole(1, 1000, &Operator::failing_machines)}}},
--- a/src/dunlinknot/settings/settings.hpp
+++ b/src/dunlinknot/settings/settings.hpp
@@ -93,7 +93,7 @@
   Seconds refusal_pause{15};      // fleet/refusal-pause
   uint32_t max_machines = 20000;  // fleet/max-machines
   uint32_t faults_to_drain = 3;   // fleet/faults-to-drain
-  Seconds round_pause{0.1};       // scheduler/round-pause
+  Seconds cycle_pause{0.1};       // scheduler/round-pause
   Seconds backoff_first{5};       // scheduler/backoff-first
   Seconds backoff_most{120};      // scheduler/backoff-most
   uint32_t failing_machines = 3;  // scheduler/failing-machines
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -496,7 +496,7 @@
 }
 
 TEST_F(ClusterTest, AMachineThatGoesLeavesNothingHeldBehind) {
-  // The next round clears what the last one held: not on a machine that is gone (address
+  // The next cycle clears what the last one held: not on a machine that is gone (address
   // sanitizer).
   send(heartbeat());
   send(heartbeat("vm-2"));
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -63,16 +63,16 @@
 
 TEST(PlacementConstraintsTest, TypesZoneAndSpotMachines) {
   JobSpec spec = job("run-000001");
-  EXPECT_TRUE(kind_allowed(spec, "box", "a", false));
-  EXPECT_FALSE(kind_allowed(spec, "box", "a", true));
+  EXPECT_TRUE(pool_allowed(spec, "box", "a", false));
+  EXPECT_FALSE(pool_allowed(spec, "box", "a", true));
   spec.spot = true;
-  EXPECT_TRUE(kind_allowed(spec, "box", "a", true));
+  EXPECT_TRUE(pool_allowed(spec, "box", "a", true));
   spec.types = {"crate", "rig"};
-  EXPECT_FALSE(kind_allowed(spec, "box", "a", false));
-  EXPECT_TRUE(kind_allowed(spec, "rig", "a", false));
+  EXPECT_FALSE(pool_allowed(spec, "box", "a", false));
+  EXPECT_TRUE(pool_allowed(spec, "rig", "a", false));
   spec.zone = "b";
-  EXPECT_FALSE(kind_allowed(spec, "rig", "a", false));
-  EXPECT_TRUE(kind_allowed(spec, "rig", "b", false));
+  EXPECT_FALSE(pool_allowed(spec, "rig", "a", false));
+  EXPECT_TRUE(pool_allowed(spec, "rig", "b", false));
 }
 
 struct AllocationConstraints : test::ZonedCluster {
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -177,7 +177,7 @@
   carry_out(plan());
   victims_gone(h);
   ASSERT_TRUE(h.allocations.empty());
-  c.job("run-000002")->not_before = now + seconds(5);  // the preemptor is not tried this round
+  c.job("run-000002")->not_before = now + seconds(5);  // the preemptor is not tried this cycle
   c.job("run-000001")->not_before = now + seconds(5);
   add("run-000003", Priority::normal, 4);
   add("run-000004", Priority::low, 2);
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -1,4 +1,4 @@
-// Random clusters, several rounds in a row with the plans carried out: whatever is planned and
+// Random clusters, several cycles in a row with the plans carried out: whatever is planned and
 // whatever starts keeps to the jobs' constraints, the teams' limits and the machines' room. The
 // judges are independent of the scheduler: the checker of rules.hpp for what starts, and counts of
 // their own over the allocations for what is planned.
@@ -78,7 +78,7 @@
       heartbeat_all();
       (void)state_.cluster.expire(clock_.now());
       (void)state_.cluster.tick(clock_.now());
-      round();
+      cycle();
       store_some();
       heartbeat_all();
     }
@@ -264,7 +264,7 @@
     }
   }
 
-  void round() {
+  void cycle() {
     CloudCapacity cloud_capacity;
     for (const auto& t : types_) {
       for (const auto& zone : t.zones) {
@@ -290,7 +290,7 @@
     check_promises(decided);
   }
 
-  // Every allocation of a job that got one in this round.
+  // Every allocation of a job that got one in this cycle.
   void check_job(const std::string& id) {
     const JobSpec& spec = open_.at(id);
     std::map<std::string, uint32_t> zones;
@@ -331,7 +331,7 @@
     expect(state_.cluster.record_size(h) <= state_.cluster.record_limit(), "record of " + id);
   }
 
-  // Room that is being made for a job in this round is where all of it may go.
+  // Room that is being made for a job in this cycle is where all of it may go.
   void check_promises(const Plan& decided) {
     std::map<std::string, std::map<std::string, uint32_t>> zones;
     for (const auto& e : decided.evictions) {
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -302,11 +302,11 @@
   JobSpec q = job("run-000001", 3);
   q.job_class = "quick";
   add(q);
-  EXPECT_EQ(c.expected().at("quick").arrivals.size(), 1u);
-  EXPECT_EQ(c.expected().at("quick").within, Seconds(10));
+  EXPECT_EQ(c.forecasts().at("quick").arrivals.size(), 1u);
+  EXPECT_EQ(c.forecasts().at("quick").within, Seconds(10));
   c.begin_term(2, now);
   add(q);
-  EXPECT_EQ(c.expected().at("quick").arrivals.size(), 1u);
+  EXPECT_EQ(c.forecasts().at("quick").arrivals.size(), 1u);
 }
 
 TEST_F(SchedulerTest, WhatIsLateAnywayWaitsBehindWhatCanBeInTime) {
@@ -411,7 +411,7 @@
   EXPECT_EQ(p.held.count("vm-1") + p.held.count("vm-2"), 2u) << "queued tasks leave it too";
 }
 
-TEST_F(SchedulerTest, AnOverdueGangsRoomIsKeptBeforeTheQueuesTurn) {
+TEST_F(SchedulerTest, AnOverdueGangsRoomIsKeptBeforeTheQueuesOrder) {
   // Found in an incident: single tasks of a higher turn took each freed place, and gangs waited for
   // ten minutes beside machines that were used by turns.
   Machine& h = machine("vm-1");
@@ -471,7 +471,7 @@
   EXPECT_GE(count, 1u);
   EXPECT_LE(count, 16u) << "some seconds of work, no more";
   for (uint32_t i = 0; i < count; ++i) {
-    c.queue_on(h, j, *j.take_pending(), c.next_attempt(), p.queued[0].turn, now);
+    c.queue_on(h, j, *j.take_pending(), c.next_attempt(), p.queued[0].queue_position, now);
   }
   EXPECT_TRUE(plan().queued.empty()) << "filled up when half of it is gone";
 }
@@ -504,7 +504,7 @@
   return out;
 }
 
-TEST_F(SchedulerTest, AJobThatBeginsInTheRoundWaitsForNothing) {
+TEST_F(SchedulerTest, AJobThatBeginsInTheCycleWaitsForNothing) {
   machine("vm-1");
   add(job("run-000001", 1));
   EXPECT_TRUE(wait_causes(plan()).empty());
--- a/tests/zone_constraints_test.cpp
+++ b/tests/zone_constraints_test.cpp
@@ -1,5 +1,5 @@
 // Jobs whose tasks belong into one zone, or at most half of them into each: every way in which the
-// scheduler places a task keeps to that, given what the job holds, is given in the round and is
+// scheduler places a task keeps to that, given what the job holds, is given in the cycle and is
 // promised by nominations.
 #include "dunlinknot/scheduler/apply.hpp"
 #include "zoned_cluster.hpp"
@@ -76,7 +76,7 @@
   EXPECT_EQ(placed_by_zone(plan()).size(), 1u);
 }
 
-TEST_F(ZoneConstraints, WhatANominationPlacesCountsForTheRestOfTheRound) {
+TEST_F(ZoneConstraints, WhatANominationPlacesCountsForTheRestOfTheCycle) {
   Machine& a = add_machine("vm-1", "a");
   JobSpec half = job("run-000001");
   half.priority = Priority::production;
@@ -169,9 +169,9 @@
   EXPECT_TRUE(p.held.contains("vm-3"));
 }
 
-// Found while looking for decisions that miss what the round itself has placed: a record longer
+// Found while looking for decisions that miss what the cycle itself has placed: a record longer
 // than the state service takes is never written, and nothing on its machine starts any more.
-TEST_F(ZoneConstraints, ARoundPlacesNoMoreThanAMachinesRecordTakes) {
+TEST_F(ZoneConstraints, ACyclePlacesNoMoreThanAMachinesRecordTakes) {
   Machine& machine = add_machine("vm-1", "a");
   JobSpec many = job("run-000001", 5'000);
   many.need = {0.001, 0, 0.001};
