--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -37,8 +37,8 @@
 Cluster::Cluster(const settings::Platform& platform, const settings::Operator& op)
     : platform_(platform),
       op_(op),
-      blind_(leadership::former_leader_window(platform)),
-      lease_(leadership::lease_bound(platform)),
+      former_leader_window_(leadership::former_leader_renewal_window(platform)),
+      lease_(leadership::worker_lease_bound(platform)),
       storable_in_chunk_(wire::storable_chunk_tasks(smallest_value(platform))),
       record_limit_(smallest_value(platform) - smallest_value(platform) / kOrphanShare),
       usage_(platform.teams.size()) {}
@@ -262,14 +262,14 @@
   return effects;
 }
 
-Instant Cluster::silent_until(const Machine& h) const {
+Instant Cluster::lease_counted_from(const Machine& h) const {
   // Safety 1: a worker that never bore our fencing token may still be answered by the leader before
   // us, until that one's window is over.
-  return h.ours ? h.last_answered : std::max(h.last_answered, term_since_ + blind_);
+  return h.ours ? h.last_answered : std::max(h.last_answered, term_since_ + former_leader_window_);
 }
 
-Instant Cluster::lease_over(const Machine& h) const {
-  return silent_until(h) + lease_;
+Instant Cluster::lease_expiry(const Machine& h) const {
+  return lease_counted_from(h) + lease_;
 }
 
 Effects Cluster::expire(Instant now) {
@@ -277,7 +277,7 @@
   for (auto& [id, h] : machines_) {
     if (h->lost) continue;
     if (!h->has_heartbeat && h->allocations.empty()) continue;  // nothing of ours was ever there
-    if (now < lease_over(*h)) continue;
+    if (now < lease_expiry(*h)) continue;
     spdlog::info("machine {}: its lease expired, {} allocations end", h->id, h->allocations.size());
     h->lost = h->has_heartbeat;
     h->images.clear();
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -245,7 +245,7 @@
   // Ends the allocations of workers whose lease is certainly over.
   Effects expire(Instant now);
   // When the lease of this machine's worker is certainly over, as far as is known now.
-  Instant lease_over(const Machine& h) const;
+  Instant lease_expiry(const Machine& h) const;
 
   // --- decisions
   // Where further tasks of the job may go, given all its allocations.
@@ -351,14 +351,14 @@
   bool end_unlisted(Machine& h, const Heartbeat& b, Instant now, Effects& effects);
   void note_image(Machine& h, const Job& job);
   int team_index(std::string_view name) const;
-  Instant silent_until(const Machine& h) const;
+  Instant lease_counted_from(const Machine& h) const;
 
   const settings::Platform& platform_;
   const settings::Operator& op_;
   uint64_t epoch_ = 0;
   uint64_t attempts_ = 0;
   Instant term_since_{};
-  Nanos blind_;
+  Nanos former_leader_window_;
   Nanos lease_;
   uint32_t storable_in_chunk_;
   size_t record_limit_;
--- a/src/dunlinknot/leadership/elector.cpp
+++ b/src/dunlinknot/leadership/elector.cpp
@@ -15,20 +15,20 @@
 constexpr auto kCallTime = Millis(700);
 constexpr auto kRetry = Millis(150);
 constexpr auto kWatchBlock = Millis(10'000);
-constexpr auto kOutAfterResigning = std::chrono::seconds(20);
+constexpr auto kResignationBackoff = std::chrono::seconds(20);
 
 }  // namespace
 
-Nanos blind_window(const settings::Platform& p) {
+Nanos renewal_window(const settings::Platform& p) {
   const Seconds left = p.cancel - p.lease * kDrift - kMargin * 2;
   return to_nanos(std::max(Seconds(0), left / kDrift));
 }
 
-Nanos former_leader_window(const settings::Platform& p) {
-  return to_nanos(to_seconds(blind_window(p)) * kDrift);
+Nanos former_leader_renewal_window(const settings::Platform& p) {
+  return to_nanos(to_seconds(renewal_window(p)) * kDrift);
 }
 
-Nanos lease_bound(const settings::Platform& p) {
+Nanos worker_lease_bound(const settings::Platform& p) {
   return to_nanos(p.lease * kDrift + kMargin / 2);
 }
 
@@ -39,12 +39,13 @@
       platform_(platform),
       ttl_(ttl),
       hooks_(std::move(hooks)),
-      blind_(blind_window(platform)),
+      renewal_window_(renewal_window(platform)),
       changed_(loop) {}
 
 bool Elector::may_start() const {
   const Instant now = loop_.now();
-  return leading_ && now - state_.last_served_sent() < ttl_ * 2 / 3 && now - horizon_ < ttl_ * 2;
+  return leading_ && now - state_.last_served_sent() < ttl_ * 2 / 3 &&
+         now - cancellations_read_at_ < ttl_ * 2;
 }
 
 // Safety 2. A cancellation that we do not know of was told at C, after `evidence` or after what the
@@ -53,15 +54,15 @@
 // renewed is over by E + window + lease, drift included: before C + cancel_s. A successor won after
 // E as well: our lease on `leader` stood then, and whoever vouched had won nothing. So it waits for
 // the same window from its own election (former_leader_window).
-bool Elector::may_renew(std::optional<Instant> vouched) const {
+bool Elector::may_renew(std::optional<Instant> confirmed_until) const {
   if (!leading_) return false;
-  Instant from = evidence();
-  if (vouched) from = std::max(from, *vouched);
-  return loop_.now() < from + blind_;
+  Instant from = renewal_window_start();
+  if (confirmed_until) from = std::max(from, *confirmed_until);
+  return loop_.now() < from + renewal_window_;
 }
 
-void Elector::saw_cancellations(Instant sent) {
-  horizon_ = std::max(horizon_, sent);
+void Elector::cancellations_read(Instant sent) {
+  cancellations_read_at_ = std::max(cancellations_read_at_, sent);
 }
 
 void Elector::observe_epoch(uint64_t epoch, std::optional<std::string> leader,
@@ -82,7 +83,7 @@
 
 void Elector::resign(std::string_view why) {
   if (!leading_) return;
-  not_before_ = loop_.now() + kOutAfterResigning;
+  not_before_ = loop_.now() + kResignationBackoff;
   resigning_ = true;
   step_down(why);
 }
@@ -92,20 +93,20 @@
   leading_ = false;
   if (known_leader_ == platform_.node && known_epoch_ <= term_.epoch) known_leader_.reset();
   spdlog::info("leadership: epoch {} ended here: {}", term_.epoch, why);
-  hooks_.lost(term_.epoch, why);
+  hooks_.deposed(term_.epoch, why);
   changed_.notify();
 }
 
-void Elector::win(uint64_t epoch, uint64_t mod_revision, Instant asked) {
+void Elector::become_leader(uint64_t epoch, uint64_t mod_revision, Instant asked) {
   leading_ = true;
-  tenure_ = asked;
-  horizon_ = Instant{};  // until the open jobs have been read
+  lease_proven_at_ = asked;
+  cancellations_read_at_ = Instant{};  // until the open jobs have been read
   resigning_ = false;
   term_ = Term{epoch, mod_revision, loop_.now()};
   known_epoch_ = epoch;
   known_leader_ = platform_.node;
   spdlog::info("leadership: leading epoch {}", epoch);
-  hooks_.gained(term_);
+  hooks_.elected(term_);
 }
 
 Task<void> Elector::run() {
@@ -128,19 +129,19 @@
         continue;
       }
       leader_mod_revision_.reset();
-      leader_is_old_self_ = false;
+      leader_is_previous_process_ = false;
       revision_ = got.revision;
       if (got.found) {
         leader_mod_revision_ = got.item.mod_revision;
         revision_ = got.item.mod_revision;
         if (const auto r = wire::read_leader(got.item.value)) {
           observe_epoch(r->epoch, r->node, "the state service");
-          leader_is_old_self_ = r->node == platform_.node && got.item.lease != lease_;
+          leader_is_previous_process_ = r->node == platform_.node && got.item.lease != lease_;
         }
       }
       fresh = true;
     }
-    const bool vacant = !leader_mod_revision_ || leader_is_old_self_;
+    const bool vacant = !leader_mod_revision_ || leader_is_previous_process_;
     if (vacant && loop_.now() >= not_before_) co_return;
     const Millis block =
         vacant ? std::clamp(to_millis(not_before_ - loop_.now()), Millis(50), kWatchBlock)
@@ -158,7 +159,7 @@
     revision_ = std::max(revision_, w.revision);
     for (const auto& c : w.changes) {
       if (c.key != wire::kLeaderKey) continue;
-      leader_is_old_self_ = false;
+      leader_is_previous_process_ = false;
       if (c.deleted) {
         leader_mod_revision_.reset();
         known_leader_.reset();
@@ -197,7 +198,7 @@
   const Instant asked = loop_.now();
   state::TxnResult r = co_await state_.commit(txn, kCallTime, state::Importance::essential);
   if (r.applied) {
-    win(mine, r.revision, asked);
+    become_leader(mine, r.revision, asked);
     co_return;
   }
   if (r.outcome != http::Outcome::unknown) co_return;
@@ -210,7 +211,7 @@
     if (got.outcome == http::Outcome::ok) {
       const auto record = got.found ? wire::read_leader(got.item.value) : std::nullopt;
       if (record && got.item.lease == lease_ && record->epoch == mine) {
-        win(mine, got.item.mod_revision, read);
+        become_leader(mine, got.item.mod_revision, read);
       }
       co_return;
     }
@@ -224,7 +225,7 @@
     const Instant started = loop_.now();
     state::LeaseResult r = co_await state_.extend(lease_, kCallTime);
     if (!leading_) break;
-    if (r.outcome == http::Outcome::ok && !r.gone) tenure_ = started;
+    if (r.outcome == http::Outcome::ok && !r.gone) lease_proven_at_ = started;
     if (r.outcome == http::Outcome::ok && r.gone) {
       // The lease ran out while the service did not serve us. If nobody took over meanwhile, the
       // same epoch goes on under a new lease; the guard on `epoch` decides that.
@@ -241,7 +242,7 @@
         if (!leading_) break;
         if (t.applied) {
           lease_ = again.lease;
-          tenure_ = asked;
+          lease_proven_at_ = asked;
           spdlog::info("leadership: epoch {} goes on under a new lease", term_.epoch);
         } else if (t.outcome == http::Outcome::ok) {
           step_down("another node took over while the state service did not serve us");
--- a/src/dunlinknot/leadership/elector.hpp
+++ b/src/dunlinknot/leadership/elector.hpp
@@ -20,18 +20,18 @@
 
 // How long after its last evidence (see Elector::evidence) a leader may go on renewing the workers'
 // leases: a cancellation it cannot hear of must still be over on every machine within cancel_s.
-Nanos blind_window(const settings::Platform& p);
+Nanos renewal_window(const settings::Platform& p);
 // The same window as another node has to wait for it, the two clocks drifting apart: no leader
 // renews a lease later than this after its successor's election.
-Nanos former_leader_window(const settings::Platform& p);
+Nanos former_leader_renewal_window(const settings::Platform& p);
 // The time after which a worker that was last answered at `t` has certainly killed its tasks.
-Nanos lease_bound(const settings::Platform& p);
+Nanos worker_lease_bound(const settings::Platform& p);
 
 class Elector {
  public:
   struct Hooks {
-    std::function<void(const Term&)> gained;
-    std::function<void(uint64_t epoch, std::string_view why)> lost;
+    std::function<void(const Term&)> elected;
+    std::function<void(uint64_t epoch, std::string_view why)> deposed;
   };
   Elector(Loop& loop, state::Client& state, const settings::Platform& platform, Nanos ttl,
           Hooks hooks);
@@ -51,39 +51,42 @@
 
   // A read sent at `sent` was answered and showed every cancellation that stood by then, and all of
   // them have been carried out here (the horizon).
-  void saw_cancellations(Instant sent);
+  void cancellations_read(Instant sent);
   // Until when it is certain that no cancellation stands that we do not know of, and that nobody
   // else was elected. A request that was served, but shows neither, proves nothing of it.
-  Instant evidence() const { return std::min(horizon_, tenure_); }
+  Instant renewal_window_start() const {
+    return std::min(cancellations_read_at_, lease_proven_at_);
+  }
   // Served by the state service, and cancellations seen, recently enough to start work.
   bool may_start() const;
   // May still renew the workers' leases. `vouched`: until when all nodes were known to have told
   // of no cancellation since `evidence` that we do not know of.
-  bool may_renew(std::optional<Instant> vouched) const;
+  bool may_renew(std::optional<Instant> confirmed_until) const;
 
  private:
   Task<void> follow();
   Task<void> campaign();
   Task<void> lead();
   void step_down(std::string_view why);
-  void win(uint64_t epoch, uint64_t mod_revision, Instant asked);
+  void become_leader(uint64_t epoch, uint64_t mod_revision, Instant asked);
 
   Loop& loop_;
   state::Client& state_;
   const settings::Platform& platform_;
   Nanos ttl_;
   Hooks hooks_;
-  Nanos blind_;
+  Nanos renewal_window_;
 
   bool leading_ = false;
   Term term_;
-  Instant horizon_{};
-  Instant tenure_{};  // the sending of the last request that proved that our lease still stood
+  Instant cancellations_read_at_{};
+  Instant
+      lease_proven_at_{};  // the sending of the last request that proved that our lease still stood
   uint64_t lease_ = 0;
   uint64_t known_epoch_ = 0;
   std::optional<std::string> known_leader_;
   std::optional<uint64_t> leader_mod_revision_;  // of the key, when it exists
-  bool leader_is_old_self_ = false;
+  bool leader_is_previous_process_ = false;
   uint64_t revision_ = 0;
   Instant not_before_{};
   bool resigning_ = false;
--- a/src/dunlinknot/leadership/peers.cpp
+++ b/src/dunlinknot/leadership/peers.cpp
@@ -37,7 +37,8 @@
 
 // Safety 2: whatever a peer's process told before its answer, it had read or written before, and
 // says so in `cancel_revision`. What a process before it told stood before `since`.
-std::optional<Instant> Peers::vouched_until(Instant since, uint64_t revision) const {
+std::optional<Instant> Peers::no_unknown_cancellation_until(Instant since,
+                                                            uint64_t revision) const {
   Instant until = Instant::max();
   if (links_.empty()) return std::nullopt;
   for (const auto& [name, link] : links_) {
--- a/src/dunlinknot/leadership/peers.hpp
+++ b/src/dunlinknot/leadership/peers.hpp
@@ -30,7 +30,7 @@
   // The time until which every peer is known to have told of no cancellation beyond `revision`;
   // empty when any of them may have. One whose process began after `since` cannot speak for the
   // process before it.
-  std::optional<Instant> vouched_until(Instant since, uint64_t revision) const;
+  std::optional<Instant> no_unknown_cancellation_until(Instant since, uint64_t revision) const;
   // Tells the leader, as far as it is known, that a job was cancelled: for speed only, it may get
   // lost and it may come late.
   void announce_cancellation(const std::string& job);
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -48,8 +48,8 @@
       cloud_(loop, transport, platform.cloud, platform.cloud_rps),
       context_(loop, platform, op),
       elector_(loop, state_, platform, to_nanos(op.leader_ttl),
-               {[this](const leadership::Term& r) { gained(r); },
-                [this](uint64_t epoch, std::string_view) { lost(epoch); }}),
+               {[this](const leadership::Term& r) { elected(r); },
+                [this](uint64_t epoch, std::string_view) { deposed(epoch); }}),
       peers_(loop, platform,
              {[this] { return status(); },
               [this](const wire::peer::Status& s) {
@@ -72,7 +72,7 @@
                          [this](const std::string& id, uint32_t tasks) {
                            jobs_.finals().put(id, {false, tasks});
                          },
-                         [this](Instant sent) { elector_.saw_cancellations(sent); },
+                         [this](Instant sent) { elector_.cancellations_read(sent); },
                          [this] { return cleanup_guards(); },
                          [this](const state::TxnResult& result, Instant sent) {
                            take_cleanup_result(result, sent);
@@ -169,7 +169,8 @@
   if (elector_.may_renew(std::nullopt)) return true;
   const uint64_t revision = allocation_store_.jobs_revision();
   if (jobs_.cancel_revision() > revision) return false;
-  return elector_.may_renew(peers_.vouched_until(elector_.evidence(), revision));
+  return elector_.may_renew(
+      peers_.no_unknown_cancellation_until(elector_.renewal_window_start(), revision));
 }
 
 // The leader stops the job's tasks at once, wherever the user asked: a leader that the state
@@ -244,7 +245,7 @@
   }
 }
 
-void Daemon::gained(const leadership::Term& term) {
+void Daemon::elected(const leadership::Term& term) {
   ++context_.term;
   context_.epoch = term.epoch;
   context_.epoch_mod_revision = term.epoch_mod_revision;
@@ -269,7 +270,7 @@
   if (roles_) roles_->holder.take_result(roles::Role::cleanup, result, sent);
 }
 
-void Daemon::lost(uint64_t) {
+void Daemon::deposed(uint64_t) {
   if (roles_) {
     roles_->holder.lose();
     loop_.spawn(roles_->holder.release());
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -35,8 +35,8 @@
   void on_peer_cancellation(const std::string& id);  // a peer told its user so
 
  private:
-  void gained(const leadership::Term& term);
-  void lost(uint64_t epoch);
+  void elected(const leadership::Term& term);
+  void deposed(uint64_t epoch);
   Task<void> take_over(uint64_t term);
   Task<void> scheduling_loop(uint64_t term);
   void run_scheduling_cycle(Instant now);
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -185,7 +185,7 @@
   now = answered + seconds(14);
   c.expire(now);
   EXPECT_EQ(allocated(), 1u) << "clocks drift: not on the second";
-  now = answered + leadership::lease_bound(platform);
+  now = answered + leadership::worker_lease_bound(platform);
   c.expire(now);
   EXPECT_EQ(allocated(), 0u);
   EXPECT_TRUE(c.find_machine("vm-1")->lost);
@@ -203,7 +203,8 @@
   wire::MachineRecord r{
       "box", "a", "10.0.0.1:9000", false, {{"run-000001", "red", {2, 0, 4}, false, {{0, 3}}}}};
   c.load_machine("vm-1", r, 7, now);
-  const Nanos wait = leadership::blind_window(platform) + leadership::lease_bound(platform);
+  const Nanos wait =
+      leadership::renewal_window(platform) + leadership::worker_lease_bound(platform);
   c.expire(now + wait - Millis(1));
   EXPECT_EQ(allocated(), 1u);
   c.expire(now + wait + seconds(1));
--- a/tests/scenario_leadership_test.cpp
+++ b/tests/scenario_leadership_test.cpp
@@ -97,7 +97,7 @@
   s.nodes[first]->cut_from_state = true;
   s.nodes[first]->cut_from_peers = true;  // else it hears of its successor
   const auto& e = s.daemon(first).elector();
-  s.run_for(leadership::blind_window(s.nodes[first]->platform) - seconds(2));
+  s.run_for(leadership::renewal_window(s.nodes[first]->platform) - seconds(2));
   EXPECT_TRUE(e.may_renew(std::nullopt));
   s.run_for(seconds(3));
   EXPECT_FALSE(e.may_renew(std::nullopt));
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -41,7 +41,7 @@
   std::optional<wire::MachineRecord> stored;
   uint64_t sequence = 0;
   uint64_t fencing_token = 0;
-  Instant silent_until{};
+  Instant lease_counted_from{};
   bool gone = false;
 };
 
@@ -165,7 +165,7 @@
     SimulatedMachine& m = it->second;
     if (m.gone) return;
     if (chance(0.5)) {  // not heard of for a while, and back within its lease
-      m.silent_until = clock_.now() + seconds(2 + pick(8));
+      m.lease_counted_from = clock_.now() + seconds(2 + pick(8));
       return;
     }
     m.gone = true;
@@ -214,7 +214,7 @@
 
   void heartbeat_all() {
     for (auto& [id, m] : machines_) {
-      if (!m.gone && clock_.now() >= m.silent_until) heartbeat(id, m);
+      if (!m.gone && clock_.now() >= m.lease_counted_from) heartbeat(id, m);
     }
     std::vector<std::string> over;
     for (const auto& [id, spec] : open_) {
