--- a/benchmarks/cost_driver.cpp
+++ b/benchmarks/cost_driver.cpp
@@ -24,7 +24,7 @@
   double jobs_at_start = 75;     // the same
   double polls_per_second = 18;  // over all jobs so far
   double task_seconds = 100;     // mean run time
-  uint32_t take_overs = 1;       // restarts of the controller, spread over the run
+  uint32_t failovers = 1;        // restarts of the controller, spread over the run
 };
 
 struct Counts {
@@ -102,8 +102,8 @@
       jobs_due += load_.jobs_per_second * scale();
       polls_due += load_.polls_per_second;
       const auto elapsed = site_.clock.now() - begin;
-      if (restarts < load_.take_overs &&
-          elapsed >= seconds(load_.seconds) * (restarts + 1) / (load_.take_overs + 1)) {
+      if (restarts < load_.failovers &&
+          elapsed >= seconds(load_.seconds) * (restarts + 1) / (load_.failovers + 1)) {
         site_.restart(0);
         ++restarts;
       }
@@ -207,7 +207,7 @@
     app.add_option("--machines", load.machines, "Machines of the cluster");
     app.add_option("--seconds", load.seconds, "Simulated seconds");
     app.add_option("--jobs-per-second", load.jobs_per_second, "Jobs, for each 600 machines");
-    app.add_option("--take-overs", load.take_overs, "Restarts of the controller");
+    app.add_option("--take-overs", load.failovers, "Restarts of the controller");
     app.add_option("--polls-per-second", load.polls_per_second, "Users' questions");
     CLI11_PARSE(app, argc, argv);
     dunlinknot::test::Driver driver(load);
--- a/src/dunlinknot/autoscaler/autoscaler.cpp
+++ b/src/dunlinknot/autoscaler/autoscaler.cpp
@@ -69,7 +69,7 @@
       if (!context_.in_term(term)) co_return;
       if (!list) break;
       ++pages;
-      take_list(list->machines, context_.loop.now());
+      apply_list(list->machines, context_.loop.now());
       if (!list->more || list->machines.empty()) {
         scale_out_.list_was_read();
         break;
@@ -92,12 +92,12 @@
   }
 }
 
-void Autoscaler::take_list(const std::vector<ListedMachine>& machines, Instant now) {
+void Autoscaler::apply_list(const std::vector<ListedMachine>& machines, Instant now) {
   bool changed = false;
   std::vector<std::string> failed;
   context_.leader_state.with([&](LeaderState& p) {
     for (const auto& m : machines) {
-      if (p.cluster.is_gone(m.id)) continue;  // the list lags
+      if (p.cluster.was_removed(m.id)) continue;  // the list lags
       const bool known = p.cluster.find_machine(m.id) != nullptr;
       Machine& h = p.cluster.register_machine(m.id, m.type, m.zone, m.spot, now);
       if (!known) {
@@ -120,7 +120,7 @@
   if (changed) context_.schedule.notify();
 }
 
-void Autoscaler::sweep(std::vector<std::string> wanted, size_t waiting_tasks, Instant now) {
+void Autoscaler::scan(std::vector<std::string> wanted, size_t waiting_tasks, Instant now) {
   std::sort(wanted.begin(), wanted.end());
   std::vector<std::pair<std::string, std::string>> out;
   const auto& op = context_.op;
--- a/src/dunlinknot/autoscaler/autoscaler.hpp
+++ b/src/dunlinknot/autoscaler/autoscaler.hpp
@@ -33,10 +33,10 @@
     scale_out_.order(capacity_requests);
   }
   // Looks for machines to return; called after each cycle.
-  void sweep(std::vector<std::string> wanted, size_t waiting_tasks, Instant now);
+  void scan(std::vector<std::string> wanted, size_t waiting_tasks, Instant now);
 
  private:
-  void take_list(const std::vector<ListedMachine>& machines, Instant now);
+  void apply_list(const std::vector<ListedMachine>& machines, Instant now);
 
   cluster::LeaderContext& context_;
   cloud::Client& cloud_;
--- a/src/dunlinknot/autoscaler/scale_out.cpp
+++ b/src/dunlinknot/autoscaler/scale_out.cpp
@@ -152,21 +152,21 @@
   if (!context_.in_term(term)) co_return;
   in_flight_.erase(launch.request);
   if (result.outcome == Outcome::ok) {
-    take_machines(launch, result.machines);
+    apply_launched(launch, result.machines);
     context_.schedule.notify();
     co_return;
   }
   if (result.no_capacity || (result.outcome == Outcome::refused && cloud_.answering())) {
-    take_refusal(launch, result.no_capacity);
+    apply_refusal(launch, result.no_capacity);
     context_.schedule.notify();
     co_return;
   }
-  take_unknown(launch.request);
+  apply_unknown_outcome(launch.request);
   co_await context_.loop.sleep(kRepeat);
   if (context_.in_term(term)) context_.scaling.notify();
 }
 
-void ScaleOut::take_machines(const Launch& launch, const std::vector<std::string>& machines) {
+void ScaleOut::apply_launched(const Launch& launch, const std::vector<std::string>& machines) {
   const Instant now = context_.loop.now();
   const scheduler::Offer& offer = launch.offer;
   forget(launch.request);
@@ -174,7 +174,7 @@
   context_.leader_state.with([&](LeaderState& p) {
     for (const auto& id : machines) {
       // A repeated answer may name machines that are gone by now.
-      if (p.cluster.is_gone(id)) continue;
+      if (p.cluster.was_removed(id)) continue;
       p.cluster.register_machine(id, offer.type, offer.zone, offer.spot, now);
     }
   });
@@ -188,7 +188,7 @@
 
 // The request was certainly not carried out; the scheduler may ask for something else. If an
 // earlier copy of it may still be under way, its name stays open, for the next need of that kind.
-void ScaleOut::take_refusal(const Launch& launch, bool no_capacity) {
+void ScaleOut::apply_refusal(const Launch& launch, bool no_capacity) {
   Launch* current = find(launch.request);
   if (roles_ && current && current->doubtful) {
     current->parked = true;
@@ -203,7 +203,7 @@
 }
 
 // Trouble, or no answer: the same request again, under its own name only.
-void ScaleOut::take_unknown(const std::string& request) {
+void ScaleOut::apply_unknown_outcome(const std::string& request) {
   Launch* launch = find(request);
   if (!launch) return;
   launch->doubtful = true;
@@ -214,7 +214,7 @@
   const Nanos lag = to_nanos(context_.platform.list_lag * kListLagSpread);
   context_.leader_state.with([&](LeaderState& p) {
     const auto seen = [&](const std::string& id) {
-      if (p.cluster.is_gone(id)) return true;
+      if (p.cluster.was_removed(id)) return true;
       const Machine* h = p.cluster.find_machine(id);
       return !h || h->has_heartbeat || (h->listed && now - h->known_since > lag);
     };
--- a/src/dunlinknot/autoscaler/scale_out.hpp
+++ b/src/dunlinknot/autoscaler/scale_out.hpp
@@ -55,9 +55,9 @@
     Nanos pause{0};
   };
   Task<void> send_launch(uint64_t term, Launch launch);
-  void take_machines(const Launch& launch, const std::vector<std::string>& machines);
-  void take_refusal(const Launch& launch, bool no_capacity);
-  void take_unknown(const std::string& request);
+  void apply_launched(const Launch& launch, const std::vector<std::string>& machines);
+  void apply_refusal(const Launch& launch, bool no_capacity);
+  void apply_unknown_outcome(const std::string& request);
   void refused(const scheduler::Offer& offer, Instant now);
   Launch* find(const std::string& request);
   void forget(const std::string& request);
--- a/src/dunlinknot/cluster/allocation_store.cpp
+++ b/src/dunlinknot/cluster/allocation_store.cpp
@@ -44,7 +44,7 @@
   }
 }
 
-void AllocationStore::take_job(const state::Item& item) {
+void AllocationStore::apply_job_record(const state::Item& item) {
   auto record = wire::read_job_record(item.value);
   if (!record || item.key != wire::job_key(record->spec.id)) {
     spdlog::error("the record {} cannot be read and is left alone", item.key);
@@ -58,7 +58,7 @@
 }
 
 Task<bool> AllocationStore::load(uint64_t term) {
-  const Visit job = [this](const state::Item& i) { take_job(i); };
+  const Visit job = [this](const state::Item& i) { apply_job_record(i); };
   Reading jobs, rest;
   if (!co_await list_all(term, std::string(wire::kJobPrefix), job, jobs)) co_return false;
   garbage_.clear();
@@ -118,7 +118,7 @@
   std::set<std::string> listed;
   const Visit visit = [&](const state::Item& i) {
     listed.insert(std::string(wire::after_prefix(i.key, wire::kJobPrefix)));
-    take_job(i);
+    apply_job_record(i);
   };
   Reading reading;
   if (!co_await list_all(term, std::string(wire::kJobPrefix), visit, reading)) co_return false;
@@ -176,7 +176,7 @@
         context_.leader_state.with([&](LeaderState& p) { effects |= close_over(p, id); });
       } else {
         state::Item item{c.key, c.value, c.mod_revision, 0};
-        take_job(item);
+        apply_job_record(item);
         effects.schedule = true;
       }
     }
--- a/src/dunlinknot/cluster/allocation_store.hpp
+++ b/src/dunlinknot/cluster/allocation_store.hpp
@@ -77,8 +77,8 @@
   size_t guards_left(const MachineBatch& batch) const;
   bool add_machine_record(MachineBatch& batch, Cluster& cluster, Machine& h) const;
   MachineBatch collect_machines(Cluster& cluster, bool trailing) const;
-  Effects take_machines_result(Cluster& cluster, const MachineBatch& batch,
-                               const state::TxnResult& r, std::vector<std::string>& recheck);
+  Effects apply_machines_result(Cluster& cluster, const MachineBatch& batch,
+                                const state::TxnResult& r, std::vector<std::string>& recheck);
   Task<bool> store_some_machines(uint64_t term, bool trailing);
   Task<bool> delete_some_records(uint64_t term);
   void add_end(ProgressBatch& batch, const Job& j) const;
@@ -90,7 +90,7 @@
   Task<bool> store_some_done(uint64_t term);
   Task<void> recheck_job(uint64_t term, std::string id);
   Task<bool> relist_jobs(uint64_t term);
-  void take_job(const state::Item& item);
+  void apply_job_record(const state::Item& item);
   Effects close_over(LeaderState& p, const std::string& id);
   state::Guard epoch_guard() const;
   Task<void> await_budget(uint64_t term, double writes);
--- a/src/dunlinknot/cluster/allocation_store_machines.cpp
+++ b/src/dunlinknot/cluster/allocation_store_machines.cpp
@@ -177,9 +177,9 @@
 
 // What the transaction's result says of the records and jobs that it was about. Adds the jobs whose
 // record was not what the leader took it for to `recheck`.
-Effects AllocationStore::take_machines_result(Cluster& cluster, const MachineBatch& batch,
-                                              const state::TxnResult& r,
-                                              std::vector<std::string>& recheck) {
+Effects AllocationStore::apply_machines_result(Cluster& cluster, const MachineBatch& batch,
+                                               const state::TxnResult& r,
+                                               std::vector<std::string>& recheck) {
   Effects effects;
   for (const auto& w : batch.machines) {
     Machine* h = cluster.find_machine(w.id);
@@ -227,7 +227,7 @@
   if (!context_.in_term(term)) co_return false;
   std::vector<std::string> recheck;
   const Effects effects = context_.leader_state.with(
-      [&](LeaderState& p) { return take_machines_result(p.cluster, batch, r, recheck); });
+      [&](LeaderState& p) { return apply_machines_result(p.cluster, batch, r, recheck); });
   if (r.guard_failed(wire::kEpochKey)) {
     hooks_.deposed("a transaction met a later epoch");
     co_return false;
@@ -240,7 +240,7 @@
 
 Task<bool> AllocationStore::delete_some_records(uint64_t term) {
   auto dead =
-      context_.leader_state.with([](LeaderState& p) { return p.cluster.take_dead_records(); });
+      context_.leader_state.with([](LeaderState& p) { return p.cluster.drain_dead_records(); });
   for (auto& d : dead) garbage_.push_back(std::move(d));
   if (garbage_.empty() || state_.write_level() < state_.write_burst() * kSlackLevel)
     co_return false;
--- a/src/dunlinknot/cluster/allocations.cpp
+++ b/src/dunlinknot/cluster/allocations.cpp
@@ -314,7 +314,7 @@
   });
 }
 
-std::vector<StopCall> Cluster::take_stop_calls() {
+std::vector<StopCall> Cluster::drain_stop_calls() {
   std::vector<StopCall> calls;
   for (const auto& id : stop_machines_) {
     Machine* h = find_machine(id);
--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -56,11 +56,11 @@
   runnable_.clear();
   held_machines_.clear();
   saved_.clear();
-  gone_.clear();
+  removed_.clear();
   terminating_.clear();
   stop_machines_.clear();
   dead_records_.clear();
-  held_back_jobs_.clear();
+  backing_off_jobs_.clear();
   replica_restarts_ = {};
   usage_.assign(platform_.teams.size(), TeamUsage{});
 }
@@ -247,7 +247,7 @@
   Effects effects;
   const auto it = machines_.find(id);
   if (it == machines_.end()) {
-    gone_[id] = now;
+    removed_[id] = now;
     return effects;
   }
   Machine& h = *it->second;
@@ -256,8 +256,8 @@
     dead_records_.emplace_back(wire::machine_key(id), h.mod_revision);
   std::erase(held_machines_, &h);  // found on reading: it was written to after it was gone
   machines_.erase(it);
-  std::erase_if(gone_, [&](const auto& g) { return now - g.second > kRememberGone; });
-  gone_[id] = now;
+  std::erase_if(removed_, [&](const auto& g) { return now - g.second > kRememberGone; });
+  removed_[id] = now;
   effects.schedule = true;
   return effects;
 }
@@ -265,7 +265,8 @@
 Instant Cluster::lease_counted_from(const Machine& h) const {
   // Safety 1: a worker that never bore our fencing token may still be answered by the leader before
   // us, until that one's window is over.
-  return h.ours ? h.last_answered : std::max(h.last_answered, term_since_ + former_leader_window_);
+  return h.fenced ? h.last_answered
+                  : std::max(h.last_answered, term_since_ + former_leader_window_);
 }
 
 Instant Cluster::lease_expiry(const Machine& h) const {
@@ -318,7 +319,7 @@
       }
     }
   }
-  effects |= release_held_back(now);
+  effects |= release_backed_off(now);
   if (!stop_machines_.empty()) effects.stops = true;
   return effects;
 }
@@ -336,12 +337,12 @@
   }
 }
 
-Effects Cluster::release_held_back(Instant now) {
+Effects Cluster::release_backed_off(Instant now) {
   Effects effects;
-  std::erase_if(held_back_jobs_, [&](const std::string& id) {
+  std::erase_if(backing_off_jobs_, [&](const std::string& id) {
     Job* j = job(id);
-    if (j && j->release_held_back(now)) effects.schedule = true;
-    return !j || !j->any_held_back();
+    if (j && j->release_backed_off(now)) effects.schedule = true;
+    return !j || !j->any_backed_off();
   });
   return effects;
 }
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -94,8 +94,8 @@
   bool has_heartbeat = false;
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
-  bool ours = false;  // a heartbeat bore our fencing token: older fencing tokens are refused there
-                      // from then on
+  bool fenced = false;  // a heartbeat bore our fencing token: older fencing tokens are refused
+                        // there from then on
   bool lost = false;  // silent beyond its lease; back only with a later incarnation
   Instant last_heartbeat{};
   Instant last_answered{};
@@ -235,7 +235,7 @@
                                     Effects& effects);
   HeartbeatResponse commands_for(const Heartbeat& heartbeat, Instant now, bool may_start);
   // Machines that a `run` may go out to since this was last asked.
-  std::vector<std::string> take_runnable() { return std::exchange(runnable_, {}); }
+  std::vector<std::string> drain_runnable() { return std::exchange(runnable_, {}); }
   // Whether the last cycle left work waiting for a place.
   void set_work_waits(bool waits) { work_waits_ = waits; }
   // A heartbeat that came as the answer to a direct call: news, but no proof of what is not in it.
@@ -267,7 +267,7 @@
   Effects preempt(Machine& machine, const TaskRef& task, uint64_t attempt, Instant now);
   Effects drop_unsent(const std::string& job,
                       Instant now);  // planned allocations of a job are undone
-  std::vector<StopCall> take_stop_calls();
+  std::vector<StopCall> drain_stop_calls();
   Effects tick(Instant now);  // interruptions that are due, stops that hang
 
   const ReplicaRestarts& replica_restarts() const { return replica_restarts_; }
@@ -302,11 +302,11 @@
   const std::vector<Machine*>& holders(const std::string& job) const;
 
   // Records of machines that are gone, to be deleted: key and mod revision.
-  std::vector<std::pair<std::string, uint64_t>> take_dead_records() {
+  std::vector<std::pair<std::string, uint64_t>> drain_dead_records() {
     return std::exchange(dead_records_, {});
   }
   size_t allocation_count() const;
-  bool is_gone(const std::string& id) const { return gone_.contains(id); }
+  bool was_removed(const std::string& id) const { return removed_.contains(id); }
 
  private:
   // Counts those of the job's allocations of which `which` is true.
@@ -325,29 +325,29 @@
   template <class Predicate>
   Effects end_unsent(const std::string& job, Instant now, Predicate&& which);
   Effects on_exit(Machine& h, const TaskStatus& r, Instant now);
-  void take_running(Allocation& allocation, Job* j, const Machine& h, Instant now);
-  void hold_back_replica(Job& j, uint32_t index, bool soon, Instant now);
-  Effects release_held_back(Instant now);
+  void apply_running(Allocation& allocation, Job* j, const Machine& h, Instant now);
+  void back_off_replica(Job& j, uint32_t index, bool soon, Instant now);
+  Effects release_backed_off(Instant now);
   void count_restart(const Allocation& b, const Machine& h);
   void move_replicas(Machine& h, Instant now);
   void break_gang(const std::string& job, uint64_t attempt, Instant now, Effects& effects);
   void stop_gang(const std::string& job, uint64_t attempt, Seconds grace, Instant now);
   void on_error(Machine& h, Job* job, Instant now);
-  void suspect(Machine& h, Instant now);
+  void add_suspicion(Machine& h, Instant now);
   void clear_suspicion(Machine& h, Instant now) const;
   void start_queued(Machine& h, Instant now);
   bool sendable(const Allocation& b) const;
   bool fresh(Machine& h, const Heartbeat& b) const;
   void apply_worker_status(Machine& h, const Heartbeat& b, Instant now, bool complete,
                            Effects& effects);
-  void take_machine_state(Machine& h, const Heartbeat& b, Instant now, bool complete,
-                          Effects& effects);
+  void apply_machine_state(Machine& h, const Heartbeat& b, Instant now, bool complete,
+                           Effects& effects);
   Effects end_allocations_before(Machine& h, uint64_t incarnation, Instant now);
   Allocation& allocate_orphan(Machine& h, const TaskStatus& task, const Job* j, Instant now,
                               Effects& effects);
-  bool welcome(const Machine& h, const Job& j, uint32_t index) const;
+  bool may_adopt(const Machine& h, const Job& j, uint32_t index) const;
   Effects make_way_for(const Job& j, const TaskRef& orphan, Instant now);
-  bool take_task(Machine& h, const TaskStatus& t, Instant now, Effects& effects);
+  bool apply_task(Machine& h, const TaskStatus& t, Instant now, Effects& effects);
   bool end_unlisted(Machine& h, const Heartbeat& b, Instant now, Effects& effects);
   void note_image(Machine& h, const Job& job);
   int team_index(std::string_view name) const;
@@ -373,14 +373,14 @@
   std::map<std::string, DemandForecast> forecasts_;  // by class
   std::set<std::string> terminating_;                // by the decision of a former leader
   std::map<std::string, Instant>
-      gone_;  // machines removed of late: late heartbeats are not believed
+      removed_;  // machines removed of late: late heartbeats are not believed
   std::vector<std::pair<std::string, uint64_t>> dead_records_;
   std::deque<std::string> urgent_machines_;
   std::deque<std::string> dirty_machines_;
   std::vector<std::string> runnable_;
   bool work_waits_ = false;
   uint64_t refused_allocations_ = 0;
-  std::set<std::string> held_back_jobs_;  // with tasks that wait before they are placed again
+  std::set<std::string> backing_off_jobs_;  // with tasks that wait before they are placed again
   ReplicaRestarts replica_restarts_;
   std::vector<Machine*> held_machines_;
   std::vector<Resources> saved_;            // of teams' limits, for gangs that wait for them
--- a/src/dunlinknot/cluster/failures.cpp
+++ b/src/dunlinknot/cluster/failures.cpp
@@ -19,7 +19,7 @@
 
 // A heartbeat's arrival is no proof that answers get through. Runs that are sent again and again,
 // and incarnations that end while we answer, tell: such a machine would swallow work for ever.
-void Cluster::suspect(Machine& h, Instant now) {
+void Cluster::add_suspicion(Machine& h, Instant now) {
   if (h.suspicions == 0 || now - h.last_suspicion > lease_ * 2) {
     h.suspicions = 0;
     h.first_suspicion = now;
@@ -54,15 +54,15 @@
 
 // A replica runs again at once, elsewhere where its machine failed it. One that ends again and
 // again soon after its start waits longer each time.
-void Cluster::hold_back_replica(Job& j, uint32_t index, bool soon, Instant now) {
+void Cluster::back_off_replica(Job& j, uint32_t index, bool soon, Instant now) {
   const uint32_t ends = j.note_replica_end(index, soon);
   if (ends <= kFreeRetries) return;
   const uint32_t doublings = std::min(ends - kFreeRetries - 1, kMostDoublings);
   const Nanos pause =
       std::min(to_nanos(op_.backoff_first) * (1 << doublings), to_nanos(op_.backoff_most));
-  j.hold_back(index, now + pause);
-  held_back_jobs_.insert(j.spec().id);
-  spdlog::info("{} ended soon after its start {} times in a row: it waits {:.0f} s",
+  j.back_off(index, now + pause);
+  backing_off_jobs_.insert(j.spec().id);
+  spdlog::info("{} ended soon after its start {} times in a row: backing off {:.0f} s",
                TaskRef{j.spec().id, index}.text(), ends, to_seconds(pause).count());
 }
 
--- a/src/dunlinknot/cluster/heartbeats.cpp
+++ b/src/dunlinknot/cluster/heartbeats.cpp
@@ -40,7 +40,7 @@
     answer.kind = HeartbeatResponse::Kind::superseded;
     return answer;
   }
-  if (gone_.contains(b.machine)) {
+  if (removed_.contains(b.machine)) {
     // A heartbeat that was under way while its machine was deleted.
     answer.kind = HeartbeatResponse::Kind::stale;
     return answer;
@@ -65,16 +65,16 @@
     return answer;
   }
   answer.read = true;
-  const bool was_ours = h.ours;
+  const bool was_fenced = h.fenced;
   Effects changed;
   apply_worker_status(h, b, now, true, changed);
   effects |= changed;
   if (!may_start || h.draining || h.terminating) return answer;
   start_queued(h, now);
   const auto planned = [](const Allocation& k) { return k.phase == Phase::planned; };
-  if (!h.ours || h.unreachable || h.interruption_at) return answer;
+  if (!h.fenced || h.unreachable || h.interruption_at) return answer;
   if (find_where(h.allocations, [&](const Allocation& k) { return sendable(k); })) return answer;
-  const bool has_room = work_waits_ && (changed.schedule || !was_ours) && h.free().cpus > 0;
+  const bool has_room = work_waits_ && (changed.schedule || !was_fenced) && h.free().cpus > 0;
   answer.run_soon = has_room || find_where(h.allocations, planned);
   return answer;
 }
@@ -137,8 +137,8 @@
 }
 
 // What the worker tells of itself; its tasks are read by the caller.
-void Cluster::take_machine_state(Machine& h, const Heartbeat& b, Instant now, bool complete,
-                                 Effects& effects) {
+void Cluster::apply_machine_state(Machine& h, const Heartbeat& b, Instant now, bool complete,
+                                  Effects& effects) {
   if (!h.has_heartbeat || b.incarnation != h.incarnation) h.incarnation_since = now;
   if (!h.has_heartbeat) {
     h.idle_since = now;
@@ -151,7 +151,7 @@
   h.incarnation = b.incarnation;
   h.sequence = b.sequence;
   if (complete) h.last_heartbeat = now;
-  if (b.fencing_token == epoch_) h.ours = true;
+  if (b.fencing_token == epoch_) h.fenced = true;
   const std::optional<Instant> interruption =
       b.interruption_notice ? std::optional(now + to_nanos(*b.interruption_notice)) : std::nullopt;
   if (interruption.has_value() != h.interruption_at.has_value()) effects.schedule = true;
@@ -180,7 +180,7 @@
 // Whether a task that is on the machine without an allocation may stay: a task of an array that
 // waits for a place, where it may be beside the job's other tasks. What was not sent gives way to
 // it.
-bool Cluster::welcome(const Machine& h, const Job& j, uint32_t index) const {
+bool Cluster::may_adopt(const Machine& h, const Job& j, uint32_t index) const {
   if (j.spec().gang || j.is_done(index) || j.is_live(index)) return false;
   if (!pool_allowed(j.spec(), h.type, h.zone, h.spot)) return false;
   return constraints_of_sent(j).tasks_allowed(h.zone) > 0;
@@ -193,7 +193,7 @@
   orphan.task = task.task;
   orphan.attempt = task.attempt;
   orphan.placed_at = now;
-  const bool stays = j && welcome(h, *j, task.task.index);
+  const bool stays = j && may_adopt(h, *j, task.task.index);
   if (j) {
     orphan.team = j->team();
     orphan.team_name = j->spec().team;
@@ -215,7 +215,7 @@
 }
 
 // A task that is on the machine. Returns whether that shows that a `run` of ours got there.
-bool Cluster::take_task(Machine& h, const TaskStatus& t, Instant now, Effects& effects) {
+bool Cluster::apply_task(Machine& h, const TaskStatus& t, Instant now, Effects& effects) {
   Job* j = job(t.task.job);
   if (j && t.task.index >= j->spec().tasks) j = nullptr;
   Allocation* allocation = h.find(t.task, t.attempt);
@@ -226,7 +226,7 @@
   if (!j && !allocation->stopping()) stop(h, *allocation, StopReason::cancelled, Seconds(0), now);
   const bool obeyed = allocation->phase == Phase::sent;
   allocation->phase = Phase::seen;
-  if (allocation->service && t.state == TaskState::running) take_running(*allocation, j, h, now);
+  if (allocation->service && t.state == TaskState::running) apply_running(*allocation, j, h, now);
   if (t.state == allocation->state) return obeyed;
   if (t.state == TaskState::running) {
     if (allocation->running_since == Instant{}) allocation->running_since = now;
@@ -274,9 +274,9 @@
   const bool new_incarnation = h.has_heartbeat && b.incarnation > h.incarnation;
   // Its lease ran out although we answered it in time: either our answers do not get there, or it
   // was started anew.
-  bool missed_us = complete && new_incarnation && h.ours && now - h.last_answered < lease_ / 2;
+  bool missed_us = complete && new_incarnation && h.fenced && now - h.last_answered < lease_ / 2;
   bool obeyed = false;
-  take_machine_state(h, b, now, complete, effects);
+  apply_machine_state(h, b, now, complete, effects);
   if (new_incarnation) {
     effects.schedule = true;
     effects |= end_allocations_before(h, b.incarnation, now);
@@ -285,7 +285,7 @@
     if (t.state == TaskState::exited) {
       effects |= on_exit(h, t, now);
     } else {
-      obeyed |= take_task(h, t, now, effects);
+      obeyed |= apply_task(h, t, now, effects);
     }
   }
   if (complete) missed_us |= end_unlisted(h, b, now, effects);
@@ -293,7 +293,7 @@
     h.suspicions = 0;
     h.unreachable = false;
   } else if (missed_us) {
-    suspect(h, now);
+    add_suspicion(h, now);
   } else if (complete) {
     clear_suspicion(h, now);
   }
@@ -301,7 +301,7 @@
 }
 
 // A replica that goes on running shows that its service can, and that its machine is sound.
-void Cluster::take_running(Allocation& allocation, Job* j, const Machine& h, Instant now) {
+void Cluster::apply_running(Allocation& allocation, Job* j, const Machine& h, Instant now) {
   if (!j || j->proven || !ran_for(allocation, kProvenRun, now)) return;
   spdlog::debug("service {} runs on {}", allocation.task.job, h.id);
   j->proven = true;
@@ -340,7 +340,7 @@
   }
   const bool orderly = r.cause == ExitCause::stopped && k->stopping() && k->grace > Seconds(0);
   effects |= end_allocation(h, static_cast<size_t>(k - h.allocations.data()), now, orderly);
-  if (j && j->spec().service && by_itself) hold_back_replica(*j, r.task.index, soon, now);
+  if (j && j->spec().service && by_itself) back_off_replica(*j, r.task.index, soon, now);
   return effects;
 }
 
--- a/src/dunlinknot/cluster/job.cpp
+++ b/src/dunlinknot/cluster/job.cpp
@@ -17,15 +17,15 @@
       durable_(spec_.tasks),
       storable_in_chunk_(storable_in_chunk) {}
 
-std::optional<uint32_t> Job::take_pending() {
+std::optional<uint32_t> Job::pop_pending() {
   while (!requeued_.empty()) {
     const uint32_t i = requeued_.back();
     requeued_.pop_back();
-    if (!done_[i] && !is_live(i) && !held_back_.contains(i)) return i;
+    if (!done_[i] && !is_live(i) && !backed_off_until_.contains(i)) return i;
   }
   while (next_fresh_ < spec_.tasks) {
     const uint32_t i = next_fresh_++;
-    if (!done_[i] && !is_live(i) && !held_back_.contains(i)) return i;
+    if (!done_[i] && !is_live(i) && !backed_off_until_.contains(i)) return i;
   }
   return std::nullopt;
 }
@@ -41,7 +41,7 @@
 }
 
 void Job::add_allocation(uint32_t index) {
-  held_back_.erase(index);
+  backed_off_until_.erase(index);
   if (live_[index]++ == 0 && !done_[index]) ++unfinished_live_;
 }
 
@@ -56,12 +56,12 @@
   }
 }
 
-void Job::hold_back(uint32_t index, Instant until) {
-  if (!done_[index] && !is_live(index)) held_back_[index] = until;
+void Job::back_off(uint32_t index, Instant until) {
+  if (!done_[index] && !is_live(index)) backed_off_until_[index] = until;
 }
 
-bool Job::release_held_back(Instant now) {
-  const size_t released = std::erase_if(held_back_, [&](const auto& held) {
+bool Job::release_backed_off(Instant now) {
+  const size_t released = std::erase_if(backed_off_until_, [&](const auto& held) {
     const auto& [index, until] = held;
     if (now < until) return false;
     if (index < next_fresh_) requeued_.push_back(index);
--- a/src/dunlinknot/cluster/job.hpp
+++ b/src/dunlinknot/cluster/job.hpp
@@ -28,10 +28,11 @@
 
   // Tasks that are neither done nor allocated anywhere, nor held back.
   uint32_t pending() const {
-    return spec_.tasks - done_count_ - unfinished_live_ - static_cast<uint32_t>(held_back_.size());
+    return spec_.tasks - done_count_ - unfinished_live_ -
+           static_cast<uint32_t>(backed_off_until_.size());
   }
   uint32_t unfinished() const { return spec_.tasks - done_count_; }
-  std::optional<uint32_t> take_pending();                       // the caller allocates it
+  std::optional<uint32_t> pop_pending();                        // the caller allocates it
   void requeue(uint32_t index) { requeued_.push_back(index); }  // or gives it back
   bool is_done(uint32_t index) const { return done_[index]; }
   bool is_durable(uint32_t index) const { return durable_[index]; }
@@ -46,10 +47,10 @@
   void remove_allocation(uint32_t index);
 
   // A task that is not allocated waits until then before it is placed again.
-  void hold_back(uint32_t index, Instant until);
+  void back_off(uint32_t index, Instant until);
   // Returns whether any task is pending again.
-  bool release_held_back(Instant now);
-  bool any_held_back() const { return !held_back_.empty(); }
+  bool release_backed_off(Instant now);
+  bool any_backed_off() const { return !backed_off_until_.empty(); }
 
   // A replica of a service ended; returns how many ends in a row followed soon after its start.
   uint32_t note_replica_end(uint32_t index, bool soon);
@@ -91,8 +92,8 @@
   std::unordered_map<uint32_t, uint32_t> live_;  // task -> allocations
   std::set<uint32_t> dirty_chunks_;
   uint32_t storable_in_chunk_;
-  std::map<uint32_t, Instant> held_back_;    // task -> until when
-  std::map<uint32_t, uint32_t> quick_ends_;  // replica -> ends in a row soon after its start
+  std::map<uint32_t, Instant> backed_off_until_;  // task -> until when
+  std::map<uint32_t, uint32_t> quick_ends_;       // replica -> ends in a row soon after its start
 };
 
 }  // namespace dunlinknot::cluster
--- a/src/dunlinknot/jobs/request_handler.cpp
+++ b/src/dunlinknot/jobs/request_handler.cpp
@@ -120,10 +120,10 @@
 
 void RequestHandler::learn_final(const std::string& id, const wire::FinalRecord& record,
                                  uint64_t revision) {
-  const bool news = finals_.put(id, record);
+  const bool changed = finals_.put(id, record);
   if (!record.cancelled) return;
   cancel_revision_ = std::max(cancel_revision_, revision);
-  if (news) cancelled_(id);
+  if (changed) cancelled_(id);
 }
 
 Task<RequestHandler::Lookup> RequestHandler::look_up(std::string id, Instant deadline) {
--- a/src/dunlinknot/leadership/elector.cpp
+++ b/src/dunlinknot/leadership/elector.cpp
@@ -225,8 +225,8 @@
     const Instant started = loop_.now();
     state::LeaseResult r = co_await state_.extend(lease_, kCallTime);
     if (!leading_) break;
-    if (r.outcome == http::Outcome::ok && !r.gone) lease_proven_at_ = started;
-    if (r.outcome == http::Outcome::ok && r.gone) {
+    if (r.outcome == http::Outcome::ok && !r.expired) lease_proven_at_ = started;
+    if (r.outcome == http::Outcome::ok && r.expired) {
       // The lease ran out while the service did not serve us. If nobody took over meanwhile, the
       // same epoch goes on under a new lease; the guard on `epoch` decides that.
       state::LeaseResult again = co_await state_.grant(to_millis(ttl_), kCallTime);
--- a/src/dunlinknot/leadership/peers.cpp
+++ b/src/dunlinknot/leadership/peers.cpp
@@ -50,7 +50,7 @@
   return until;
 }
 
-void Peers::take_status(const Status& s, Instant sent) {
+void Peers::apply_status(const Status& s, Instant sent) {
   const auto it = links_.find(s.node);
   if (it == links_.end()) return;
   it->second.last = s;
@@ -172,7 +172,7 @@
       if (!frame || frame->first != Kind::status) break;
       const auto s = wire::peer::read_status(frame->second);
       if (!s || s->node != link.peer.node || s->echo != link.sequence) break;
-      take_status(*s, sent);
+      apply_status(*s, sent);
       // A cancellation goes out at once, with a status of its own.
       if (link.cancelled.empty()) (void)co_await link.wake->wait_until(sent + kPace);
     }
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -75,7 +75,7 @@
                          [this](Instant sent) { elector_.cancellations_read(sent); },
                          [this] { return cleanup_guards(); },
                          [this](const state::TxnResult& result, Instant sent) {
-                           take_cleanup_result(result, sent);
+                           apply_cleanup_result(result, sent);
                          }}),
       roles_(op.roles ? std::make_unique<roles::SingletonRoles>(context_, state_) : nullptr),
       autoscaler_(context_, cloud_, roles_.get()) {}
@@ -256,7 +256,7 @@
     p.nominations.clear();
   });
   autoscaler_.begin_term();
-  loop_.spawn(take_over(context_.term));
+  loop_.spawn(fail_over(context_.term));
 }
 
 // What a removal of records has to guard; nothing while this node may not do it.
@@ -266,8 +266,8 @@
   return roles_->holder.guards(roles::Role::cleanup);
 }
 
-void Daemon::take_cleanup_result(const state::TxnResult& result, Instant sent) {
-  if (roles_) roles_->holder.take_result(roles::Role::cleanup, result, sent);
+void Daemon::apply_cleanup_result(const state::TxnResult& result, Instant sent) {
+  if (roles_) roles_->holder.apply_result(roles::Role::cleanup, result, sent);
 }
 
 void Daemon::deposed(uint64_t) {
@@ -285,7 +285,7 @@
   }
 }
 
-Task<void> Daemon::take_over(uint64_t term) {
+Task<void> Daemon::fail_over(uint64_t term) {
   const Instant started = loop_.now();
   if (!co_await allocation_store_.load(term)) co_return;
   const bool roles_acquired = co_await autoscaler_.acquire_roles(term);
@@ -358,7 +358,7 @@
   context_.follow_up(effects);
   log_waiting(plan, now);
   autoscaler_.order(plan.capacity_requests);
-  autoscaler_.sweep(plan.wanted, plan.waiting_tasks, now);
+  autoscaler_.scan(plan.wanted, plan.waiting_tasks, now);
 }
 
 // At `debug`, now and then, what each job waits for that should have begun long ago.
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -37,7 +37,7 @@
  private:
   void elected(const leadership::Term& term);
   void deposed(uint64_t epoch);
-  Task<void> take_over(uint64_t term);
+  Task<void> fail_over(uint64_t term);
   Task<void> scheduling_loop(uint64_t term);
   void run_scheduling_cycle(Instant now);
   void log_waiting(const scheduler::Plan& plan, Instant now);
@@ -47,7 +47,7 @@
   void log_cluster_summary();
   Task<bool> ready();
   std::optional<std::vector<state::Guard>> cleanup_guards() const;
-  void take_cleanup_result(const state::TxnResult& result, Instant sent);
+  void apply_cleanup_result(const state::TxnResult& result, Instant sent);
   wire::peer::Progress progress();
   bool may_renew() const;
   void on_user_cancellation(const std::string& id);
--- a/src/dunlinknot/roles/intent_log.cpp
+++ b/src/dunlinknot/roles/intent_log.cpp
@@ -98,7 +98,7 @@
   const Instant sent = context_.loop.boot_now();
   const state::TxnResult result = co_await state_.commit(std::move(txn), kCallTime);
   if (!context_.in_term(term)) co_return false;
-  holder_.take_result(role, result, sent);
+  holder_.apply_result(role, result, sent);
   if (result.applied) {
     for (const Entry& entry : entries) mod_revisions_[entry.key] = result.revision;
     co_return true;
@@ -168,7 +168,7 @@
   const Instant sent = context_.loop.boot_now();
   const state::TxnResult result = co_await state_.commit(std::move(txn), kCallTime);
   if (!context_.in_term(term)) co_return false;
-  holder_.take_result(role, result, sent);
+  holder_.apply_result(role, result, sent);
   if (!result.applied) {
     if (result.outcome != Outcome::refused) co_await reread_ended(term, batch);
     co_return false;
--- a/src/dunlinknot/roles/overview.cpp
+++ b/src/dunlinknot/roles/overview.cpp
@@ -43,7 +43,7 @@
   return line;
 }
 
-void take_intent(Overview& overview, const state::Item& item) {
+void add_intent(Overview& overview, const state::Item& item) {
   const auto scale_out = read_scale_out_intent(item.key, item.value);
   const auto scale_in = read_scale_in_intent(item.key, item.value);
   if (const auto* intent = std::get_if<ScaleOutIntent>(&scale_out);
@@ -69,7 +69,7 @@
   Overview overview;
   for (const Role role : kAllRoles) overview.holders.push_back(read_line(role, role_pages));
   for (const state::ListResult& page : intent_pages) {
-    for (const state::Item& item : page.items) take_intent(overview, item);
+    for (const state::Item& item : page.items) add_intent(overview, item);
   }
   co_return overview;
 }
--- a/src/dunlinknot/roles/role_holder.cpp
+++ b/src/dunlinknot/roles/role_holder.cpp
@@ -43,7 +43,7 @@
   for (RoleLease& each : leases_) each.lose();
 }
 
-void RoleHolder::take_result(Role role, const state::TxnResult& result, Instant sent) {
+void RoleHolder::apply_result(Role role, const state::TxnResult& result, Instant sent) {
   if (result.outcome == Outcome::unknown) writes_unsettled_[static_cast<size_t>(role)] = true;
   if (result.outcome != Outcome::ok) return;
   if (!result.guard_failed(role_key(role))) {
@@ -83,7 +83,7 @@
 }
 
 // Takes one role under the next fencing token. False when that is not known to have worked.
-Task<bool> RoleHolder::take(uint64_t term, Role role, ModRevisions& mod_revisions) {
+Task<bool> RoleHolder::acquire_role(uint64_t term, Role role, ModRevisions& mod_revisions) {
   const uint64_t fencing_token = mod_revisions.fencing_token + 1;
   state::Txn txn;
   txn.guards.push_back(epoch_guard(context_));
@@ -139,7 +139,7 @@
   const state::TxnResult result =
       co_await state_.commit(std::move(txn), kCallTime, state::Importance::essential);
   if (!context_.in_term(term)) co_return false;
-  take_result(role, result, sent);
+  apply_result(role, result, sent);
   std::optional<uint64_t> mod_revision;
   if (result.applied) mod_revision = result.revision;
   if (result.outcome == Outcome::unknown)
@@ -160,7 +160,7 @@
   std::optional<ModRevisions> mod_revisions = co_await read_mod_revisions(term);
   if (!mod_revisions) co_return false;
   for (const Role role : kAllRoles) {
-    const bool taken = co_await take(term, role, *mod_revisions);
+    const bool taken = co_await acquire_role(term, role, *mod_revisions);
     if (!taken) co_return false;
   }
   co_return true;
@@ -171,7 +171,7 @@
   while (context_.in_term(term)) {
     for (RoleLease& each : leases_) {
       each.lose();
-      each.stand_again();
+      each.become_candidate();
     }
     const bool acquired = co_await try_acquire(term);
     if (acquired) co_return Acquired::held;
@@ -196,10 +196,10 @@
     const state::LeaseResult renewed = co_await state_.extend(grant_, kCallTime);
     if (!context_.in_term(term)) co_return;
     bool proved = false;
-    if (renewed.outcome == Outcome::ok && !renewed.gone) proved = co_await prove();
+    if (renewed.outcome == Outcome::ok && !renewed.expired) proved = co_await prove();
     if (!context_.in_term(term)) co_return;
     planned = woke + (proved ? every : std::min<Nanos>(every, kRetry * 2));
-    if (!renewed.gone && all_held()) continue;
+    if (!renewed.expired && all_held()) continue;
     spdlog::info("singleton roles: not all are held while this node leads: they are taken again");
     const Acquired acquired = co_await acquire(term);
     if (acquired == Acquired::term_over) co_return;
@@ -223,7 +223,7 @@
   const Instant sent = context_.loop.boot_now();
   const state::TxnResult result =
       co_await state_.commit(std::move(compare), kCallTime, state::Importance::essential);
-  for (const Role role : kAllRoles) take_result(role, result, sent);
+  for (const Role role : kAllRoles) apply_result(role, result, sent);
   co_return result.applied;
 }
 
--- a/src/dunlinknot/roles/role_holder.hpp
+++ b/src/dunlinknot/roles/role_holder.hpp
@@ -35,7 +35,7 @@
   // What every transaction under the role has to guard.
   std::vector<state::Guard> guards(Role role) const;
   // What became of a transaction under the role: its guards may tell that it is lost.
-  void take_result(Role role, const state::TxnResult& result, Instant sent);
+  void apply_result(Role role, const state::TxnResult& result, Instant sent);
   // After a transaction under the role without an answer: gives the role's key a new mod revision,
   // so that the transaction cannot be carried out any more. What is read afterwards is final. False
   // when that is not known to have worked.
@@ -49,7 +49,7 @@
   };
   Task<bool> try_acquire(uint64_t term);
   Task<std::optional<ModRevisions>> read_mod_revisions(uint64_t term);
-  Task<bool> take(uint64_t term, Role role, ModRevisions& mod_revisions);
+  Task<bool> acquire_role(uint64_t term, Role role, ModRevisions& mod_revisions);
   Task<std::optional<uint64_t>> own_mod_revision(uint64_t term, Role role, uint64_t fencing_token);
   Task<bool> prove();
   bool all_held() const;
--- a/src/dunlinknot/roles/role_lease.cpp
+++ b/src/dunlinknot/roles/role_lease.cpp
@@ -28,7 +28,7 @@
   proof_.reset();
 }
 
-void RoleLease::stand_again() {
+void RoleLease::become_candidate() {
   if (phase_ == Phase::lost) phase_ = Phase::candidate;
 }
 
--- a/src/dunlinknot/roles/role_lease.hpp
+++ b/src/dunlinknot/roles/role_lease.hpp
@@ -34,7 +34,7 @@
   // Own timers came late: nothing is believed until the next proof.
   void distrust() { proof_.reset(); }
   void lose();
-  void stand_again();
+  void become_candidate();
 
   LeaseState state(Instant now) const;
   bool may_act(Instant now) const { return state(now) == LeaseState::held; }
--- a/src/dunlinknot/scheduler/apply.cpp
+++ b/src/dunlinknot/scheduler/apply.cpp
@@ -21,8 +21,8 @@
   spdlog::debug("placing {} tasks of {} on {} ({})", placement.count, placement.job, machine.id,
                 machine.type);
   for (uint32_t i = 0; i < placement.count; ++i) {
-    auto index = job.take_pending();
-    if (!index && cluster.withdraw_queued(placement.job, now)) index = job.take_pending();
+    auto index = job.pop_pending();
+    if (!index && cluster.withdraw_queued(placement.job, now)) index = job.pop_pending();
     if (!index || !cluster.allocate(machine, job, *index, cluster.next_attempt(), now)) return;
     effects.store_machines = true;
   }
@@ -38,7 +38,7 @@
     Machine& machine = *cluster.find_machine(id);
     spdlog::debug("placing {} tasks of gang {} on {} ({})", count, gang.job, id, machine.type);
     for (uint32_t i = 0; i < count; ++i) {
-      const auto index = job.take_pending();
+      const auto index = job.pop_pending();
       if (!index || !cluster.allocate(machine, job, *index, attempt, now)) {
         effects |= cluster.drop_unsent(gang.job, now);
         return;
@@ -54,7 +54,7 @@
   Job& job = *cluster.job(placement.job);
   Machine& machine = *cluster.find_machine(placement.machine);
   for (uint32_t i = 0; i < placement.count; ++i) {
-    const auto index = job.take_pending();
+    const auto index = job.pop_pending();
     if (!index) return;
     if (!cluster.queue_on(machine, job, *index, cluster.next_attempt(), placement.queue_position,
                           now))
--- a/src/dunlinknot/scheduler/arrays.cpp
+++ b/src/dunlinknot/scheduler/arrays.cpp
@@ -95,7 +95,7 @@
       const uint32_t k = std::min({n, cap - before, record_allows(*w.job, *s)});
       s->queued_tasks += k;
       n -= k;
-      take_record(*w.job, *s, k);
+      reserve_record_space(*w.job, *s, k);
       plan_.queued.push_back({spec.id, s->machine->id, k, mine});
     }
   }
--- a/src/dunlinknot/scheduler/gangs.cpp
+++ b/src/dunlinknot/scheduler/gangs.cpp
@@ -119,7 +119,7 @@
     if (s->machine && !s->coming) {
       s->fetching.push_back(spec.image);
       s->gang_fetches = true;
-      take_record(j, *s, n);
+      reserve_record_space(j, *s, n);
       g.on.emplace_back(s->machine->id, n);
       plan_.wanted.push_back(s->machine->id);
     }
--- a/src/dunlinknot/scheduler/scheduling_cycle.cpp
+++ b/src/dunlinknot/scheduler/scheduling_cycle.cpp
@@ -77,7 +77,7 @@
   // Only a heartbeat with our fencing token proves that the machine is alive under us: one without
   // may be a late copy, of a machine that was deleted long ago even. And only a machine that hears
   // our answers can be given anything.
-  if (!h.ours || h.unreachable) return false;
+  if (!h.fenced || h.unreachable) return false;
   return heartbeat_is_recent(h);
 }
 
@@ -87,7 +87,7 @@
 
 bool SchedulingCycle::expected_up(const Machine& h) const {
   if (h.draining || h.terminating || h.listed_failed) return false;
-  return !h.has_heartbeat || (!h.ours && !h.lost && !h.interruption_at && heartbeat_is_recent(h));
+  return !h.has_heartbeat || (!h.fenced && !h.lost && !h.interruption_at && heartbeat_is_recent(h));
 }
 
 void SchedulingCycle::collect() {
@@ -303,11 +303,11 @@
   s.room.take(j.spec().need * n);
   usage_[static_cast<size_t>(j.team())] += j.spec().need * n;
   s.fetching.push_back(j.spec().image);
-  take_record(j, s, n);
+  reserve_record_space(j, s, n);
   plan_.placements.push_back({j.spec().id, s.machine->id, n, std::move(ends)});
 }
 
-void SchedulingCycle::take_record(const Job& j, CandidateMachine& s, uint32_t n) const {
+void SchedulingCycle::reserve_record_space(const Job& j, CandidateMachine& s, uint32_t n) const {
   const Cluster::RecordCost cost = cluster_.record_cost(j);
   const size_t takes = cost.group + cost.task * n;
   if (s.record_room) *s.record_room -= std::min(*s.record_room, takes);
--- a/src/dunlinknot/scheduler/scheduling_cycle.hpp
+++ b/src/dunlinknot/scheduler/scheduling_cycle.hpp
@@ -255,7 +255,7 @@
 
   void put(const Job& j, CandidateMachine& s, uint32_t n, std::vector<uint64_t> ends);
 
-  void take_record(const Job& j, CandidateMachine& s, uint32_t n) const;
+  void reserve_record_space(const Job& j, CandidateMachine& s, uint32_t n) const;
 
   // All tasks or none. With `coming`, machines that are not up yet count too, and nothing is
   // placed.
--- a/src/dunlinknot/state/client.cpp
+++ b/src/dunlinknot/state/client.cpp
@@ -61,7 +61,7 @@
 }
 
 // A 400 that the announced limits explain: whoever sent the transaction forms a smaller one.
-void Client::take_malformed(const Txn& txn) {
+void Client::on_malformed(const Txn& txn) {
   size_t largest = 0;
   for (const Write& write : txn.writes) {
     const auto value = Document::parse(write.value);
@@ -70,7 +70,7 @@
   if (limits_.on_malformed(txn.writes.size(), largest)) adopt_limits();
 }
 
-void Client::take_throttled(bool writes) {
+void Client::on_throttled(bool writes) {
   ++throttled_;
   if (writes && limits_.on_throttled_write()) adopt_limits();
 }
@@ -111,7 +111,7 @@
   if (reply.outcome == Outcome::ok) {
     if (reply.status == 429 || reply.status == 503) {
       reply.outcome = Outcome::refused;
-      if (reply.status == 429) take_throttled(writes > 0);
+      if (reply.status == 429) on_throttled(writes > 0);
     } else {
       ever_served_ = true;
       last_served_ = loop_.now();
@@ -208,10 +208,10 @@
     }
   } else if (r.status == 400) {
     const std::string error(root["error"].text().value_or("?"));
-    out.lease_gone = error == "no such lease";
-    if (!out.lease_gone) {
+    out.lease_expired = error == "no such lease";
+    if (!out.lease_expired) {
       spdlog::error("state service refused a transaction: {}", error);
-      take_malformed(txn);
+      on_malformed(txn);
     }
     out.outcome = Outcome::refused;
   } else {
@@ -246,7 +246,7 @@
   http::Reply r = co_await call("POST", "/leases/" + std::to_string(lease) + "/extend", "", within,
                                 4096, 0, Importance::essential);
   out.outcome = r.outcome;
-  if (r.outcome == Outcome::ok) out.gone = r.status == 404;
+  if (r.outcome == Outcome::ok) out.expired = r.status == 404;
   if (r.outcome == Outcome::ok && r.status != 200 && r.status != 404) {
     log_odd("a renewal", r.status);
     out.outcome = Outcome::unknown;
@@ -292,14 +292,14 @@
     co_return out;
   }
   out.revision = *rev;
-  const View news = root["news"];
-  for (size_t i = 0; i < news.size(); ++i) {
-    const View n = news.at(i);
+  const View changes = root["news"];
+  for (size_t i = 0; i < changes.size(); ++i) {
+    const View n = changes.at(i);
     Change c;
     if (const auto put = n["put"].text()) {
       c.key = *put;
-    } else if (const auto gone = n["delete"].text()) {
-      c.key = *gone;
+    } else if (const auto removed = n["delete"].text()) {
+      c.key = *removed;
       c.deleted = true;
     } else {
       continue;
--- a/src/dunlinknot/state/client.hpp
+++ b/src/dunlinknot/state/client.hpp
@@ -57,7 +57,7 @@
 struct TxnResult {
   Outcome outcome = Outcome::unknown;
   bool applied = false;
-  bool lease_gone = false;
+  bool lease_expired = false;
   uint64_t revision = 0;
   std::vector<std::string> failed;  // keys whose guard did not hold
   bool guard_failed(std::string_view key) const;
@@ -65,7 +65,7 @@
 
 struct LeaseResult {
   Outcome outcome = Outcome::unknown;
-  bool gone = false;
+  bool expired = false;
   uint64_t lease = 0;
 };
 
@@ -120,8 +120,8 @@
   Task<http::Reply> call(std::string method, std::string target, std::string body, Nanos within,
                          size_t max_body, double writes, Importance how);
 
-  void take_malformed(const Txn& txn);
-  void take_throttled(bool writes);
+  void on_malformed(const Txn& txn);
+  void on_throttled(bool writes);
   void adopt_limits();
 
   Loop& loop_;
--- a/src/dunlinknot/workers/heartbeat_handler.cpp
+++ b/src/dunlinknot/workers/heartbeat_handler.cpp
@@ -99,7 +99,7 @@
     (void)co_await context_.runs.wait();
     if (!context_.in_term(term)) co_return;
     for (const auto& id :
-         context_.leader_state.with([](LeaderState& p) { return p.cluster.take_runnable(); })) {
+         context_.leader_state.with([](LeaderState& p) { return p.cluster.drain_runnable(); })) {
       if (const auto it = waiting_.find(id); it != waiting_.end()) it->second->notify();
     }
   }
@@ -110,7 +110,7 @@
     (void)co_await context_.stops.wait();
     if (!context_.in_term(term)) co_return;
     auto calls =
-        context_.leader_state.with([](LeaderState& p) { return p.cluster.take_stop_calls(); });
+        context_.leader_state.with([](LeaderState& p) { return p.cluster.drain_stop_calls(); });
     for (auto& call : calls) {
       // Over the limit the heartbeats alone carry the stops.
       if (calling_ < kMaxCalls) context_.loop.spawn(call_stop(term, std::move(call)));
--- a/tests/cloud_service.cpp
+++ b/tests/cloud_service.cpp
@@ -86,11 +86,11 @@
     const std::string id(*ids.at(i).text());
     deletions.push_back(id);
     const auto it = machines.find(id);
-    const bool changes = it != machines.end() && !it->second.gone;
+    const bool changes = it != machines.end() && !it->second.removed;
     if (on_act) on_act({"", {id}, changes, sender_token});
     if (!changes) continue;
-    it->second.gone = true;
-    it->second.gone_at = loop_.now();
+    it->second.removed = true;
+    it->second.removed_at = loop_.now();
     ++capacity[it->second.type + "/" + it->second.zone + "/" +
                (it->second.spot ? "spot" : "ordinary")];
     if (on_deleted) on_deleted(id);
@@ -109,7 +109,7 @@
   std::vector<const Machine*> shown;
   for (auto it = machines.upper_bound(after); it != machines.end(); ++it) {
     const Machine& m = it->second;
-    if (m.since > as_of || (m.gone && m.gone_at <= as_of)) continue;
+    if (m.since > as_of || (m.removed && m.removed_at <= as_of)) continue;
     more = shown.size() == most;
     if (more) break;
     shown.push_back(&m);
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -50,7 +50,7 @@
   // Allocates one task of the job on vm-1 and makes it durable.
   Allocation& durable(Job& j, const std::string& vm = "vm-1") {
     Machine& h = *c.find_machine(vm);
-    c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);
+    c.allocate(h, j, *j.pop_pending(), c.next_attempt(), now);
     Effects n;
     c.machine_stored(h, c.record_of(h), ++mod_revision, n);
     return h.allocations.back();
@@ -71,7 +71,7 @@
   Job& j = add(job("run-000001", 2));
   send(heartbeat());
   Machine& h = *c.find_machine("vm-1");
-  c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);
+  c.allocate(h, j, *j.pop_pending(), c.next_attempt(), now);
   EXPECT_TRUE(send(heartbeat()).empty());
   Effects n;
   c.machine_stored(h, c.record_of(h), 21, n);
@@ -94,14 +94,14 @@
   EXPECT_FALSE(c.apply_heartbeat(heartbeat(), now, true, effects).run_soon)
       << "nothing changed there";
   Machine& h = *c.find_machine("vm-1");
-  c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);
+  c.allocate(h, j, *j.pop_pending(), c.next_attempt(), now);
   const Heartbeat waiting = heartbeat();
   EXPECT_TRUE(c.apply_heartbeat(waiting, now, true, effects).run_soon)
       << "its allocation is being written";
   Effects n;
   c.machine_stored(h, c.record_of(h), 21, n);
   EXPECT_TRUE(n.runs);
-  EXPECT_EQ(c.take_runnable(), std::vector<std::string>{"vm-1"});
+  EXPECT_EQ(c.drain_runnable(), std::vector<std::string>{"vm-1"});
   const Heartbeat newer = heartbeat();  // its worker gave the answer up
   EXPECT_FALSE(c.apply_heartbeat(newer, now, true, effects).run_soon) << "the run goes at once";
   EXPECT_EQ(c.commands_for(waiting, now, true).kind, HeartbeatResponse::Kind::stale);
@@ -223,7 +223,7 @@
   EXPECT_EQ(c.handle_heartbeat(heartbeat(), now, true, effects).kind,
             HeartbeatResponse::Kind::stale);
   EXPECT_EQ(c.find_machine("vm-1"), nullptr);
-  EXPECT_EQ(c.take_dead_records().size(), 1u);
+  EXPECT_EQ(c.drain_dead_records().size(), 1u);
 }
 
 TEST_F(ClusterTest, ANewIncarnationEndsWhatWasSentInTheOldOne) {
@@ -267,7 +267,7 @@
   c.close_job("run-000001", true, now);
   EXPECT_EQ(allocated(), 1u);
   EXPECT_EQ(c.usage(0).used.cpus, 2) << "its team's limit counts it until it is gone";
-  const auto calls = c.take_stop_calls();
+  const auto calls = c.drain_stop_calls();
   ASSERT_EQ(calls.size(), 1u);
   EXPECT_EQ(calls[0].commands[0].grace, Seconds(0));
   b.sequence = ++sequence;
@@ -298,8 +298,8 @@
   const uint64_t attempt = c.next_attempt();
   Machine& h1 = *c.find_machine("vm-1");
   Machine& h2 = *c.find_machine("vm-2");
-  c.allocate(h1, j, *j.take_pending(), attempt, now);
-  c.allocate(h2, j, *j.take_pending(), attempt, now);
+  c.allocate(h1, j, *j.pop_pending(), attempt, now);
+  c.allocate(h2, j, *j.pop_pending(), attempt, now);
   Effects n;
   c.machine_stored(h1, c.record_of(h1), 21, n);
   EXPECT_TRUE(send(heartbeat("vm-1")).empty()) << "the other allocation does not stand yet";
@@ -312,7 +312,7 @@
   // One machine goes: the rest is stopped at once, and nothing starts before all of it is gone.
   c.remove_machine("vm-2", now);
   EXPECT_TRUE(j.any_live());
-  const auto calls = c.take_stop_calls();
+  const auto calls = c.drain_stop_calls();
   ASSERT_EQ(calls.size(), 1u);
   EXPECT_EQ(calls[0].machine, "vm-1");
   send(heartbeat("vm-1"));
@@ -368,7 +368,7 @@
     send(heartbeat(vm));
     durable(j, vm);
     Machine& h = *c.find_machine(vm);
-    c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);  // not even written down
+    c.allocate(h, j, *j.pop_pending(), c.next_attempt(), now);  // not even written down
     if (why == 0) h.draining = true;
     if (why == 1) h.unreachable = true;
     if (why == 2) h.terminating = true;
@@ -399,10 +399,10 @@
   r.interruption_notice = Seconds(12);
   send(r);
   c.tick(now);
-  EXPECT_TRUE(c.take_stop_calls().empty()) << "it works on while there is time";
+  EXPECT_TRUE(c.drain_stop_calls().empty()) << "it works on while there is time";
   now += seconds(6);
   c.tick(now);
-  const auto calls = c.take_stop_calls();
+  const auto calls = c.drain_stop_calls();
   ASSERT_EQ(calls.size(), 1u);
   EXPECT_GE(calls[0].commands[0].grace, s.save);
 }
@@ -416,7 +416,7 @@
   const uint64_t attempt = c.next_attempt();
   for (const char* vm : {"vm-1", "vm-2"}) {
     send(heartbeat(vm));
-    Allocation& b = *c.allocate(*c.find_machine(vm), j, *j.take_pending(), attempt, now);
+    Allocation& b = *c.allocate(*c.find_machine(vm), j, *j.pop_pending(), attempt, now);
     b.phase = Phase::seen;
     b.state = TaskState::running;
   }
@@ -425,7 +425,7 @@
   r.interruption_notice = Seconds(6);
   send(r);
   c.tick(now);
-  const auto calls = c.take_stop_calls();
+  const auto calls = c.drain_stop_calls();
   ASSERT_EQ(calls.size(), 2u) << "both in the same moment";
   for (const auto& call : calls) EXPECT_GE(call.commands[0].grace, g.save);
   // The first that has saved and gone does not have the rest cut short.
@@ -434,7 +434,7 @@
   r.tasks[0].saved = true;
   r.sequence = ++sequence;
   send(r);
-  EXPECT_TRUE(c.take_stop_calls().empty());
+  EXPECT_TRUE(c.drain_stop_calls().empty());
   EXPECT_TRUE(j.any_live());
 }
 
@@ -450,7 +450,7 @@
     return c.record_size(h) + cost.group + cost.task <= c.record_limit();
   };
   while (room_for_one_more() && n < 10'000) {
-    c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);
+    c.allocate(h, j, *j.pop_pending(), c.next_attempt(), now);
     ++n;
   }
   EXPECT_GT(n, 50u);
@@ -473,8 +473,8 @@
   big.need = {8, 0, 4};
   Job& whole = add(big);
   const Allocation first = durable(whole);
-  c.queue_on(h, j, *j.take_pending(), c.next_attempt(), {0, 1}, now);
-  c.queue_on(h, j, *j.take_pending(), c.next_attempt(), {0, 0}, now);
+  c.queue_on(h, j, *j.pop_pending(), c.next_attempt(), {0, 1}, now);
+  c.queue_on(h, j, *j.pop_pending(), c.next_attempt(), {0, 0}, now);
   Effects n;
   c.machine_stored(h, c.record_of(h), ++mod_revision, n);
   EXPECT_EQ(h.used.cpus, 8) << "what waits takes no room";
@@ -515,7 +515,7 @@
   send(heartbeat());
   Machine& h = *c.find_machine("vm-1");
   for (int i = 0; i < 3; ++i) {
-    c.queue_on(h, j, *j.take_pending(), c.next_attempt(), {}, now);
+    c.queue_on(h, j, *j.pop_pending(), c.next_attempt(), {}, now);
   }
   Effects n;
   c.machine_stored(h, c.record_of(h), ++mod_revision, n);
@@ -529,7 +529,7 @@
   Job& j = add(job("run-000001", 2));
   send(heartbeat());
   Machine& h = *c.find_machine("vm-1");
-  c.queue_on(h, j, *j.take_pending(), c.next_attempt(), {}, now);
+  c.queue_on(h, j, *j.pop_pending(), c.next_attempt(), {}, now);
   EXPECT_EQ(j.pending(), 1u);
   now += seconds(1);
   c.tick(now);
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -96,19 +96,18 @@
   Job& j = add(zoned(2, true, false));
   allocate(j, add_machine("vm-1", "a"));
   Machine& other = add_machine("vm-2", "b");
-  EXPECT_EQ(cluster.allocate(other, j, *j.take_pending(), cluster.next_attempt(), now), nullptr);
+  EXPECT_EQ(cluster.allocate(other, j, *j.pop_pending(), cluster.next_attempt(), now), nullptr);
   EXPECT_TRUE(other.allocations.empty());
   EXPECT_EQ(cluster.refused_allocations(), 1u);
   EXPECT_EQ(j.pending(), 1u);
-  EXPECT_EQ(j.take_pending(), 1u) << "it can be allocated elsewhere";
+  EXPECT_EQ(j.pop_pending(), 1u) << "it can be allocated elsewhere";
 }
 
 TEST_F(AllocationConstraints, AQueuedAllocationInAnotherZoneIsRefused) {
   Job& j = add(zoned(2, true, false));
   allocate(j, add_machine("vm-1", "a"));
   Machine& other = add_machine("vm-2", "b");
-  EXPECT_EQ(cluster.queue_on(other, j, *j.take_pending(), cluster.next_attempt(), {}, now),
-            nullptr);
+  EXPECT_EQ(cluster.queue_on(other, j, *j.pop_pending(), cluster.next_attempt(), {}, now), nullptr);
   EXPECT_EQ(cluster.refused_allocations(), 1u);
 }
 
@@ -116,7 +115,7 @@
   JobSpec spec = zoned(1, false, false);
   spec.types = {"crate"};
   Job& j = add(spec);
-  EXPECT_EQ(cluster.allocate(add_machine("vm-1", "a"), j, *j.take_pending(), 1, now), nullptr);
+  EXPECT_EQ(cluster.allocate(add_machine("vm-1", "a"), j, *j.pop_pending(), 1, now), nullptr);
   EXPECT_EQ(cluster.refused_allocations(), 1u);
 }
 
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -51,7 +51,7 @@
     return *c.job(id);
   }
   Allocation& run(Job& j, Machine& h) {
-    Allocation& b = *c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);
+    Allocation& b = *c.allocate(h, j, *j.pop_pending(), c.next_attempt(), now);
     b.phase = Phase::seen;
     b.state = TaskState::running;
     b.running_since = now;
@@ -74,7 +74,7 @@
     }
   }
   // The worker's heartbeat drops what was stopped.
-  void victims_gone(Machine& h) {
+  void victims_removed(Machine& h) {
     Heartbeat b;
     b.machine = h.id;
     b.address = h.address;
@@ -97,7 +97,7 @@
     run(add("run-000001", Priority::low, 8), h);
     add("run-000002", Priority::normal, 6);
     carry_out(plan());
-    victims_gone(h);
+    victims_removed(h);
     run(add("run-000003", Priority::high, 8), h);
     return n.all().begin()->first;
   }
@@ -175,7 +175,7 @@
   run(add("run-000001", Priority::low, 8), h);
   add("run-000002", Priority::normal, 6);
   carry_out(plan());
-  victims_gone(h);
+  victims_removed(h);
   ASSERT_TRUE(h.allocations.empty());
   c.job("run-000002")->not_before = now + seconds(5);  // the preemptor is not tried this cycle
   c.job("run-000001")->not_before = now + seconds(5);
@@ -199,7 +199,7 @@
   carry_out(plan());
   add("run-000003", Priority::normal, 4);
   EXPECT_TRUE(plan().placements.empty());
-  victims_gone(h);
+  victims_removed(h);
   std::set<std::string> placed;
   for (const auto& x : plan().placements) placed.insert(x.job);
   EXPECT_TRUE(placed.contains("run-000002"));
@@ -226,7 +226,7 @@
   run(add("run-000001", Priority::low, 8), h);
   add("run-000002", Priority::high, 4);
   carry_out(plan());
-  victims_gone(h);
+  victims_removed(h);
   machine("vm-2");  // empty, and as good
   const auto p = plan();
   ASSERT_FALSE(p.placements.empty());
@@ -246,7 +246,7 @@
   EXPECT_TRUE(n.settling("vm-1"));
   n.settle(c);
   EXPECT_TRUE(n.settling("vm-1"));
-  victims_gone(h);
+  victims_removed(h);
   EXPECT_FALSE(n.settling("vm-1"));
 }
 
@@ -310,7 +310,7 @@
   // with it.
   Machine& h = *c.find_machine("vm-1");
   Job& low = add("run-000001", Priority::low, 8);
-  const Allocation b = *c.allocate(h, low, *low.take_pending(), c.next_attempt(), now);
+  const Allocation b = *c.allocate(h, low, *low.pop_pending(), c.next_attempt(), now);
   const auto effects = c.preempt(h, b.task, b.attempt, now);
   EXPECT_TRUE(effects.schedule);
   EXPECT_TRUE(h.allocations.empty());
--- a/tests/random_placements_test.cpp
+++ b/tests/random_placements_test.cpp
@@ -57,8 +57,8 @@
     if (!w.on) co_return;  // returned meanwhile
     w.power_off();
     CloudService::Machine& m = s.cloud.machines[w.id];
-    m.gone = true;
-    m.gone_at = s.loop.now();
+    m.removed = true;
+    m.removed_at = s.loop.now();
     ++s.cloud.capacity[m.type + "/" + m.zone + (m.spot ? "/spot" : "/ordinary")];
     ++lost_machines;
   }
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -217,7 +217,7 @@
     return *c.job(id);
   }
   cluster::Allocation& run(cluster::Machine& h, cluster::Job& j) {
-    cluster::Allocation& b = *c.allocate(h, j, *j.take_pending(), c.next_attempt(), now);
+    cluster::Allocation& b = *c.allocate(h, j, *j.pop_pending(), c.next_attempt(), now);
     b.phase = cluster::Phase::seen;
     b.state = TaskState::running;
     b.running_since = now;
@@ -290,22 +290,22 @@
   EXPECT_EQ(api.done_count(), 0u);
   EXPECT_EQ(api.pending(), 4u);
   (void)c.close_job("run-000001", true, now);
-  ASSERT_EQ(c.take_dead_records().size(), 1u) << "the record goes with the job";
+  ASSERT_EQ(c.drain_dead_records().size(), 1u) << "the record goes with the job";
 }
 
 TEST_F(ReplicaDecisions, OneHeldBackIsPlacedAgainAfterItsTimeAndNotBefore) {
   cluster::Job& api = add(service("run-000001", 2));
-  (void)api.take_pending();
-  api.hold_back(0, now + seconds(5));
+  (void)api.pop_pending();
+  api.back_off(0, now + seconds(5));
   EXPECT_EQ(api.pending(), 1u);
-  EXPECT_EQ(api.take_pending(), 1u);
-  EXPECT_FALSE(api.release_held_back(now + seconds(4)));
-  EXPECT_TRUE(api.release_held_back(now + seconds(5)));
-  EXPECT_EQ(api.take_pending(), 0u);
-  api.hold_back(1, now + seconds(5));
+  EXPECT_EQ(api.pop_pending(), 1u);
+  EXPECT_FALSE(api.release_backed_off(now + seconds(4)));
+  EXPECT_TRUE(api.release_backed_off(now + seconds(5)));
+  EXPECT_EQ(api.pop_pending(), 0u);
+  api.back_off(1, now + seconds(5));
   api.add_allocation(1);  // found on a machine meanwhile
   EXPECT_EQ(api.pending(), 1u);
-  EXPECT_FALSE(api.any_held_back());
+  EXPECT_FALSE(api.any_backed_off());
 }
 
 TEST_F(ReplicaDecisions, AServiceWhoseReplicasRanIsNotTakenForOneThatFailsEverywhere) {
--- a/tests/role_history.cpp
+++ b/tests/role_history.cpp
@@ -7,8 +7,8 @@
 using roles::Role;
 
 RoleHistory::RoleHistory(Site& site) : site_(site) {
-  site.cloud.on_act = [this](const CloudService::Act& act) { take_act(act); };
-  site.state.on_removed = [this](const std::string& key) { take_removed_key(key); };
+  site.cloud.on_act = [this](const CloudService::Act& act) { apply_act(act); };
+  site.state.on_removed = [this](const std::string& key) { apply_removed_key(key); };
 }
 
 uint64_t RoleHistory::present_token(Role role) const {
@@ -22,15 +22,16 @@
 
 bool RoleHistory::machine_lives(std::string_view machine) const {
   const auto found = site_.cloud.machines.find(std::string(machine));
-  return found != site_.cloud.machines.end() && !found->second.gone;
+  return found != site_.cloud.machines.end() && !found->second.removed;
 }
 
 size_t RoleHistory::machines_held() const {
-  return static_cast<size_t>(std::count_if(site_.cloud.machines.begin(), site_.cloud.machines.end(),
-                                           [](const auto& entry) { return !entry.second.gone; }));
+  return static_cast<size_t>(
+      std::count_if(site_.cloud.machines.begin(), site_.cloud.machines.end(),
+                    [](const auto& entry) { return !entry.second.removed; }));
 }
 
-void RoleHistory::take_act(const CloudService::Act& act) {
+void RoleHistory::apply_act(const CloudService::Act& act) {
   const bool launch = !act.request.empty();
   const std::string key =
       launch ? roles::scale_out_key(act.request) : roles::scale_in_key(act.machines.front());
@@ -85,7 +86,7 @@
   }
 }
 
-void RoleHistory::take_removed_key(const std::string& key) {
+void RoleHistory::apply_removed_key(const std::string& key) {
   if (key.starts_with(wire::kFinalPrefix)) {
     violations_.push_back("a final answer was removed: " + key);
   }
--- a/tests/role_history.hpp
+++ b/tests/role_history.hpp
@@ -27,8 +27,8 @@
   size_t machines_held() const;
 
  private:
-  void take_act(const CloudService::Act& act);
-  void take_removed_key(const std::string& key);
+  void apply_act(const CloudService::Act& act);
+  void apply_removed_key(const std::string& key);
   void check_launch(const std::string& request);
   void check_scale_in(const std::string& machine);
   // The fencing token under which the role is held at this moment; 0 when nobody holds it.
--- a/tests/rules.cpp
+++ b/tests/rules.cpp
@@ -72,7 +72,7 @@
   }
 }
 
-void Rules::sweep() {
+void Rules::scan() {
   for (const Running& r : running_) {
     JobState& j = jobs_[r.task.job];
     if (j.reported || j.on_user_cancellation == Instant::max()) continue;
--- a/tests/rules.hpp
+++ b/tests/rules.hpp
@@ -33,7 +33,7 @@
   void cancel_answered(const std::string& id, int status, const std::string& standing,
                        Instant asked);
   // To be called often: what is on a machine for too long.
-  void sweep();
+  void scan();
 
   const std::vector<std::string>& broken() const { return broken_; }
   // Starts after their job's cancellation was confirmed; those whose command was under way are
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -42,7 +42,7 @@
   rules.cancel_asked("run-000001");
   pass(seconds(1));
   rules.cancel_answered("run-000001", 200, "done", clock.now());
-  rules.sweep();
+  rules.scan();
   EXPECT_TRUE(rules.broken().empty());
 }
 
@@ -103,10 +103,10 @@
   rules.cancel_asked("run-000001");
   rules.cancel_answered("run-000001", 200, "cancelled", clock.now());
   pass(to_nanos(platform.cancel));
-  rules.sweep();
+  rules.scan();
   EXPECT_TRUE(rules.broken().empty());
   pass(Millis(1));
-  rules.sweep();
+  rules.scan();
   expect_broken("ran_cancelled");
 }
 
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -42,7 +42,7 @@
   uint64_t sequence = 0;
   uint64_t fencing_token = 0;
   Instant lease_counted_from{};
-  bool gone = false;
+  bool removed = false;
 };
 
 class RandomCluster {
@@ -103,7 +103,7 @@
       for (const uint32_t index : done_[id]) state_.cluster.job(id)->mark_done(index);
     }
     for (auto& [id, m] : machines_) {
-      if (!m.gone && m.stored) state_.cluster.load_machine(id, *m.stored, 5, clock_.now());
+      if (!m.removed && m.stored) state_.cluster.load_machine(id, *m.stored, 5, clock_.now());
     }
   }
 
@@ -163,12 +163,12 @@
     if (machines_.empty()) return;
     const auto it = std::next(machines_.begin(), static_cast<ptrdiff_t>(pick(machines_.size())));
     SimulatedMachine& m = it->second;
-    if (m.gone) return;
+    if (m.removed) return;
     if (chance(0.5)) {  // not heard of for a while, and back within its lease
       m.lease_counted_from = clock_.now() + seconds(2 + pick(8));
       return;
     }
-    m.gone = true;
+    m.removed = true;
     for (const auto& [task, r] : m.tasks) rules_.ended(it->first, task, r.attempt, false);
     m.tasks.clear();
     if (chance(0.5)) (void)state_.cluster.remove_machine(it->first, clock_.now());
@@ -214,7 +214,7 @@
 
   void heartbeat_all() {
     for (auto& [id, m] : machines_) {
-      if (!m.gone && clock_.now() >= m.lease_counted_from) heartbeat(id, m);
+      if (!m.removed && clock_.now() >= m.lease_counted_from) heartbeat(id, m);
     }
     std::vector<std::string> over;
     for (const auto& [id, spec] : open_) {
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -63,7 +63,7 @@
     return *c.job(id);
   }
   void run(Job& j, Machine& h, uint64_t attempt = 0) {
-    Allocation& b = *c.allocate(h, j, *j.take_pending(), attempt ? attempt : c.next_attempt(), now);
+    Allocation& b = *c.allocate(h, j, *j.pop_pending(), attempt ? attempt : c.next_attempt(), now);
     b.phase = Phase::seen;
     b.state = TaskState::running;
   }
@@ -471,7 +471,7 @@
   EXPECT_GE(count, 1u);
   EXPECT_LE(count, 16u) << "some seconds of work, no more";
   for (uint32_t i = 0; i < count; ++i) {
-    c.queue_on(h, j, *j.take_pending(), c.next_attempt(), p.queued[0].queue_position, now);
+    c.queue_on(h, j, *j.pop_pending(), c.next_attempt(), p.queued[0].queue_position, now);
   }
   EXPECT_TRUE(plan().queued.empty()) << "filled up when half of it is gone";
 }
@@ -563,7 +563,7 @@
   large.need.cpus = 8;
   run(add(large), h);
   Job& j = add(job("run-000002", 1));
-  c.queue_on(h, j, *j.take_pending(), c.next_attempt(), {}, now);
+  c.queue_on(h, j, *j.pop_pending(), c.next_attempt(), {}, now);
   EXPECT_EQ(wait_causes(plan()).at("run-000002"), WaitCause::queued_on_machine);
 }
 
--- a/tests/singleton_roles_test.cpp
+++ b/tests/singleton_roles_test.cpp
@@ -43,7 +43,7 @@
   lease.lose();
   lease.proved(kStart + seconds(1));
   EXPECT_EQ(lease.state(kStart + seconds(1)), LeaseState::lost);
-  lease.stand_again();
+  lease.become_candidate();
   EXPECT_EQ(lease.state(kStart + seconds(1)), LeaseState::candidate);
 }
 
@@ -221,8 +221,8 @@
   EXPECT_EQ(site.standing("run-000001"), "done");
   EXPECT_TRUE(site.workers.at("vm-100001")->started.empty());
   EXPECT_FALSE(site.workers.at("vm-100002")->started.empty());
-  EXPECT_FALSE(site.cloud.machines.at("vm-100001").gone);
-  EXPECT_TRUE(site.cloud.machines.at("vm-100002").gone) << "it was idle in the end";
+  EXPECT_FALSE(site.cloud.machines.at("vm-100001").removed);
+  EXPECT_TRUE(site.cloud.machines.at("vm-100002").removed) << "it was idle in the end";
   EXPECT_EQ(site.state.data.at(key).value, bytes);
 }
 
--- a/tests/state_service.cpp
+++ b/tests/state_service.cpp
@@ -179,9 +179,9 @@
       data[std::string(*key)] = Entry{value, revision_, op["tenancy"].count().value_or(0)};
       note(std::string(*key), false, std::move(value));
     } else {
-      const std::string gone(*op["delete"].text());
-      if (data.contains(gone) && on_removed) on_removed(gone);
-      if (data.erase(gone)) note(gone, true, "");
+      const std::string removed(*op["delete"].text());
+      if (data.contains(removed) && on_removed) on_removed(removed);
+      if (data.erase(removed)) note(removed, true, "");
     }
   }
   w.map(1).key("ledgerRev").count(revision_);
@@ -203,18 +203,18 @@
     if (too_old || since < forgotten_) co_return reply(410);
     if (loop_.now() >= deadline) co_return Reply{};  // the client gave up
     expire();
-    std::vector<const Event*> news;
+    std::vector<const Event*> changes;
     if (!outage) {
       const auto later = [](uint64_t revision, const Event& e) { return revision < e.revision; };
       auto e = std::upper_bound(events_.begin(), events_.end(), since, later);
       for (; e != events_.end(); ++e) {
-        if (e->key.starts_with(prefix)) news.push_back(&*e);
+        if (e->key.starts_with(prefix)) changes.push_back(&*e);
       }
     }
-    if (!news.empty() || (loop_.now() >= end && !outage)) {
+    if (!changes.empty() || (loop_.now() >= end && !outage)) {
       Writer w;
-      w.map(2).key("ledgerRev").count(revision_).key("news").list(news.size());
-      for (const auto* e : news) {
+      w.map(2).key("ledgerRev").count(revision_).key("news").list(changes.size());
+      for (const auto* e : changes) {
         if (e->deleted) {
           w.map(2).key("delete").text(e->key).key("stamp").count(e->revision);
         } else {
--- a/tests/support.cpp
+++ b/tests/support.cpp
@@ -155,13 +155,13 @@
     if (const auto it = workers.find(id); it != workers.end()) it->second->power_off();
   };
   for (size_t i = 0; i < controllers; ++i) nodes.push_back(std::make_unique<Node>(*this, i));
-  loop.spawn(sweep_rules());
+  loop.spawn(scan_rules());
   loop.spawn(exchange_statuses());
 }
 
-Task<void> Site::sweep_rules() {
+Task<void> Site::scan_rules() {
   for (;;) {
-    rules.sweep();
+    rules.scan();
     co_await loop.sleep(Millis(100));
   }
 }
@@ -174,7 +174,7 @@
       for (auto& from : nodes) {
         if (to == from || to->dead || from->dead || to->paused || from->paused) continue;
         if (to->cut_from_peers || from->cut_from_peers) continue;
-        to->daemon->peers().take_status(from->daemon->status(), loop.now());
+        to->daemon->peers().apply_status(from->daemon->status(), loop.now());
       }
     }
   }
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -166,8 +166,8 @@
     std::string id, type, zone;
     bool spot = false;
     Instant since{};
-    bool gone = false;
-    Instant gone_at{};
+    bool removed = false;
+    Instant removed_at{};
     std::string address;
   };
   std::vector<MachineType> types;
@@ -315,7 +315,7 @@
   std::function<void(const http::Response&)> on_response;
 
  private:
-  Task<void> sweep_rules();
+  Task<void> scan_rules();
   Task<void> exchange_statuses();
 };
 
--- a/tests/zoned_cluster.hpp
+++ b/tests/zoned_cluster.hpp
@@ -53,7 +53,7 @@
   // Allocates a task of the job there and writes the allocation down.
   cluster::Allocation& allocate(cluster::Job& j, cluster::Machine& machine, uint64_t attempt = 0) {
     cluster::Allocation* allocation = cluster.allocate(
-        machine, j, *j.take_pending(), attempt != 0 ? attempt : cluster.next_attempt(), now);
+        machine, j, *j.pop_pending(), attempt != 0 ? attempt : cluster.next_attempt(), now);
     cluster::Effects effects;
     cluster.machine_stored(machine, cluster.record_of(machine), ++mod_revision, effects);
     return *allocation;
--- a/tools/handover_run.cpp
+++ b/tools/handover_run.cpp
@@ -73,9 +73,9 @@
     began_ = loop_.now();
     holder_key_ =
         options_.roles ? roles::role_key(roles::Role::scale_in) : std::string(wire::kLeaderKey);
-    state_.on_change = [this](const std::string& key) { take_change(key); };
-    state_.on_removed = [this](const std::string& key) { take_removed(key); };
-    cloud_.on_act = [this](const CloudService::Act& act) { take_act(act); };
+    state_.on_change = [this](const std::string& key) { apply_change(key); };
+    state_.on_removed = [this](const std::string& key) { apply_removed(key); };
+    cloud_.on_act = [this](const CloudService::Act& act) { apply_act(act); };
     cloud_.on_launched = [this](const CloudService::Machine& m) { add_worker(m); };
     cloud_.on_deleted = [this](const std::string& id) { workers_.at(id)->power_off(); };
     cloud_.machine_address = "127.0.0.1:1";  // refuses: stops travel with the answers to reports
@@ -210,7 +210,7 @@
                                            cloud_.machine_address, kWorkerLease);
     worker->specs = &specs_;
     worker->run_time = [this](const TaskRef&) { return Nanos(Millis(500 + random_() % 2500)); };
-    worker->on_start = [this](const TaskRef& task) { take_start(task); };
+    worker->on_start = [this](const TaskRef& task) { apply_start(task); };
     worker->on_end = [this](const Worker::Running& r) {
       if (r.state != TaskState::fetching) running_.erase(r.task);
     };
@@ -306,8 +306,8 @@
     return record ? record->fencing_token : 0;
   }
 
-  void take_change(const std::string& key) {
-    if (key == holder_key_) take_holder();
+  void apply_change(const std::string& key) {
+    if (key == holder_key_) apply_holder();
     const bool intent = key.starts_with(roles::kIntentPrefix) && state_.data.contains(key);
     if (intent && stop_at_intent_) {
       Controller* holder = std::exchange(stop_at_intent_, nullptr);
@@ -315,7 +315,7 @@
     }
   }
 
-  void take_holder() {
+  void apply_holder() {
     const auto present = present_holder();
     if (!present) return note("vacant", "", 0, "", false);
     const roles::RoleHolderRecord& record = *present;
@@ -327,7 +327,7 @@
     holder_token_ = record.fencing_token;
   }
 
-  void take_act(const CloudService::Act& act) {
+  void apply_act(const CloudService::Act& act) {
     const bool launch = !act.request.empty();
     const std::string& name = launch ? act.request : act.machines.front();
     const std::string key = launch ? roles::scale_out_key(name) : roles::scale_in_key(name);
@@ -361,10 +361,10 @@
     }
   }
 
-  void take_removed(const std::string& key) {
+  void apply_removed(const std::string& key) {
     const auto lives = [&](std::string_view machine) {
       const auto found = cloud_.machines.find(std::string(machine));
-      return found != cloud_.machines.end() && !found->second.gone;
+      return found != cloud_.machines.end() && !found->second.removed;
     };
     if (key.starts_with(wire::kFinalPrefix)) violation("a final answer was removed: " + key);
     if (const auto machine = roles::scale_in_name(key); !machine.empty() && lives(machine)) {
@@ -372,7 +372,7 @@
     }
   }
 
-  void take_start(const TaskRef& task) {
+  void apply_start(const TaskRef& task) {
     if (!running_.insert(task).second) violation("runs twice: " + task.text());
   }
 
@@ -483,7 +483,7 @@
 
   bool all_settled() const {
     const bool held = std::any_of(cloud_.machines.begin(), cloud_.machines.end(),
-                                  [](const auto& entry) { return !entry.second.gone; });
+                                  [](const auto& entry) { return !entry.second.removed; });
     const bool open = std::any_of(accepted_.begin(), accepted_.end(), [this](const auto& id) {
       return !state_.data.contains(wire::final_key(id));
     });
@@ -512,7 +512,7 @@
     }
     print_gaps("all", all);
     const auto held = std::count_if(cloud_.machines.begin(), cloud_.machines.end(),
-                                    [](const auto& entry) { return !entry.second.gone; });
+                                    [](const auto& entry) { return !entry.second.removed; });
     std::cout << "acts at the cloud " << acts_ << ", of them with effect " << changed_
               << "\nby fenced holders: of what is decided still, with effect " << fenced_repeats_
               << "; without effect " << fenced_without_effect_ << "\nmachines launched "
