--- a/benchmarks/cost_driver.cpp
+++ b/benchmarks/cost_driver.cpp
@@ -54,9 +54,9 @@
       const double gpus = 400 * scale();
       p.teams = {{"red", cpus, 0, gpus, 0}, {"blue", cpus, 0, gpus, 0}, {"tiny", 0, 4, 0, 0}};
       p.heartbeat_interval = Seconds(2.5);
-      p.state_limits.rps = 200;
-      p.state_limits.write_rps = 80;
-      p.state_limits.value_bytes = size_t{16} * 1024;
+      p.store_limits.rps = 200;
+      p.store_limits.write_rps = 80;
+      p.store_limits.value_bytes = size_t{16} * 1024;
       p.max_connections = 1800;
     };
     site_.cloud.types = catalog();
@@ -114,7 +114,7 @@
     std::cout << "machines " << site_.workers.size() << ", tasks started " << site_.starts
               << ", heartbeats " << counts_.heartbeats << " (" << counts_.heartbeat_bytes
               << " bytes), submissions " << counts_.submissions << ", polls " << counts_.polls
-              << ", probes " << counts_.ready_probes << ", state requests " << site_.state.requests
+              << ", probes " << counts_.ready_probes << ", state requests " << site_.store.requests
               << "\n";
   }
 
--- a/src/dunlinknot/cluster/allocation_store.cpp
+++ b/src/dunlinknot/cluster/allocation_store.cpp
@@ -16,10 +16,10 @@
 
 }  // namespace
 
-AllocationStore::AllocationStore(LeaderContext& context, state::Client& state, Hooks hooks)
-    : context_(context), state_(state), hooks_(std::move(hooks)) {}
+AllocationStore::AllocationStore(LeaderContext& context, kv::Client& store, Hooks hooks)
+    : context_(context), store_(store), hooks_(std::move(hooks)) {}
 
-state::Guard AllocationStore::epoch_guard() const {
+kv::Compare AllocationStore::epoch_compare() const {
   return {std::string(wire::kEpochKey), context_.epoch_mod_revision};
 }
 
@@ -29,7 +29,7 @@
   bool first = true;
   for (;;) {
     const Instant sent = context_.loop.now();
-    state::ListResult r = co_await state_.list(prefix, after, std::chrono::seconds(3));
+    kv::ListResult r = co_await store_.list(prefix, after, std::chrono::seconds(3));
     if (!context_.in_term(term)) co_return false;
     if (r.outcome != Outcome::ok) {
       co_await context_.loop.sleep(kRetry);
@@ -44,7 +44,7 @@
   }
 }
 
-void AllocationStore::apply_job_record(const state::Item& item) {
+void AllocationStore::apply_job_record(const kv::KeyValue& item) {
   auto record = wire::read_job_record(item.value);
   if (!record || item.key != wire::job_key(record->spec.id)) {
     spdlog::error("the record {} cannot be read and is left alone", item.key);
@@ -58,11 +58,11 @@
 }
 
 Task<bool> AllocationStore::load(uint64_t term) {
-  const Visit job = [this](const state::Item& i) { apply_job_record(i); };
+  const Visit job = [this](const kv::KeyValue& i) { apply_job_record(i); };
   Reading jobs, rest;
   if (!co_await list_all(term, std::string(wire::kJobPrefix), job, jobs)) co_return false;
   garbage_.clear();
-  const Visit done = [this](const state::Item& i) {
+  const Visit done = [this](const kv::KeyValue& i) {
     const auto key = wire::parse_done_key(i.key);
     if (!key) return;
     const bool open = context_.leader_state.with([&](LeaderState& p) {
@@ -73,7 +73,7 @@
     if (!open) garbage_.emplace_back(i.key, i.mod_revision);
   };
   if (!co_await list_all(term, std::string(wire::kDonePrefix), done, rest)) co_return false;
-  const Visit machine = [this](const state::Item& i) {
+  const Visit machine = [this](const kv::KeyValue& i) {
     const std::string id(wire::after_prefix(i.key, wire::kMachinePrefix));
     const auto record = wire::read_machine_record(i.value);
     const Instant now = context_.loop.now();
@@ -92,7 +92,7 @@
 
 // A guard on a job's record failed, or nobody knows: read what stands.
 Task<void> AllocationStore::recheck_job(uint64_t term, std::string id) {
-  state::GetResult got = co_await state_.get(wire::job_key(id), kCommitTime);
+  kv::GetResult got = co_await store_.get(wire::job_key(id), kCommitTime);
   if (!context_.in_term(term) || got.outcome != Outcome::ok) co_return;
   if (got.found) {
     // Only the watch makes a job known: this answer may be older than its end.
@@ -101,7 +101,7 @@
     });
     co_return;
   }
-  state::GetResult final = co_await state_.get(wire::final_key(id), kCommitTime);
+  kv::GetResult final = co_await store_.get(wire::final_key(id), kCommitTime);
   if (!context_.in_term(term) || final.outcome != Outcome::ok) co_return;
   const auto record = final.found ? wire::read_final(final.item.value) : std::nullopt;
   const bool cancelled = !record || record->cancelled;
@@ -116,7 +116,7 @@
 
 Task<bool> AllocationStore::relist_jobs(uint64_t term) {
   std::set<std::string> listed;
-  const Visit visit = [&](const state::Item& i) {
+  const Visit visit = [&](const kv::KeyValue& i) {
     listed.insert(std::string(wire::after_prefix(i.key, wire::kJobPrefix)));
     apply_job_record(i);
   };
@@ -158,8 +158,8 @@
 Task<void> AllocationStore::watch_jobs(uint64_t term) {
   while (context_.in_term(term)) {
     const Instant sent = context_.loop.now();
-    state::WatchResult w =
-        co_await state_.watch(std::string(wire::kJobPrefix), jobs_revision_, kWatchBlock);
+    kv::WatchResult w =
+        co_await store_.watch(std::string(wire::kJobPrefix), jobs_revision_, kWatchBlock);
     if (!context_.in_term(term)) co_return;
     if (w.outcome != Outcome::ok) {
       co_await context_.loop.sleep(kRetry);
@@ -175,7 +175,7 @@
       if (c.deleted) {
         context_.leader_state.with([&](LeaderState& p) { effects |= close_over(p, id); });
       } else {
-        state::Item item{c.key, c.value, c.mod_revision, 0};
+        kv::KeyValue item{c.key, c.value, c.mod_revision, 0};
         apply_job_record(item);
         effects.schedule = true;
       }
--- a/src/dunlinknot/cluster/allocation_store.hpp
+++ b/src/dunlinknot/cluster/allocation_store.hpp
@@ -1,4 +1,4 @@
-// The leader's writing in the state service: allocations before their `run`, completions before
+// The leader's writing in the key-value store: allocations before their `run`, completions before
 // they are told or forgotten. Every transaction guards `epoch` and the mod revisions of what it
 // changes.
 #pragma once
@@ -9,7 +9,7 @@
 #include <set>
 
 #include "dunlinknot/cluster/leader_context.hpp"
-#include "dunlinknot/state/client.hpp"
+#include "dunlinknot/kv/client.hpp"
 
 namespace dunlinknot::cluster {
 
@@ -21,11 +21,11 @@
     // All cancellations that stood when a read was sent at `sent` have been carried out here.
     std::function<void(Instant sent)> caught_up;
     // What a removal of records has to guard; nothing while this node may not remove any.
-    std::function<std::optional<std::vector<state::Guard>>()> cleanup_guards;
+    std::function<std::optional<std::vector<kv::Compare>>()> cleanup_compares;
     // Such a removal, sent at `sent` by the clock that counts suspended time, was answered.
-    std::function<void(const state::TxnResult&, Instant sent)> cleanup_result;
+    std::function<void(const kv::TransactionResult&, Instant sent)> cleanup_result;
   };
-  AllocationStore(LeaderContext& context, state::Client& state, Hooks hooks);
+  AllocationStore(LeaderContext& context, kv::Client& store, Hooks hooks);
 
   // Reads everything a new leader needs; false when the term ended meanwhile.
   Task<bool> load(uint64_t term);
@@ -37,7 +37,7 @@
   uint64_t jobs_revision() const { return jobs_revision_; }
 
  private:
-  static constexpr Millis kCommitTime{1200};  // for one call of the state service
+  static constexpr Millis kCommitTime{1200};  // for one call of the key-value store
   static constexpr Millis kRetry{120};        // after a call that was refused or got no answer
   struct MachineWrite {
     std::string id;
@@ -48,7 +48,7 @@
     std::vector<MachineWrite> machines;
     std::set<std::string> jobs;  // with new allocations there: their records are guarded
     size_t bytes = 0;
-    state::Txn txn;
+    kv::Transaction txn;
   };
   struct ChunkWrite {
     std::string job;
@@ -63,9 +63,9 @@
     std::vector<ChunkWrite> chunks;
     std::vector<FinishedJob> finished;
     std::set<std::string> jobs;
-    state::Txn txn;
+    kv::Transaction txn;
   };
-  using Visit = std::function<void(const state::Item&)>;
+  using Visit = std::function<void(const kv::KeyValue&)>;
   struct Reading {  // of a listing's first page: what it shows is at least this new
     uint64_t revision = 0;
     Instant sent{};
@@ -73,30 +73,31 @@
   Task<bool> list_all(uint64_t term, std::string prefix, Visit visit, Reading& reading);
   Task<void> refresh_machines(uint64_t term);
   static constexpr size_t kMostOps = 16;
-  size_t max_ops() const { return std::min(state_.limits().txn_ops(), kMostOps); }
-  size_t guards_left(const MachineBatch& batch) const;
+  size_t max_ops() const { return std::min(store_.limits().txn_ops(), kMostOps); }
+  size_t compares_left(const MachineBatch& batch) const;
   bool add_machine_record(MachineBatch& batch, Cluster& cluster, Machine& h) const;
   MachineBatch collect_machines(Cluster& cluster, bool trailing) const;
   Effects apply_machines_result(Cluster& cluster, const MachineBatch& batch,
-                                const state::TxnResult& r, std::vector<std::string>& recheck);
+                                const kv::TransactionResult& r, std::vector<std::string>& recheck);
   Task<bool> store_some_machines(uint64_t term, bool trailing);
   Task<bool> delete_some_records(uint64_t term);
   void add_end(ProgressBatch& batch, const Job& j) const;
   void add_chunks(ProgressBatch& batch, const Job& j) const;
   ProgressBatch collect_progress(const Cluster& cluster, bool partial) const;
   void progress_stored(const ProgressBatch& batch, uint64_t revision);
-  Task<bool> reread_progress(uint64_t term, const ProgressBatch& batch, const state::TxnResult& r);
+  Task<bool> reread_progress(uint64_t term, const ProgressBatch& batch,
+                             const kv::TransactionResult& r);
   void pause_partial(const ProgressBatch& batch);
   Task<bool> store_some_done(uint64_t term);
   Task<void> recheck_job(uint64_t term, std::string id);
   Task<bool> relist_jobs(uint64_t term);
-  void apply_job_record(const state::Item& item);
+  void apply_job_record(const kv::KeyValue& item);
   Effects close_over(LeaderState& p, const std::string& id);
-  state::Guard epoch_guard() const;
+  kv::Compare epoch_compare() const;
   Task<void> await_budget(uint64_t term, double writes);
 
   LeaderContext& context_;
-  state::Client& state_;
+  kv::Client& store_;
   Hooks hooks_;
   uint64_t jobs_revision_ = 0;
   bool mod_revisions_unknown_ = false;
--- a/src/dunlinknot/cluster/allocation_store_machines.cpp
+++ b/src/dunlinknot/cluster/allocation_store_machines.cpp
@@ -13,9 +13,9 @@
 constexpr auto kTrailing = std::chrono::seconds(4);
 constexpr size_t kMostPassedOver = 8;  // machines whose jobs one transaction cannot guard
 constexpr size_t kTxnBytes = size_t{40} * 1024;
-constexpr size_t kGuardsPerWrite = 4;  // the state service's limit, in writes of a transaction
-constexpr double kApiReserve = 0.2;    // of the write budget's burst, left to the users' requests
-constexpr double kSlackLevel = 0.6;    // of the burst: what can wait is written above this
+constexpr size_t kComparesPerWrite = 4;  // the key-value store's limit, in writes of a transaction
+constexpr double kApiReserve = 0.2;      // of the write budget's burst, left to the users' requests
+constexpr double kSlackLevel = 0.6;      // of the burst: what can wait is written above this
 
 }  // namespace
 
@@ -45,7 +45,7 @@
     return out;
   });
   for (const auto& id : ids) {
-    state::GetResult got = co_await state_.get(wire::machine_key(id), kCommitTime);
+    kv::GetResult got = co_await store_.get(wire::machine_key(id), kCommitTime);
     if (!context_.in_term(term)) co_return;
     if (got.outcome != Outcome::ok) {
       mod_revisions_unknown_ = true;
@@ -64,13 +64,13 @@
   }
 }
 
-// The allocation store keeps to what is left of the state service's budget, with a reserve for the
-// users' requests at this node: else the allocations of a large cluster crowd submissions out.
+// The allocation store keeps to what is left of the key-value store's budget, with a reserve for
+// the users' requests at this node: else the allocations of a large cluster crowd submissions out.
 Task<void> AllocationStore::await_budget(uint64_t term, double writes) {
-  const double burst = state_.write_burst();
+  const double burst = store_.write_burst();
   const double want = std::min(writes, burst / 4) + burst * kApiReserve;
-  while (context_.in_term(term) && state_.write_level() < want) {
-    co_await context_.loop.sleep(std::max<Nanos>(state_.writes_in(want), Millis(2)));
+  while (context_.in_term(term) && store_.write_level() < want) {
+    co_await context_.loop.sleep(std::max<Nanos>(store_.writes_in(want), Millis(2)));
   }
 }
 
@@ -92,9 +92,9 @@
 }  // namespace
 
 // How many more guards the transaction takes, beside that on a machine's record.
-size_t AllocationStore::guards_left(const MachineBatch& batch) const {
-  const size_t most = max_ops() * kGuardsPerWrite;
-  const size_t taken = batch.txn.guards.size() + batch.jobs.size() + 1;
+size_t AllocationStore::compares_left(const MachineBatch& batch) const {
+  const size_t most = max_ops() * kComparesPerWrite;
+  const size_t taken = batch.txn.compares.size() + batch.jobs.size() + 1;
   return most > taken ? most - taken : 0;
 }
 
@@ -103,7 +103,7 @@
   // A record that another version stored large has to shrink first, as what is allocated there
   // ends. What was to be added goes elsewhere. The larger record that stands allocates too much,
   // never too little (safety 1).
-  if (cluster.record_size(h) > state_.limits().value_bytes()) {
+  if (cluster.record_size(h) > store_.limits().value_bytes()) {
     (void)cluster.drop_planned(h, context_.loop.now());
     h.dirty = false;
     return true;
@@ -114,7 +114,7 @@
     if (b.phase == Phase::planned && cluster.job(b.task.job)) fresh.insert(b.task.job);
   }
   for (const std::string& id : batch.jobs) fresh.erase(id);
-  const size_t room = guards_left(batch);
+  const size_t room = compares_left(batch);
   if (fresh.size() > room && !batch.machines.empty()) return false;
   MachineWrite write{h.id, h.mod_revision, cluster.record_of(h)};
   if (fresh.size() > room) {
@@ -130,7 +130,7 @@
   }
   batch.jobs.insert(fresh.begin(), fresh.end());
   batch.bytes += value.size() * 2;
-  batch.txn.guards.push_back({wire::machine_key(h.id), write.mod_revision});
+  batch.txn.compares.push_back({wire::machine_key(h.id), write.mod_revision});
   batch.txn.writes.push_back({wire::machine_key(h.id), std::move(value), 0});
   h.storing = true;
   batch.machines.push_back(std::move(write));
@@ -142,9 +142,10 @@
 AllocationStore::MachineBatch AllocationStore::collect_machines(Cluster& cluster,
                                                                 bool trailing) const {
   MachineBatch batch;
-  batch.txn.guards.push_back(epoch_guard());
+  batch.txn.compares.push_back(epoch_compare());
   const auto full = [&] {
-    return batch.machines.size() >= max_ops() || batch.bytes > kTxnBytes || guards_left(batch) == 0;
+    return batch.machines.size() >= max_ops() || batch.bytes > kTxnBytes ||
+           compares_left(batch) == 0;
   };
   std::vector<Machine*> unwritable;  // what stands in their records is being found out
   std::vector<Machine*> too_many_jobs;
@@ -170,7 +171,7 @@
     }
   }
   for (const auto& id : batch.jobs) {
-    batch.txn.guards.push_back({wire::job_key(id), cluster.job(id)->mod_revision});
+    batch.txn.compares.push_back({wire::job_key(id), cluster.job(id)->mod_revision});
   }
   return batch;
 }
@@ -178,7 +179,7 @@
 // What the transaction's result says of the records and jobs that it was about. Adds the jobs whose
 // record was not what the leader took it for to `recheck`.
 Effects AllocationStore::apply_machines_result(Cluster& cluster, const MachineBatch& batch,
-                                               const state::TxnResult& r,
+                                               const kv::TransactionResult& r,
                                                std::vector<std::string>& recheck) {
   Effects effects;
   for (const auto& w : batch.machines) {
@@ -192,14 +193,14 @@
     h->storing = false;
     if (r.applied) {
       cluster.machine_stored(*h, w.record, w.record.groups.empty() ? 0 : r.revision, effects);
-    } else if (r.outcome == Outcome::unknown || r.guard_failed(wire::machine_key(w.id))) {
+    } else if (r.outcome == Outcome::unknown || r.compare_failed(wire::machine_key(w.id))) {
       h->mod_revision_known = false;
       mod_revisions_unknown_ = true;
     }
     if (!r.applied && h->dirty) cluster.mark_dirty(*h);
   }
   for (const auto& id : batch.jobs) {
-    if (!r.guard_failed(wire::job_key(id))) continue;
+    if (!r.compare_failed(wire::job_key(id))) continue;
     effects |= cluster.drop_unsent(id, context_.loop.now());
     recheck.push_back(id);
   }
@@ -217,18 +218,18 @@
   if (waiting == 0 && !trailing) co_return false;
   // Records that only shrank are rewritten with what is left over: an entry too many costs a new
   // leader a moment, an allocation that waits costs a machine.
-  if (waiting == 0 && state_.write_level() < state_.write_burst() * kSlackLevel) co_return false;
+  if (waiting == 0 && store_.write_level() < store_.write_burst() * kSlackLevel) co_return false;
   co_await await_budget(term, static_cast<double>(std::min(waiting, max_ops())));
   if (!context_.in_term(term)) co_return false;
   MachineBatch batch = context_.leader_state.with(
       [&](LeaderState& p) { return collect_machines(p.cluster, trailing); });
   if (batch.machines.empty()) co_return false;
-  const state::TxnResult r = co_await state_.commit(std::move(batch.txn), kCommitTime);
+  const kv::TransactionResult r = co_await store_.commit(std::move(batch.txn), kCommitTime);
   if (!context_.in_term(term)) co_return false;
   std::vector<std::string> recheck;
   const Effects effects = context_.leader_state.with(
       [&](LeaderState& p) { return apply_machines_result(p.cluster, batch, r, recheck); });
-  if (r.guard_failed(wire::kEpochKey)) {
+  if (r.compare_failed(wire::kEpochKey)) {
     hooks_.deposed("a transaction met a later epoch");
     co_return false;
   }
@@ -242,35 +243,35 @@
   auto dead =
       context_.leader_state.with([](LeaderState& p) { return p.cluster.drain_dead_records(); });
   for (auto& d : dead) garbage_.push_back(std::move(d));
-  if (garbage_.empty() || state_.write_level() < state_.write_burst() * kSlackLevel)
+  if (garbage_.empty() || store_.write_level() < store_.write_burst() * kSlackLevel)
     co_return false;
-  std::optional<std::vector<state::Guard>> guards = hooks_.cleanup_guards();
-  if (!guards) co_return false;
-  state::Txn txn;
-  txn.guards = std::move(*guards);
+  std::optional<std::vector<kv::Compare>> compares = hooks_.cleanup_compares();
+  if (!compares) co_return false;
+  kv::Transaction txn;
+  txn.compares = std::move(*compares);
   std::vector<std::pair<std::string, uint64_t>> batch;
   while (!garbage_.empty() && batch.size() < std::min<size_t>(max_ops(), 12)) {
     batch.push_back(garbage_.front());
     garbage_.pop_front();
-    txn.guards.push_back({batch.back().first, batch.back().second});
+    txn.compares.push_back({batch.back().first, batch.back().second});
     txn.writes.push_back({batch.back().first, "", 0});
   }
   const Instant sent = context_.loop.boot_now();
-  state::TxnResult r = co_await state_.commit(std::move(txn), kCommitTime);
+  kv::TransactionResult r = co_await store_.commit(std::move(txn), kCommitTime);
   if (!context_.in_term(term)) co_return false;
   hooks_.cleanup_result(r, sent);
-  if (r.guard_failed(wire::kEpochKey)) {
+  if (r.compare_failed(wire::kEpochKey)) {
     hooks_.deposed("a transaction met a later epoch");
     co_return false;
   }
   if (r.applied) co_return !garbage_.empty();
   for (auto& [key, mod_revision] : batch) {
-    if (!r.guard_failed(key)) {
+    if (!r.compare_failed(key)) {
       garbage_.emplace_back(key, mod_revision);
       continue;
     }
     // Gone already, or written by a transaction whose answer we never had.
-    state::GetResult got = co_await state_.get(key, kCommitTime);
+    kv::GetResult got = co_await store_.get(key, kCommitTime);
     if (!context_.in_term(term)) co_return false;
     if (got.outcome == Outcome::ok && got.found) garbage_.emplace_back(key, got.item.mod_revision);
   }
--- a/src/dunlinknot/cluster/allocation_store_progress.cpp
+++ b/src/dunlinknot/cluster/allocation_store_progress.cpp
@@ -27,8 +27,8 @@
 void AllocationStore::add_end(ProgressBatch& batch, const Job& j) const {
   const std::string& id = j.spec().id;
   batch.jobs.insert(id);
-  batch.txn.guards.push_back({wire::job_key(id), j.mod_revision});
-  batch.txn.guards.push_back({wire::final_key(id), 0});
+  batch.txn.compares.push_back({wire::job_key(id), j.mod_revision});
+  batch.txn.compares.push_back({wire::final_key(id), 0});
   batch.txn.writes.push_back({wire::final_key(id), wire::write_final({false, j.spec().tasks}), 0});
   batch.txn.writes.push_back({wire::job_key(id), "", 0});
   batch.finished.push_back({id, j.spec().tasks});
@@ -37,13 +37,13 @@
 void AllocationStore::add_chunks(ProgressBatch& batch, const Job& j) const {
   const std::string& id = j.spec().id;
   batch.jobs.insert(id);
-  batch.txn.guards.push_back({wire::job_key(id), j.mod_revision});
+  batch.txn.compares.push_back({wire::job_key(id), j.mod_revision});
   for (const uint32_t n : j.dirty_chunks()) {
     if (batch.txn.writes.size() >= max_ops()) return;
     const auto stored = j.chunk_mod_revisions.find(n);
     const uint64_t mod_revision = stored == j.chunk_mod_revisions.end() ? 0 : stored->second;
     const std::string key = wire::done_key(id, n);
-    batch.txn.guards.push_back({key, mod_revision});
+    batch.txn.compares.push_back({key, mod_revision});
     batch.txn.writes.push_back(
         {key, wire::write_done_chunk(j.done_bits(), n, j.storable_in_chunk()), 0});
     batch.chunks.push_back({id, n, j.done_bits()});
@@ -56,7 +56,7 @@
                                                                  bool partial) const {
   constexpr size_t kWritesOfEnd = 2;
   ProgressBatch batch;
-  batch.txn.guards.push_back(epoch_guard());
+  batch.txn.compares.push_back(epoch_compare());
   std::vector<const Job*> open;
   size_t before_cursor = 0;
   for (const auto& [id, j] : cluster.jobs()) {
@@ -94,11 +94,11 @@
 // Unknown, or a mod revision was not what we thought: reads back what stands. False when the term
 // ended.
 Task<bool> AllocationStore::reread_progress(uint64_t term, const ProgressBatch& batch,
-                                            const state::TxnResult& r) {
+                                            const kv::TransactionResult& r) {
   for (const auto& c : batch.chunks) {
     const std::string key = wire::done_key(c.job, c.chunk);
-    if (r.outcome == Outcome::ok && !r.guard_failed(key)) continue;
-    state::GetResult got = co_await state_.get(key, kCommitTime);
+    if (r.outcome == Outcome::ok && !r.compare_failed(key)) continue;
+    kv::GetResult got = co_await store_.get(key, kCommitTime);
     if (!context_.in_term(term)) co_return false;
     if (got.outcome != Outcome::ok) continue;
     context_.leader_state.with([&](LeaderState& p) {
@@ -116,8 +116,8 @@
     });
   }
   for (const auto& id : batch.jobs) {
-    if (r.outcome == Outcome::unknown || r.guard_failed(wire::job_key(id)) ||
-        r.guard_failed(wire::final_key(id))) {
+    if (r.outcome == Outcome::unknown || r.compare_failed(wire::job_key(id)) ||
+        r.compare_failed(wire::final_key(id))) {
       co_await recheck_job(term, id);
       if (!context_.in_term(term)) co_return false;
     }
@@ -131,7 +131,7 @@
 void AllocationStore::pause_partial(const ProgressBatch& batch) {
   if (batch.chunks.empty()) return;
   last_partial_job_ = batch.chunks.back().job;
-  const double rate = state_.write_burst() * kPartialShare;
+  const double rate = store_.write_burst() * kPartialShare;
   const Seconds pause(static_cast<double>(batch.chunks.size()) / rate);
   next_partial_ = context_.loop.now() + to_nanos(pause);
 }
@@ -152,9 +152,9 @@
     co_await await_budget(term, static_cast<double>(batch.txn.writes.size()));
   }
   if (!context_.in_term(term)) co_return false;
-  const state::TxnResult r = co_await state_.commit(std::move(batch.txn), kCommitTime);
+  const kv::TransactionResult r = co_await store_.commit(std::move(batch.txn), kCommitTime);
   if (!context_.in_term(term)) co_return false;
-  if (r.guard_failed(wire::kEpochKey)) {
+  if (r.compare_failed(wire::kEpochKey)) {
     hooks_.deposed("a transaction met a later epoch");
     co_return false;
   }
--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -6,8 +6,8 @@
 #include <algorithm>
 
 #include "dunlinknot/cluster/find.hpp"
+#include "dunlinknot/kv/limits.hpp"
 #include "dunlinknot/leadership/elector.hpp"
-#include "dunlinknot/state/limits.hpp"
 
 namespace dunlinknot::cluster {
 
@@ -18,9 +18,9 @@
 constexpr Seconds kSaveSlack{4};
 constexpr size_t kOrphanShare = 16;  // one part in so many of a record is left to orphans
 
-// The least of what the state service takes now and later.
+// The least of what the key-value store takes now and later.
 size_t smallest_value(const settings::Platform& platform) {
-  return state::Limits(platform.state_limits, platform.next_state_limits).value_bytes();
+  return kv::Limits(platform.store_limits, platform.next_store_limits).value_bytes();
 }
 
 }  // namespace
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -23,7 +23,7 @@
 
 enum class Phase : uint8_t {
   planned,    // decided, not yet written down: may not start
-  durable,    // stands in the state service: `run` may go out
+  durable,    // stands in the key-value store: `run` may go out
   sent,       // `run` went out
   seen,       // the worker reported it
   inherited,  // written down by a former leader, which may or may not have sent the `run`
@@ -96,7 +96,7 @@
   uint64_t sequence = 0;
   bool fenced = false;  // a heartbeat bore our fencing token: older fencing tokens are refused
                         // there from then on
-  bool lost = false;  // silent beyond its lease; back only with a later incarnation
+  bool lost = false;    // silent beyond its lease; back only with a later incarnation
   Instant last_heartbeat{};
   Instant last_answered{};
   Instant incarnation_since{};  // when its worker's incarnation was first heard of
@@ -130,7 +130,7 @@
   uint32_t queued_tasks = 0;
   std::vector<CachedImage> images;  // most recently used last; a guess from what was started there
 
-  // Its record in the state service.
+  // Its record in the key-value store.
   uint64_t mod_revision = 0;
   bool mod_revision_known = true;
   bool dirty = false;         // allocations were added
@@ -272,7 +272,7 @@
 
   const ReplicaRestarts& replica_restarts() const { return replica_restarts_; }
 
-  // --- the record of a machine in the state service
+  // --- the record of a machine in the key-value store
   wire::MachineRecord record_of(const Machine& h) const;
   // The machines whose records want writing: those with allocations of services and gangs first,
   // then first come first served.
--- a/src/dunlinknot/cluster/records.cpp
+++ b/src/dunlinknot/cluster/records.cpp
@@ -1,4 +1,4 @@
-// The records of machines in the state service: their contents, their size, and what follows once
+// The records of machines in the key-value store: their contents, their size, and what follows once
 // one is durable.
 #include <algorithm>
 
--- a/src/dunlinknot/jobs/request_handler.cpp
+++ b/src/dunlinknot/jobs/request_handler.cpp
@@ -16,7 +16,7 @@
 constexpr auto kSubmitTime = Millis(4000);  // users wait 5 s
 constexpr auto kPollTime = Millis(1600);    // users wait 2 s
 constexpr auto kTryTime = Millis(800);
-constexpr auto kStateGone = Millis(1500);
+constexpr auto kStoreSilence = Millis(1500);
 
 struct InFlight {
   size_t& n;
@@ -56,11 +56,11 @@
   return it == jobs_.end() ? std::pair<uint32_t, uint32_t>{0, 0} : it->second;
 }
 
-RequestHandler::RequestHandler(Loop& loop, state::Client& state, const settings::Platform& platform,
+RequestHandler::RequestHandler(Loop& loop, kv::Client& store, const settings::Platform& platform,
                                const settings::Operator& op, uint32_t seed,
                                std::function<void(const std::string&)> cancelled)
     : loop_(loop),
-      state_(state),
+      store_(store),
       platform_(platform),
       op_(op),
       cancelled_(std::move(cancelled)),
@@ -135,7 +135,7 @@
   }
   while (loop_.now() < deadline) {
     const Nanos within = std::min<Nanos>(kTryTime, deadline - loop_.now());
-    state::GetResult open = co_await state_.get(wire::job_key(id), within);
+    kv::GetResult open = co_await store_.get(wire::job_key(id), within);
     if (open.outcome == Outcome::refused) co_return out;
     if (open.outcome != Outcome::ok) continue;
     if (open.found) {
@@ -146,7 +146,7 @@
     }
     // Not open: over or never submitted. A job moves from one key to the other in one transaction,
     // so reading them in this order cannot miss it.
-    state::GetResult final = co_await state_.get(wire::final_key(id), within);
+    kv::GetResult final = co_await store_.get(wire::final_key(id), within);
     if (final.outcome == Outcome::refused) co_return out;
     if (final.outcome != Outcome::ok) continue;
     if (!final.found) {
@@ -184,10 +184,10 @@
   return r;
 }
 
-// Whether the state service takes the value, also once its limits are lowered.
+// Whether the key-value store takes the value, also once its limits are lowered.
 bool RequestHandler::storable(const std::string& value) const {
   const auto document = wire::Document::parse(value);
-  return document && wire::json_size(document->root()) <= state_.limits().value_bytes();
+  return document && wire::json_size(document->root()) <= store_.limits().value_bytes();
 }
 
 Task<Response> RequestHandler::submit(std::string body) {
@@ -201,7 +201,7 @@
     found.final = *f;
     co_return standing_of(*id, found, false);
   }
-  if (submitting_ >= op_.max_submissions || !state_.has_room_for_users(2)) co_return later();
+  if (submitting_ >= op_.max_submissions || !store_.has_room_for_users(2)) co_return later();
   const InFlight in_flight(submitting_);
   const Instant deadline = loop_.now() + kSubmitTime;
 
@@ -229,12 +229,12 @@
   }
 
   while (loop_.now() < deadline) {
-    state::Txn txn;
-    txn.guards.push_back({wire::job_key(*id), 0});
-    txn.guards.push_back({wire::final_key(*id), 0});
+    kv::Transaction txn;
+    txn.compares.push_back({wire::job_key(*id), 0});
+    txn.compares.push_back({wire::final_key(*id), 0});
     txn.writes.push_back({wire::job_key(*id), record, 0});
     const Nanos within = std::min<Nanos>(kTryTime, deadline - loop_.now());
-    state::TxnResult r = co_await state_.commit(std::move(txn), within, state::Importance::user);
+    kv::TransactionResult r = co_await store_.commit(std::move(txn), within, kv::Importance::user);
     if (r.outcome == Outcome::refused) co_return later();
     if (r.outcome != Outcome::ok) continue;  // the same again: the guards make that harmless
     if (r.applied) {
@@ -275,13 +275,13 @@
     if (found.known == Known::final) co_return standing_of(id, found, false);
     // Safety 3: the job's record goes and its final answer stands in one transaction, before the
     // user is told. From here on every allocation for it fails its guard.
-    state::Txn txn;
-    txn.guards.push_back({wire::job_key(id), found.mod_revision});
-    txn.guards.push_back({wire::final_key(id), 0});
+    kv::Transaction txn;
+    txn.compares.push_back({wire::job_key(id), found.mod_revision});
+    txn.compares.push_back({wire::final_key(id), 0});
     txn.writes.push_back({wire::final_key(id), wire::write_final({true, found.tasks}), 0});
     txn.writes.push_back({wire::job_key(id), "", 0});
     const Nanos within = std::min<Nanos>(kTryTime, deadline - loop_.now());
-    state::TxnResult r = co_await state_.commit(std::move(txn), within, state::Importance::user);
+    kv::TransactionResult r = co_await store_.commit(std::move(txn), within, kv::Importance::user);
     if (r.outcome == Outcome::refused) break;
     if (r.outcome == Outcome::ok && r.applied) learn_final(id, {true, found.tasks}, r.revision);
     // Applied, overtaken or unknown: what stands now is the answer.
--- a/src/dunlinknot/jobs/request_handler.hpp
+++ b/src/dunlinknot/jobs/request_handler.hpp
@@ -1,4 +1,4 @@
-// The users' API. Any node serves it, straight against the state service, which alone knows what
+// The users' API. Any node serves it, straight against the key-value store, which alone knows what
 // was accepted, cancelled or done.
 #pragma once
 #include <deque>
@@ -8,8 +8,8 @@
 #include <unordered_map>
 
 #include "dunlinknot/http/message.hpp"
+#include "dunlinknot/kv/client.hpp"
 #include "dunlinknot/settings/settings.hpp"
-#include "dunlinknot/state/client.hpp"
 #include "dunlinknot/wire/peer.hpp"
 #include "dunlinknot/wire/records.hpp"
 
@@ -41,7 +41,7 @@
 
 class RequestHandler {
  public:
-  RequestHandler(Loop& loop, state::Client& state, const settings::Platform& platform,
+  RequestHandler(Loop& loop, kv::Client& store, const settings::Platform& platform,
                  const settings::Operator& op, uint32_t seed,
                  std::function<void(const std::string& id)> cancelled);
 
@@ -79,7 +79,7 @@
   std::string never_runs(const JobSpec& spec) const;
 
   Loop& loop_;
-  state::Client& state_;
+  kv::Client& store_;
   const settings::Platform& platform_;
   const settings::Operator& op_;
   std::function<void(const std::string&)> cancelled_;
--- a/src/dunlinknot/state/client.cpp
+++ b/src/dunlinknot/kv/client.cpp
@@ -1,10 +1,10 @@
-#include "dunlinknot/state/client.hpp"
+#include "dunlinknot/kv/client.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-namespace dunlinknot::state {
+namespace dunlinknot::kv {
 
 namespace {
 
@@ -22,22 +22,22 @@
   return std::make_shared<Document>(std::move(*d));
 }
 
-std::optional<Item> read_item(View v) {
+std::optional<KeyValue> read_item(View v) {
   const auto key = v["key"].text();
   const auto mod_revision = v["stamp"].count();
   if (!key || !mod_revision) return std::nullopt;
-  return Item{std::string(*key), v["v"], *mod_revision, v["tenancy"].count().value_or(0)};
+  return KeyValue{std::string(*key), v["v"], *mod_revision, v["tenancy"].count().value_or(0)};
 }
 
 // A reply that should not have come as it did tells nothing about what was done.
 void log_odd(const char* what, int status) {
-  spdlog::info("state service: unreadable answer to {} (status {}), taken as unknown", what,
+  spdlog::info("key-value store: unreadable answer to {} (status {}), taken as unknown", what,
                status);
 }
 
 }  // namespace
 
-bool TxnResult::guard_failed(std::string_view key) const {
+bool TransactionResult::compare_failed(std::string_view key) const {
   return std::find(failed.begin(), failed.end(), key) != failed.end();
 }
 
@@ -61,7 +61,7 @@
 }
 
 // A 400 that the announced limits explain: whoever sent the transaction forms a smaller one.
-void Client::on_malformed(const Txn& txn) {
+void Client::on_malformed(const Transaction& txn) {
   size_t largest = 0;
   for (const Write& write : txn.writes) {
     const auto value = Document::parse(write.value);
@@ -175,11 +175,11 @@
   co_return out;
 }
 
-Task<TxnResult> Client::commit(Txn txn, Nanos within, Importance how) {
-  TxnResult out;
+Task<TransactionResult> Client::commit(Transaction txn, Nanos within, Importance how) {
+  TransactionResult out;
   Writer w;
-  w.map(2).key("guards").list(txn.guards.size());
-  for (const auto& g : txn.guards)
+  w.map(2).key("guards").list(txn.compares.size());
+  for (const auto& g : txn.compares)
     w.map(2).key("key").text(g.key).key("stamp").count(g.mod_revision);
   w.key("writes").list(txn.writes.size());
   for (const auto& op : txn.writes) {
@@ -210,7 +210,7 @@
     const std::string error(root["error"].text().value_or("?"));
     out.lease_expired = error == "no such lease";
     if (!out.lease_expired) {
-      spdlog::error("state service refused a transaction: {}", error);
+      spdlog::error("key-value store refused a transaction: {}", error);
       on_malformed(txn);
     }
     out.outcome = Outcome::refused;
@@ -221,7 +221,7 @@
   co_return out;
 }
 
-Task<LeaseResult> Client::grant(Millis ttl, Nanos within) {
+Task<LeaseResult> Client::grant_lease(Millis ttl, Nanos within) {
   LeaseResult out;
   Writer w;
   w.map(1).key("ttlMs").count(static_cast<uint64_t>(ttl.count()));
@@ -240,7 +240,7 @@
   co_return out;
 }
 
-Task<LeaseResult> Client::extend(uint64_t lease, Nanos within) {
+Task<LeaseResult> Client::renew_lease(uint64_t lease, Nanos within) {
   LeaseResult out;
   out.lease = lease;
   http::Reply r = co_await call("POST", "/leases/" + std::to_string(lease) + "/extend", "", within,
@@ -254,7 +254,7 @@
   co_return out;
 }
 
-Task<LeaseResult> Client::revoke(uint64_t lease, Nanos within) {
+Task<LeaseResult> Client::revoke_lease(uint64_t lease, Nanos within) {
   LeaseResult out;
   http::Reply r = co_await call("DELETE", "/leases/" + std::to_string(lease), "", within, 4096, 0,
                                 Importance::essential);
@@ -272,7 +272,7 @@
   if (r.too_large) {
     // Asking again would bring the same answer and more. What stands is listed page by page
     // instead, as when the service no longer has the changes.
-    spdlog::info("state service: the changes of {} since {} are too many for one answer", prefix,
+    spdlog::info("key-value store: the changes of {} since {} are too many for one answer", prefix,
                  since);
     out.outcome = Outcome::ok;
     out.too_old = true;
@@ -311,4 +311,4 @@
   co_return out;
 }
 
-}  // namespace dunlinknot::state
+}  // namespace dunlinknot::kv
--- a/src/dunlinknot/state/client.hpp
+++ b/src/dunlinknot/kv/client.hpp
@@ -1,4 +1,4 @@
-// The state service: typed calls, a deadline on each, a budget below the service's limits, and an
+// The key-value store: typed calls, a deadline on each, a budget below the service's limits, and an
 // outcome that tells "not carried out" from "may have been, or may yet be".
 #pragma once
 #include <functional>
@@ -7,15 +7,15 @@
 #include <vector>
 
 #include "dunlinknot/http/client.hpp"
+#include "dunlinknot/kv/limits.hpp"
 #include "dunlinknot/runtime/budget.hpp"
-#include "dunlinknot/state/limits.hpp"
 #include "dunlinknot/wire/pack.hpp"
 
-namespace dunlinknot::state {
+namespace dunlinknot::kv {
 
 using http::Outcome;
 
-struct Item {
+struct KeyValue {
   std::string key;
   wire::View value;
   uint64_t mod_revision = 0;
@@ -25,20 +25,20 @@
 struct GetResult {
   Outcome outcome = Outcome::unknown;
   bool found = false;
-  Item item;
+  KeyValue item;
   uint64_t revision = 0;
   std::shared_ptr<wire::Document> document;  // owns what `item` points into
 };
 
 struct ListResult {
   Outcome outcome = Outcome::unknown;
-  std::vector<Item> items;
+  std::vector<KeyValue> items;
   bool more = false;
   uint64_t revision = 0;
   std::shared_ptr<wire::Document> document;
 };
 
-struct Guard {
+struct Compare {
   std::string key;
   uint64_t mod_revision = 0;  // 0: must not exist
 };
@@ -49,18 +49,18 @@
   uint64_t lease = 0;
 };
 
-struct Txn {
-  std::vector<Guard> guards;
+struct Transaction {
+  std::vector<Compare> compares;
   std::vector<Write> writes;
 };
 
-struct TxnResult {
+struct TransactionResult {
   Outcome outcome = Outcome::unknown;
   bool applied = false;
   bool lease_expired = false;
   uint64_t revision = 0;
   std::vector<std::string> failed;  // keys whose guard did not hold
-  bool guard_failed(std::string_view key) const;
+  bool compare_failed(std::string_view key) const;
 };
 
 struct LeaseResult {
@@ -97,10 +97,11 @@
 
   Task<GetResult> get(std::string key, Nanos within, Importance how = Importance::normal);
   Task<ListResult> list(std::string prefix, std::string after, Nanos within);
-  Task<TxnResult> commit(Txn txn, Nanos within, Importance how = Importance::normal);
-  Task<LeaseResult> grant(Millis ttl, Nanos within);
-  Task<LeaseResult> extend(uint64_t lease, Nanos within);
-  Task<LeaseResult> revoke(uint64_t lease, Nanos within);
+  Task<TransactionResult> commit(Transaction txn, Nanos within,
+                                 Importance how = Importance::normal);
+  Task<LeaseResult> grant_lease(Millis ttl, Nanos within);
+  Task<LeaseResult> renew_lease(uint64_t lease, Nanos within);
+  Task<LeaseResult> revoke_lease(uint64_t lease, Nanos within);
   Task<WatchResult> watch(std::string prefix, uint64_t since, Millis block);
 
   // When the service last served us: when we had the answer, and when that request was sent.
@@ -120,7 +121,7 @@
   Task<http::Reply> call(std::string method, std::string target, std::string body, Nanos within,
                          size_t max_body, double writes, Importance how);
 
-  void on_malformed(const Txn& txn);
+  void on_malformed(const Transaction& txn);
   void on_throttled(bool writes);
   void adopt_limits();
 
@@ -138,4 +139,4 @@
   uint64_t throttled_ = 0;
 };
 
-}  // namespace dunlinknot::state
+}  // namespace dunlinknot::kv
--- a/src/dunlinknot/state/limits.cpp
+++ b/src/dunlinknot/kv/limits.cpp
@@ -1,13 +1,13 @@
-#include "dunlinknot/state/limits.hpp"
+#include "dunlinknot/kv/limits.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-namespace dunlinknot::state {
+namespace dunlinknot::kv {
 
-Limits::Limits(const settings::StateLimits& present,
-               const std::optional<settings::StateLimits>& next)
+Limits::Limits(const settings::StoreLimits& present,
+               const std::optional<settings::StoreLimits>& next)
     : present_(present), next_(next) {}
 
 size_t Limits::value_bytes() const {
@@ -17,16 +17,16 @@
 bool Limits::on_malformed(size_t writes, size_t largest_value) {
   if (!next_) return false;
   if (writes <= next_->txn_ops && largest_value <= next_->value_bytes) return false;
-  if (!lowered_) spdlog::info("state service: a transaction of {} writes was refused", writes);
+  if (!lowered_) spdlog::info("key-value store: a transaction of {} writes was refused", writes);
   lowered_ = true;
   return true;
 }
 
 bool Limits::on_throttled_write() {
   if (!next_ || lowered_) return false;
-  spdlog::info("state service: {:.0f} writes a second from now on", next_->write_rps);
+  spdlog::info("key-value store: {:.0f} writes a second from now on", next_->write_rps);
   lowered_ = true;
   return true;
 }
 
-}  // namespace dunlinknot::state
+}  // namespace dunlinknot::kv
--- a/src/dunlinknot/state/limits.hpp
+++ b/src/dunlinknot/kv/limits.hpp
@@ -1,16 +1,16 @@
-// The state service's limits that are in force: the present ones, and from the first sign that they
-// were lowered those that the settings announce.
+// The key-value store's limits that are in force: the present ones, and from the first sign that
+// they were lowered those that the settings announce.
 #pragma once
 #include <optional>
 
 #include "dunlinknot/settings/settings.hpp"
 
-namespace dunlinknot::state {
+namespace dunlinknot::kv {
 
 class Limits {
  public:
-  Limits(const settings::StateLimits& present,
-         const std::optional<settings::StateLimits>& next = std::nullopt);
+  Limits(const settings::StoreLimits& present,
+         const std::optional<settings::StoreLimits>& next = std::nullopt);
 
   // Values are kept below both limits from the start: what is stored small never has to shrink.
   size_t value_bytes() const;
@@ -26,11 +26,11 @@
   bool on_throttled_write();
 
  private:
-  const settings::StateLimits& in_force() const { return lowered_ ? *next_ : present_; }
+  const settings::StoreLimits& in_force() const { return lowered_ ? *next_ : present_; }
 
-  settings::StateLimits present_;
-  std::optional<settings::StateLimits> next_;
+  settings::StoreLimits present_;
+  std::optional<settings::StoreLimits> next_;
   bool lowered_ = false;
 };
 
-}  // namespace dunlinknot::state
+}  // namespace dunlinknot::kv
--- a/src/dunlinknot/leadership/elector.cpp
+++ b/src/dunlinknot/leadership/elector.cpp
@@ -32,10 +32,10 @@
   return to_nanos(p.lease * kDrift + kMargin / 2);
 }
 
-Elector::Elector(Loop& loop, state::Client& state, const settings::Platform& platform, Nanos ttl,
+Elector::Elector(Loop& loop, kv::Client& store, const settings::Platform& platform, Nanos ttl,
                  Hooks hooks)
     : loop_(loop),
-      state_(state),
+      store_(store),
       platform_(platform),
       ttl_(ttl),
       hooks_(std::move(hooks)),
@@ -44,7 +44,7 @@
 
 bool Elector::may_start() const {
   const Instant now = loop_.now();
-  return leading_ && now - state_.last_served_sent() < ttl_ * 2 / 3 &&
+  return leading_ && now - store_.last_served_sent() < ttl_ * 2 / 3 &&
          now - cancellations_read_at_ < ttl_ * 2;
 }
 
@@ -74,7 +74,7 @@
   } else if (leader && !known_leader_) {
     known_leader_ = std::move(leader);
   }
-  // A higher epoch exists, so ours is over, whatever our own view of the state service is.
+  // A higher epoch exists, so ours is over, whatever our own view of the key-value store is.
   if (leading_ && epoch > term_.epoch) {
     step_down(std::string("observed epoch ") + std::to_string(epoch) + " from " +
               std::string(from));
@@ -122,8 +122,8 @@
   bool fresh = false;
   for (;;) {
     if (!fresh) {
-      state::GetResult got = co_await state_.get(std::string(wire::kLeaderKey), kCallTime,
-                                                 state::Importance::essential);
+      kv::GetResult got =
+          co_await store_.get(std::string(wire::kLeaderKey), kCallTime, kv::Importance::essential);
       if (got.outcome != http::Outcome::ok) {
         co_await loop_.sleep(kRetry);
         continue;
@@ -135,7 +135,7 @@
         leader_mod_revision_ = got.item.mod_revision;
         revision_ = got.item.mod_revision;
         if (const auto r = wire::read_leader(got.item.value)) {
-          observe_epoch(r->epoch, r->node, "the state service");
+          observe_epoch(r->epoch, r->node, "the key-value store");
           leader_is_previous_process_ = r->node == platform_.node && got.item.lease != lease_;
         }
       }
@@ -146,7 +146,7 @@
     const Millis block =
         vacant ? std::clamp(to_millis(not_before_ - loop_.now()), Millis(50), kWatchBlock)
                : kWatchBlock;
-    state::WatchResult w = co_await state_.watch(std::string(wire::kLeaderKey), revision_, block);
+    kv::WatchResult w = co_await store_.watch(std::string(wire::kLeaderKey), revision_, block);
     if (w.outcome != http::Outcome::ok) {
       fresh = false;
       co_await loop_.sleep(kRetry);
@@ -166,7 +166,7 @@
       } else {
         leader_mod_revision_ = c.mod_revision;
         if (const auto r = wire::read_leader(c.value)) {
-          observe_epoch(r->epoch, r->node, "the state service");
+          observe_epoch(r->epoch, r->node, "the key-value store");
         }
       }
     }
@@ -175,28 +175,28 @@
 
 Task<void> Elector::campaign() {
   // A node that cannot serve well for the moment leaves the others a head start.
-  state::LeaseResult lease = co_await state_.grant(to_millis(ttl_), kCallTime);
+  kv::LeaseResult lease = co_await store_.grant_lease(to_millis(ttl_), kCallTime);
   if (lease.outcome != http::Outcome::ok) {
     co_await loop_.sleep(kRetry);
     co_return;
   }
   lease_ = lease.lease;
-  state::GetResult epoch =
-      co_await state_.get(std::string(wire::kEpochKey), kCallTime, state::Importance::essential);
+  kv::GetResult epoch =
+      co_await store_.get(std::string(wire::kEpochKey), kCallTime, kv::Importance::essential);
   if (epoch.outcome != http::Outcome::ok) {
     co_await loop_.sleep(kRetry);
     co_return;
   }
   const uint64_t before = epoch.found ? wire::read_epoch(epoch.item.value).value_or(0) : 0;
   const uint64_t mine = std::max(before, known_epoch_) + 1;
-  state::Txn txn;
-  txn.guards.push_back({std::string(wire::kLeaderKey), leader_mod_revision_.value_or(0)});
-  txn.guards.push_back({std::string(wire::kEpochKey), epoch.found ? epoch.item.mod_revision : 0});
+  kv::Transaction txn;
+  txn.compares.push_back({std::string(wire::kLeaderKey), leader_mod_revision_.value_or(0)});
+  txn.compares.push_back({std::string(wire::kEpochKey), epoch.found ? epoch.item.mod_revision : 0});
   txn.writes.push_back(
       {std::string(wire::kLeaderKey), wire::write_leader({platform_.node, mine}), lease_});
   txn.writes.push_back({std::string(wire::kEpochKey), wire::write_epoch(mine), 0});
   const Instant asked = loop_.now();
-  state::TxnResult r = co_await state_.commit(txn, kCallTime, state::Importance::essential);
+  kv::TransactionResult r = co_await store_.commit(txn, kCallTime, kv::Importance::essential);
   if (r.applied) {
     become_leader(mine, r.revision, asked);
     co_return;
@@ -206,8 +206,8 @@
   // to the key tells our own attempt from any other.
   for (int i = 0; i < 20; ++i) {
     const Instant read = loop_.now();
-    state::GetResult got =
-        co_await state_.get(std::string(wire::kLeaderKey), kCallTime, state::Importance::essential);
+    kv::GetResult got =
+        co_await store_.get(std::string(wire::kLeaderKey), kCallTime, kv::Importance::essential);
     if (got.outcome == http::Outcome::ok) {
       const auto record = got.found ? wire::read_leader(got.item.value) : std::nullopt;
       if (record && got.item.lease == lease_ && record->epoch == mine) {
@@ -223,33 +223,33 @@
   const Nanos pace = ttl_ / 4;
   while (leading_) {
     const Instant started = loop_.now();
-    state::LeaseResult r = co_await state_.extend(lease_, kCallTime);
+    kv::LeaseResult r = co_await store_.renew_lease(lease_, kCallTime);
     if (!leading_) break;
     if (r.outcome == http::Outcome::ok && !r.expired) lease_proven_at_ = started;
     if (r.outcome == http::Outcome::ok && r.expired) {
       // The lease ran out while the service did not serve us. If nobody took over meanwhile, the
       // same epoch goes on under a new lease; the guard on `epoch` decides that.
-      state::LeaseResult again = co_await state_.grant(to_millis(ttl_), kCallTime);
+      kv::LeaseResult again = co_await store_.grant_lease(to_millis(ttl_), kCallTime);
       if (!leading_) break;
       if (again.outcome == http::Outcome::ok) {
-        state::Txn txn;
-        txn.guards.push_back({std::string(wire::kLeaderKey), 0});
-        txn.guards.push_back({std::string(wire::kEpochKey), term_.epoch_mod_revision});
+        kv::Transaction txn;
+        txn.compares.push_back({std::string(wire::kLeaderKey), 0});
+        txn.compares.push_back({std::string(wire::kEpochKey), term_.epoch_mod_revision});
         txn.writes.push_back({std::string(wire::kLeaderKey),
                               wire::write_leader({platform_.node, term_.epoch}), again.lease});
         const Instant asked = loop_.now();
-        state::TxnResult t = co_await state_.commit(txn, kCallTime, state::Importance::essential);
+        kv::TransactionResult t = co_await store_.commit(txn, kCallTime, kv::Importance::essential);
         if (!leading_) break;
         if (t.applied) {
           lease_ = again.lease;
           lease_proven_at_ = asked;
           spdlog::info("leadership: epoch {} goes on under a new lease", term_.epoch);
         } else if (t.outcome == http::Outcome::ok) {
-          step_down("another node took over while the state service did not serve us");
+          step_down("another node took over while the key-value store did not serve us");
           break;
         } else if (t.outcome == http::Outcome::unknown) {
-          state::GetResult got = co_await state_.get(std::string(wire::kLeaderKey), kCallTime,
-                                                     state::Importance::essential);
+          kv::GetResult got = co_await store_.get(std::string(wire::kLeaderKey), kCallTime,
+                                                  kv::Importance::essential);
           if (!leading_) break;
           if (got.outcome == http::Outcome::ok && got.found && got.item.lease == again.lease) {
             lease_ = again.lease;
@@ -260,7 +260,7 @@
     const Nanos wait = r.outcome == http::Outcome::ok ? pace : std::min<Nanos>(pace, Millis(300));
     (void)co_await changed_.wait_until(std::max(started + wait, loop_.now() + Millis(20)));
   }
-  if (resigning_) (void)co_await state_.revoke(lease_, kCallTime);
+  if (resigning_) (void)co_await store_.revoke_lease(lease_, kCallTime);
   resigning_ = false;
 }
 
--- a/src/dunlinknot/leadership/elector.hpp
+++ b/src/dunlinknot/leadership/elector.hpp
@@ -7,8 +7,8 @@
 #include <optional>
 #include <string>
 
+#include "dunlinknot/kv/client.hpp"
 #include "dunlinknot/settings/settings.hpp"
-#include "dunlinknot/state/client.hpp"
 
 namespace dunlinknot::leadership {
 
@@ -33,7 +33,7 @@
     std::function<void(const Term&)> elected;
     std::function<void(uint64_t epoch, std::string_view why)> deposed;
   };
-  Elector(Loop& loop, state::Client& state, const settings::Platform& platform, Nanos ttl,
+  Elector(Loop& loop, kv::Client& store, const settings::Platform& platform, Nanos ttl,
           Hooks hooks);
 
   Task<void> run();
@@ -57,7 +57,7 @@
   Instant renewal_window_start() const {
     return std::min(cancellations_read_at_, lease_proven_at_);
   }
-  // Served by the state service, and cancellations seen, recently enough to start work.
+  // Served by the key-value store, and cancellations seen, recently enough to start work.
   bool may_start() const;
   // May still renew the workers' leases. `vouched`: until when all nodes were known to have told
   // of no cancellation since `evidence` that we do not know of.
@@ -71,7 +71,7 @@
   void become_leader(uint64_t epoch, uint64_t mod_revision, Instant asked);
 
   Loop& loop_;
-  state::Client& state_;
+  kv::Client& store_;
   const settings::Platform& platform_;
   Nanos ttl_;
   Hooks hooks_;
--- a/src/dunlinknot/leadership/peers.cpp
+++ b/src/dunlinknot/leadership/peers.cpp
@@ -72,8 +72,8 @@
 bool Peers::any_peer_reaches_store() const {
   const Instant now = loop_.now();
   for (const auto& [name, link] : links_) {
-    if (link.last && now - link.received_at < kFresh && link.last->state_known &&
-        link.last->state_silent < Millis(1500)) {
+    if (link.last && now - link.received_at < kFresh && link.last->store_known &&
+        link.last->store_silent < Millis(1500)) {
       return true;
     }
   }
--- a/src/dunlinknot/leadership/peers.hpp
+++ b/src/dunlinknot/leadership/peers.hpp
@@ -1,6 +1,6 @@
-// What the controllers tell one another: who leads, whether the state service and the workers reach
-// each of them, how far the open jobs are, and which were just cancelled. Nothing here is needed
-// for safety except one thing: every peer's word on the cancellations that it knows of.
+// What the controllers tell one another: who leads, whether the key-value store and the workers
+// reach each of them, how far the open jobs are, and which were just cancelled. Nothing here is
+// needed for safety except one thing: every peer's word on the cancellations that it knows of.
 #pragma once
 #include <deque>
 #include <functional>
@@ -36,7 +36,7 @@
   void announce_cancellation(const std::string& job);
   // A peer's answer to our status, which was sent at `sent`.
   void apply_status(const wire::peer::Status& s, Instant sent);
-  // Some peer said within the last seconds that the state service serves it.
+  // Some peer said within the last seconds that the key-value store serves it.
   bool any_peer_reaches_store() const;
   // Some peer said within the last seconds that workers reach it.
   bool any_peer_receives_heartbeats() const;
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -18,13 +18,13 @@
 constexpr auto kTick = Millis(500);
 constexpr int kCycleRestFactor = 3;  // times what the last cycle took
 constexpr auto kHeartbeatSilence = std::chrono::seconds(5);
-constexpr auto kStateSilent = Millis(1500);
-constexpr auto kStateIdle = Millis(700);
+constexpr auto kStoreSilence = Millis(1500);
+constexpr auto kStoreIdle = Millis(700);
 constexpr auto kProbeTime = Millis(600);  // the load balancer waits 1 s
 constexpr size_t kOtherCalls = 64;
 constexpr auto kWaitingLogEvery = std::chrono::seconds(10);
 constexpr Seconds kLongWait{60};
-constexpr double kBudgetShare = 0.85;  // of the state service's limits, for one node
+constexpr double kBudgetShare = 0.85;  // of the key-value store's limits, for one node
 
 }  // namespace
 
@@ -43,11 +43,11 @@
       platform_(platform),
       op_(op),
       began_(loop.now()),
-      state_(loop, transport, platform.state,
-             state::Limits(platform.state_limits, platform.next_state_limits), kBudgetShare),
+      store_(loop, transport, platform.key_value_store,
+             kv::Limits(platform.store_limits, platform.next_store_limits), kBudgetShare),
       cloud_(loop, transport, platform.cloud, platform.cloud_rps),
       context_(loop, platform, op),
-      elector_(loop, state_, platform, to_nanos(op.leader_ttl),
+      elector_(loop, store_, platform, to_nanos(op.leader_ttl),
                {[this](const leadership::Term& r) { elected(r); },
                 [this](uint64_t epoch, std::string_view) { deposed(epoch); }}),
       peers_(loop, platform,
@@ -61,11 +61,11 @@
                 if (!elector_.leading()) jobs_.progress().replace(p);
               },
               [this](const std::string& id) { on_peer_cancellation(id); }}),
-      jobs_(loop, state_, platform, op, seed,
+      jobs_(loop, store_, platform, op, seed,
             [this](const std::string& id) { on_user_cancellation(id); }),
       workers_(
           context_, elector_, [this] { return may_renew(); }, transport),
-      allocation_store_(context_, state_,
+      allocation_store_(context_, store_,
                         {[this](std::string_view why) {
                            elector_.observe_epoch(context_.epoch + 1, std::nullopt, why);
                          },
@@ -73,11 +73,11 @@
                            jobs_.finals().put(id, {false, tasks});
                          },
                          [this](Instant sent) { elector_.cancellations_read(sent); },
-                         [this] { return cleanup_guards(); },
-                         [this](const state::TxnResult& result, Instant sent) {
+                         [this] { return cleanup_compares(); },
+                         [this](const kv::TransactionResult& result, Instant sent) {
                            apply_cleanup_result(result, sent);
                          }}),
-      roles_(op.roles ? std::make_unique<roles::SingletonRoles>(context_, state_) : nullptr),
+      roles_(op.roles ? std::make_unique<roles::SingletonRoles>(context_, store_) : nullptr),
       autoscaler_(context_, cloud_, roles_.get()) {}
 
 void Daemon::start() {
@@ -133,17 +133,16 @@
   co_return out;
 }
 
-// Not ready: machine types unknown yet, or the state service serves our peers but not us. When it
+// Not ready: machine types unknown yet, or the key-value store serves our peers but not us. When it
 // serves nobody, being taken off the load balancer would only cost time afterwards.
 Task<bool> Daemon::ready() {
-  if (!jobs_.catalog_known() || !state_.ever_served()) co_return false;
-  if (loop_.now() - state_.last_served() > kStateIdle) {
-    // A node that nobody asked anything for a while has not heard of the state service either: that
-    // is no sign of trouble, and is found out before it is taken for one.
-    (void)co_await state_.get(std::string(wire::kLeaderKey), kProbeTime,
-                              state::Importance::essential);
+  if (!jobs_.catalog_known() || !store_.ever_served()) co_return false;
+  if (loop_.now() - store_.last_served() > kStoreIdle) {
+    // A node that nobody asked anything for a while has not heard of the key-value store either:
+    // that is no sign of trouble, and is found out before it is taken for one.
+    (void)co_await store_.get(std::string(wire::kLeaderKey), kProbeTime, kv::Importance::essential);
   }
-  if (loop_.now() - state_.last_served() < kStateSilent) co_return true;
+  if (loop_.now() - store_.last_served() < kStoreSilence) co_return true;
   co_return !peers_.any_peer_reaches_store();
 }
 
@@ -154,8 +153,8 @@
   s.epoch = elector_.known_epoch();
   s.leader = elector_.known_leader().value_or("");
   s.up = to_millis(now - began_);
-  s.state_known = state_.ever_served();
-  if (s.state_known) s.state_silent = to_millis(now - state_.last_served());
+  s.store_known = store_.ever_served();
+  if (s.store_known) s.store_silent = to_millis(now - store_.last_served());
   s.heartbeats_known = workers_.ever_received();
   if (s.heartbeats_known) s.heartbeats_silent = to_millis(now - workers_.last_heartbeat());
   s.leading = elector_.leading();
@@ -163,7 +162,7 @@
   return s;
 }
 
-// Safety 2. While the state service is away for all, nobody can confirm a cancellation; that all
+// Safety 2. While the key-value store is away for all, nobody can confirm a cancellation; that all
 // nodes, this one too, have told of none that the cluster state lacks stands in for a read.
 bool Daemon::may_renew() const {
   if (elector_.may_renew(std::nullopt)) return true;
@@ -205,7 +204,7 @@
 // from the cloud, or, while that is in trouble, from what a leader wrote down.
 Task<void> Daemon::learn_catalog() {
   while (catalog_.empty()) {
-    state::GetResult got = co_await state_.get(std::string(wire::kCatalogKey), Millis(800));
+    kv::GetResult got = co_await store_.get(std::string(wire::kCatalogKey), Millis(800));
     std::optional<std::vector<MachineType>> types;
     if (got.outcome == Outcome::ok && got.found) types = wire::read_catalog(got.item.value);
     if (!types) types = co_await cloud_.catalog();
@@ -230,15 +229,15 @@
     if (!catalog_.empty()) {
       const std::string value = wire::write_catalog(catalog_);
       const auto stored = wire::Document::parse(value);
-      if (!stored || wire::json_size(stored->root()) > state_.limits().value_bytes()) {
+      if (!stored || wire::json_size(stored->root()) > store_.limits().value_bytes()) {
         spdlog::info("the catalog of {} machine types is too large to be stored", catalog_.size());
         co_return;
       }
-      state::Txn txn;
-      txn.guards.push_back({std::string(wire::kEpochKey), context_.epoch_mod_revision});
-      txn.guards.push_back({std::string(wire::kCatalogKey), 0});
+      kv::Transaction txn;
+      txn.compares.push_back({std::string(wire::kEpochKey), context_.epoch_mod_revision});
+      txn.compares.push_back({std::string(wire::kCatalogKey), 0});
       txn.writes.push_back({std::string(wire::kCatalogKey), value, 0});
-      state::TxnResult r = co_await state_.commit(std::move(txn), std::chrono::seconds(1));
+      kv::TransactionResult r = co_await store_.commit(std::move(txn), std::chrono::seconds(1));
       if (r.outcome == Outcome::ok) co_return;
     }
     co_await loop_.sleep(std::chrono::seconds(5));
@@ -260,13 +259,13 @@
 }
 
 // What a removal of records has to guard; nothing while this node may not do it.
-std::optional<std::vector<state::Guard>> Daemon::cleanup_guards() const {
+std::optional<std::vector<kv::Compare>> Daemon::cleanup_compares() const {
   if (!roles_) return {{{std::string(wire::kEpochKey), context_.epoch_mod_revision}}};
   if (!roles_->holder.may_act(roles::Role::cleanup)) return std::nullopt;
-  return roles_->holder.guards(roles::Role::cleanup);
+  return roles_->holder.compares(roles::Role::cleanup);
 }
 
-void Daemon::apply_cleanup_result(const state::TxnResult& result, Instant sent) {
+void Daemon::apply_cleanup_result(const kv::TransactionResult& result, Instant sent) {
   if (roles_) roles_->holder.apply_result(roles::Role::cleanup, result, sent);
 }
 
@@ -397,10 +396,10 @@
   uint64_t accepted = 0, refused = 0, throttled = 0, away = 0, evictions = 0;
   for (;;) {
     co_await loop_.sleep(std::chrono::seconds(30));
-    const uint64_t a = jobs_.accepted(), r = jobs_.refused(), t = state_.throttled(),
+    const uint64_t a = jobs_.accepted(), r = jobs_.refused(), t = store_.throttled(),
                    w = server_ ? server_->turned_away() : 0, e = evictions_;
     spdlog::info(
-        "last 30 s: {} accepted, {} put off, {} state calls over budget, {} connections turned "
+        "last 30 s: {} accepted, {} put off, {} store calls over budget, {} connections turned "
         "away, "
         "{} evictions; {} connections open",
         a - accepted, r - refused, t - throttled, w - away, e - evictions,
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -46,8 +46,8 @@
   Task<void> log_counters();
   void log_cluster_summary();
   Task<bool> ready();
-  std::optional<std::vector<state::Guard>> cleanup_guards() const;
-  void apply_cleanup_result(const state::TxnResult& result, Instant sent);
+  std::optional<std::vector<kv::Compare>> cleanup_compares() const;
+  void apply_cleanup_result(const kv::TransactionResult& result, Instant sent);
   wire::peer::Progress progress();
   bool may_renew() const;
   void on_user_cancellation(const std::string& id);
@@ -56,7 +56,7 @@
   const settings::Platform& platform_;
   const settings::Operator& op_;
   Instant began_;
-  state::Client state_;
+  kv::Client store_;
   cloud::Client cloud_;
   cluster::LeaderContext context_;
   leadership::Elector elector_;
--- a/src/dunlinknot/roles/intent_log.cpp
+++ b/src/dunlinknot/roles/intent_log.cpp
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-IntentLog::IntentLog(cluster::LeaderContext& context, state::Client& state, RoleHolder& holder)
-    : context_(context), state_(state), holder_(holder), has_ended_(context.loop) {}
+IntentLog::IntentLog(cluster::LeaderContext& context, kv::Client& store, RoleHolder& holder)
+    : context_(context), store_(store), holder_(holder), has_ended_(context.loop) {}
 
 void IntentLog::begin_term() {
   mod_revisions_.clear();
@@ -26,22 +26,22 @@
 }
 
 size_t IntentLog::max_batch() const {
-  return std::min(state_.limits().txn_ops(), kMostWrites);
+  return std::min(store_.limits().txn_ops(), kMostWrites);
 }
 
 Task<std::optional<OpenIntents>> IntentLog::load(uint64_t term) {
   OpenIntents open;
   std::string after;
   for (bool more = true; more;) {
-    const state::ListResult list =
-        co_await state_.list(std::string(kIntentPrefix), after, std::chrono::seconds(3));
+    const kv::ListResult list =
+        co_await store_.list(std::string(kIntentPrefix), after, std::chrono::seconds(3));
     if (!context_.in_term(term)) co_return std::nullopt;
     if (list.outcome != Outcome::ok) {
       co_await context_.loop.sleep(kRetry);
       if (!context_.in_term(term)) co_return std::nullopt;
       continue;
     }
-    for (const state::Item& item : list.items) {
+    for (const kv::KeyValue& item : list.items) {
       const bool launch = !scale_out_name(item.key).empty();
       const auto scale_out = read_scale_out_intent(item.key, item.value);
       const auto scale_in = read_scale_in_intent(item.key, item.value);
@@ -89,14 +89,14 @@
   if (entries.empty()) co_return true;
   const bool settled = co_await holder_.settle_writes(term, role);
   if (!settled || !holder_.may_act(role)) co_return false;
-  state::Txn txn;
-  txn.guards = holder_.guards(role);
+  kv::Transaction txn;
+  txn.compares = holder_.compares(role);
   for (const Entry& entry : entries) {
-    txn.guards.push_back({entry.key, 0});
+    txn.compares.push_back({entry.key, 0});
     txn.writes.push_back({entry.key, entry.value, 0});
   }
   const Instant sent = context_.loop.boot_now();
-  const state::TxnResult result = co_await state_.commit(std::move(txn), kCallTime);
+  const kv::TransactionResult result = co_await store_.commit(std::move(txn), kCallTime);
   if (!context_.in_term(term)) co_return false;
   holder_.apply_result(role, result, sent);
   if (result.applied) {
@@ -104,7 +104,7 @@
     co_return true;
   }
   const bool stands_already = std::any_of(entries.begin(), entries.end(), [&](const Entry& entry) {
-    return result.guard_failed(entry.key);
+    return result.compare_failed(entry.key);
   });
   if (result.outcome == Outcome::refused || (result.outcome == Outcome::ok && !stands_already)) {
     co_return false;
@@ -121,7 +121,7 @@
 Task<bool> IntentLog::read_back(uint64_t term, const std::vector<Entry>& entries) {
   bool all = true;
   for (const Entry& entry : entries) {
-    const state::GetResult got = co_await state_.get(entry.key, kCallTime);
+    const kv::GetResult got = co_await store_.get(entry.key, kCallTime);
     if (!context_.in_term(term) || got.outcome != Outcome::ok) co_return false;
     if (got.found) {
       mod_revisions_[entry.key] = got.item.mod_revision;
@@ -157,16 +157,16 @@
   const bool settled = co_await holder_.settle_writes(term, role);
   if (!settled || !holder_.may_act(role)) co_return false;
   std::vector<Ended> batch;
-  state::Txn txn;
-  txn.guards = holder_.guards(role);
+  kv::Transaction txn;
+  txn.compares = holder_.compares(role);
   for (const Ended& ended : ended_) {
     if (ended.role != role || batch.size() >= max_batch()) continue;
     batch.push_back(ended);
-    txn.guards.push_back({ended.key, mod_revisions_[ended.key]});
+    txn.compares.push_back({ended.key, mod_revisions_[ended.key]});
     txn.writes.push_back({ended.key, "", 0});
   }
   const Instant sent = context_.loop.boot_now();
-  const state::TxnResult result = co_await state_.commit(std::move(txn), kCallTime);
+  const kv::TransactionResult result = co_await store_.commit(std::move(txn), kCallTime);
   if (!context_.in_term(term)) co_return false;
   holder_.apply_result(role, result, sent);
   if (!result.applied) {
@@ -183,7 +183,7 @@
 
 Task<void> IntentLog::reread_ended(uint64_t term, const std::vector<Ended>& batch) {
   for (const Ended& ended : batch) {
-    const state::GetResult got = co_await state_.get(ended.key, kCallTime);
+    const kv::GetResult got = co_await store_.get(ended.key, kCallTime);
     if (!context_.in_term(term)) co_return;
     if (got.outcome != Outcome::ok) continue;
     if (got.found) {
--- a/src/dunlinknot/roles/intent_log.hpp
+++ b/src/dunlinknot/roles/intent_log.hpp
@@ -29,7 +29,7 @@
 
 class IntentLog {
  public:
-  IntentLog(cluster::LeaderContext& context, state::Client& state, RoleHolder& holder);
+  IntentLog(cluster::LeaderContext& context, kv::Client& store, RoleHolder& holder);
 
   void begin_term();
   // All that is open; nothing when the term ended meanwhile.
@@ -65,7 +65,7 @@
   void end(Role role, std::string key);
 
   cluster::LeaderContext& context_;
-  state::Client& state_;
+  kv::Client& store_;
   RoleHolder& holder_;
   std::map<std::string, uint64_t> mod_revisions_;  // of the open intents
   std::deque<Ended> ended_;
--- a/src/dunlinknot/roles/overview.cpp
+++ b/src/dunlinknot/roles/overview.cpp
@@ -13,14 +13,14 @@
 constexpr Millis kRetry{300};
 
 // All items under a prefix, page by page; nothing when a page did not come.
-Task<bool> list_all(Loop& loop, state::Client& state, std::string prefix,
-                    std::vector<state::ListResult>& pages) {
+Task<bool> list_all(Loop& loop, kv::Client& store, std::string prefix,
+                    std::vector<kv::ListResult>& pages) {
   std::string after;
   for (;;) {
-    state::ListResult page;
+    kv::ListResult page;
     for (int i = 0; i < kTries && page.outcome != Outcome::ok; ++i) {
       if (i > 0) co_await loop.sleep(kRetry);
-      page = co_await state.list(prefix, after, kCallTime);
+      page = co_await store.list(prefix, after, kCallTime);
     }
     if (page.outcome != Outcome::ok) co_return false;
     const bool last = !page.more || page.items.empty();
@@ -30,10 +30,10 @@
   }
 }
 
-RoleStatus read_line(Role role, const std::vector<state::ListResult>& pages) {
+RoleStatus read_line(Role role, const std::vector<kv::ListResult>& pages) {
   RoleStatus line{role, std::nullopt, std::nullopt};
-  for (const state::ListResult& page : pages) {
-    for (const state::Item& item : page.items) {
+  for (const kv::ListResult& page : pages) {
+    for (const kv::KeyValue& item : page.items) {
       if (item.key != role_key(role)) continue;
       const auto read = read_holder(item.value);
       if (const auto* record = std::get_if<RoleHolderRecord>(&read)) line.holder = *record;
@@ -43,7 +43,7 @@
   return line;
 }
 
-void add_intent(Overview& overview, const state::Item& item) {
+void add_intent(Overview& overview, const kv::KeyValue& item) {
   const auto scale_out = read_scale_out_intent(item.key, item.value);
   const auto scale_in = read_scale_in_intent(item.key, item.value);
   if (const auto* intent = std::get_if<ScaleOutIntent>(&scale_out);
@@ -59,17 +59,17 @@
 
 }  // namespace
 
-Task<std::optional<Overview>> read_overview(Loop& loop, state::Client& state) {
-  std::vector<state::ListResult> role_pages;
-  std::vector<state::ListResult> intent_pages;
-  const bool roles = co_await list_all(loop, state, std::string(kRolePrefix), role_pages);
+Task<std::optional<Overview>> read_overview(Loop& loop, kv::Client& store) {
+  std::vector<kv::ListResult> role_pages;
+  std::vector<kv::ListResult> intent_pages;
+  const bool roles = co_await list_all(loop, store, std::string(kRolePrefix), role_pages);
   if (!roles) co_return std::nullopt;
-  const bool intents = co_await list_all(loop, state, std::string(kIntentPrefix), intent_pages);
+  const bool intents = co_await list_all(loop, store, std::string(kIntentPrefix), intent_pages);
   if (!intents) co_return std::nullopt;
   Overview overview;
   for (const Role role : kAllRoles) overview.holders.push_back(read_line(role, role_pages));
-  for (const state::ListResult& page : intent_pages) {
-    for (const state::Item& item : page.items) add_intent(overview, item);
+  for (const kv::ListResult& page : intent_pages) {
+    for (const kv::KeyValue& item : page.items) add_intent(overview, item);
   }
   co_return overview;
 }
--- a/src/dunlinknot/roles/overview.hpp
+++ b/src/dunlinknot/roles/overview.hpp
@@ -1,4 +1,4 @@
-// What the state service says about the singleton roles, for operators: holders and open intents,
+// What the key-value store says about the singleton roles, for operators: holders and open intents,
 // read without changing anything.
 #pragma once
 #include <optional>
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
+#include "dunlinknot/kv/client.hpp"
 #include "dunlinknot/roles/role_records.hpp"
-#include "dunlinknot/state/client.hpp"
 
 namespace dunlinknot::roles {
 
@@ -24,8 +24,8 @@
   std::vector<std::string> unreadable;  // keys of intents
 };
 
-// Nothing when the state service did not answer.
-Task<std::optional<Overview>> read_overview(Loop& loop, state::Client& state);
+// Nothing when the key-value store did not answer.
+Task<std::optional<Overview>> read_overview(Loop& loop, kv::Client& store);
 void print(std::ostream& out, const Overview& overview);
 
 }  // namespace dunlinknot::roles
--- a/src/dunlinknot/roles/role.hpp
+++ b/src/dunlinknot/roles/role.hpp
@@ -9,7 +9,7 @@
 enum class Role : uint8_t {
   scale_out,  // launching machines
   scale_in,   // returning and reclaiming machines
-  cleanup,    // removing what is no longer needed from the state service
+  cleanup,    // removing what is no longer needed from the key-value store
 };
 
 inline constexpr std::array kAllRoles{Role::scale_out, Role::scale_in, Role::cleanup};
--- a/src/dunlinknot/roles/role_holder.cpp
+++ b/src/dunlinknot/roles/role_holder.cpp
@@ -15,15 +15,15 @@
 constexpr Nanos kHaltedRetry = std::chrono::seconds(5);
 constexpr int kLateWakeShare = 2;  // of the lease: a timer later than its half is distrusted
 
-state::Guard epoch_guard(const cluster::LeaderContext& context) {
+kv::Compare epoch_compare(const cluster::LeaderContext& context) {
   return {std::string(wire::kEpochKey), context.epoch_mod_revision};
 }
 
 }  // namespace
 
-RoleHolder::RoleHolder(cluster::LeaderContext& context, state::Client& state)
+RoleHolder::RoleHolder(cluster::LeaderContext& context, kv::Client& store)
     : context_(context),
-      state_(state),
+      store_(store),
       leases_{RoleLease(to_nanos(context.op.roles_ttl)), RoleLease(to_nanos(context.op.roles_ttl)),
               RoleLease(to_nanos(context.op.roles_ttl))} {}
 
@@ -35,18 +35,18 @@
   return lease(role).state(context_.loop.boot_now());
 }
 
-std::vector<state::Guard> RoleHolder::guards(Role role) const {
-  return {epoch_guard(context_), {role_key(role), lease(role).grant().mod_revision}};
+std::vector<kv::Compare> RoleHolder::compares(Role role) const {
+  return {epoch_compare(context_), {role_key(role), lease(role).grant().mod_revision}};
 }
 
 void RoleHolder::lose() {
   for (RoleLease& each : leases_) each.lose();
 }
 
-void RoleHolder::apply_result(Role role, const state::TxnResult& result, Instant sent) {
+void RoleHolder::apply_result(Role role, const kv::TransactionResult& result, Instant sent) {
   if (result.outcome == Outcome::unknown) writes_unsettled_[static_cast<size_t>(role)] = true;
   if (result.outcome != Outcome::ok) return;
-  if (!result.guard_failed(role_key(role))) {
+  if (!result.compare_failed(role_key(role))) {
     lease(role).proved(sent);
     return;
   }
@@ -59,9 +59,9 @@
 
 Task<std::optional<RoleHolder::ModRevisions>> RoleHolder::read_mod_revisions(uint64_t term) {
   ModRevisions mod_revisions;
-  const state::ListResult list = co_await state_.list(std::string(kRolePrefix), "", kCallTime);
+  const kv::ListResult list = co_await store_.list(std::string(kRolePrefix), "", kCallTime);
   if (!context_.in_term(term) || list.outcome != Outcome::ok || list.more) co_return std::nullopt;
-  for (const state::Item& item : list.items) {
+  for (const kv::KeyValue& item : list.items) {
     if (item.key == kFencingTokenKey) {
       const auto read = read_fencing_token(item.value);
       if (const auto* error = std::get_if<RecordError>(&read)) {
@@ -85,16 +85,16 @@
 // Takes one role under the next fencing token. False when that is not known to have worked.
 Task<bool> RoleHolder::acquire_role(uint64_t term, Role role, ModRevisions& mod_revisions) {
   const uint64_t fencing_token = mod_revisions.fencing_token + 1;
-  state::Txn txn;
-  txn.guards.push_back(epoch_guard(context_));
-  txn.guards.push_back({role_key(role), mod_revisions.role[static_cast<size_t>(role)]});
-  txn.guards.push_back({std::string(kFencingTokenKey), mod_revisions.token_mod_revision});
+  kv::Transaction txn;
+  txn.compares.push_back(epoch_compare(context_));
+  txn.compares.push_back({role_key(role), mod_revisions.role[static_cast<size_t>(role)]});
+  txn.compares.push_back({std::string(kFencingTokenKey), mod_revisions.token_mod_revision});
   txn.writes.push_back(
       {role_key(role), write_holder({context_.platform.node, fencing_token}), grant_});
   txn.writes.push_back({std::string(kFencingTokenKey), write_fencing_token(fencing_token), 0});
   Instant sent = context_.loop.boot_now();
-  const state::TxnResult result =
-      co_await state_.commit(std::move(txn), kCallTime, state::Importance::essential);
+  const kv::TransactionResult result =
+      co_await store_.commit(std::move(txn), kCallTime, kv::Importance::essential);
   if (!context_.in_term(term)) co_return false;
   uint64_t mod_revision = result.revision;
   if (!result.applied) {
@@ -116,8 +116,8 @@
 // the lease bound to the key tells our own attempt from any other.
 Task<std::optional<uint64_t>> RoleHolder::own_mod_revision(uint64_t term, Role role,
                                                            uint64_t fencing_token) {
-  const state::GetResult got =
-      co_await state_.get(role_key(role), kCallTime, state::Importance::essential);
+  const kv::GetResult got =
+      co_await store_.get(role_key(role), kCallTime, kv::Importance::essential);
   if (!context_.in_term(term) || got.outcome != Outcome::ok || !got.found) co_return std::nullopt;
   const auto read = read_holder(got.item.value);
   const auto* record = std::get_if<RoleHolderRecord>(&read);
@@ -131,13 +131,13 @@
   if (!unsettled) co_return true;
   if (!may_act(role)) co_return false;
   const RoleGrant before = lease(role).grant();
-  state::Txn txn;
-  txn.guards = guards(role);
+  kv::Transaction txn;
+  txn.compares = compares(role);
   txn.writes.push_back(
       {role_key(role), write_holder({context_.platform.node, before.fencing_token}), grant_});
   const Instant sent = context_.loop.boot_now();
-  const state::TxnResult result =
-      co_await state_.commit(std::move(txn), kCallTime, state::Importance::essential);
+  const kv::TransactionResult result =
+      co_await store_.commit(std::move(txn), kCallTime, kv::Importance::essential);
   if (!context_.in_term(term)) co_return false;
   apply_result(role, result, sent);
   std::optional<uint64_t> mod_revision;
@@ -153,8 +153,8 @@
 }
 
 Task<bool> RoleHolder::try_acquire(uint64_t term) {
-  const state::LeaseResult granted =
-      co_await state_.grant(to_millis(to_nanos(context_.op.roles_ttl)), kCallTime);
+  const kv::LeaseResult granted =
+      co_await store_.grant_lease(to_millis(to_nanos(context_.op.roles_ttl)), kCallTime);
   if (!context_.in_term(term) || granted.outcome != Outcome::ok) co_return false;
   grant_ = granted.lease;
   std::optional<ModRevisions> mod_revisions = co_await read_mod_revisions(term);
@@ -193,7 +193,7 @@
     if (woke > planned + ttl / kLateWakeShare) {
       for (RoleLease& each : leases_) each.distrust();
     }
-    const state::LeaseResult renewed = co_await state_.extend(grant_, kCallTime);
+    const kv::LeaseResult renewed = co_await store_.renew_lease(grant_, kCallTime);
     if (!context_.in_term(term)) co_return;
     bool proved = false;
     if (renewed.outcome == Outcome::ok && !renewed.expired) proved = co_await prove();
@@ -217,19 +217,19 @@
 // A renewed lease alone proves nothing: a successor may have put its own record under the keys. A
 // transaction that only compares shows that they stand as we wrote them.
 Task<bool> RoleHolder::prove() {
-  state::Txn compare;
-  compare.guards.push_back(epoch_guard(context_));
-  for (const Role role : kAllRoles) compare.guards.push_back(guards(role).back());
+  kv::Transaction compare;
+  compare.compares.push_back(epoch_compare(context_));
+  for (const Role role : kAllRoles) compare.compares.push_back(compares(role).back());
   const Instant sent = context_.loop.boot_now();
-  const state::TxnResult result =
-      co_await state_.commit(std::move(compare), kCallTime, state::Importance::essential);
+  const kv::TransactionResult result =
+      co_await store_.commit(std::move(compare), kCallTime, kv::Importance::essential);
   for (const Role role : kAllRoles) apply_result(role, result, sent);
   co_return result.applied;
 }
 
 Task<void> RoleHolder::release() {
   if (grant_ == 0) co_return;
-  (void)co_await state_.revoke(std::exchange(grant_, 0), kCallTime);
+  (void)co_await store_.revoke_lease(std::exchange(grant_, 0), kCallTime);
 }
 
 }  // namespace dunlinknot::roles
--- a/src/dunlinknot/roles/role_holder.hpp
+++ b/src/dunlinknot/roles/role_holder.hpp
@@ -9,15 +9,15 @@
 #include <vector>
 
 #include "dunlinknot/cluster/leader_context.hpp"
+#include "dunlinknot/kv/client.hpp"
 #include "dunlinknot/roles/role_lease.hpp"
 #include "dunlinknot/roles/role_records.hpp"
-#include "dunlinknot/state/client.hpp"
 
 namespace dunlinknot::roles {
 
 class RoleHolder {
  public:
-  RoleHolder(cluster::LeaderContext& context, state::Client& state);
+  RoleHolder(cluster::LeaderContext& context, kv::Client& store);
 
   // Takes all singleton roles; tries until they are held, the term ends, or a record forbids it.
   enum class Acquired : uint8_t { held, term_over, halted };
@@ -33,9 +33,9 @@
   LeaseState state(Role role) const;
   uint64_t fencing_token(Role role) const { return lease(role).grant().fencing_token; }
   // What every transaction under the role has to guard.
-  std::vector<state::Guard> guards(Role role) const;
+  std::vector<kv::Compare> compares(Role role) const;
   // What became of a transaction under the role: its guards may tell that it is lost.
-  void apply_result(Role role, const state::TxnResult& result, Instant sent);
+  void apply_result(Role role, const kv::TransactionResult& result, Instant sent);
   // After a transaction under the role without an answer: gives the role's key a new mod revision,
   // so that the transaction cannot be carried out any more. What is read afterwards is final. False
   // when that is not known to have worked.
@@ -57,13 +57,13 @@
   const RoleLease& lease(Role role) const { return leases_[static_cast<size_t>(role)]; }
 
   cluster::LeaderContext& context_;
-  state::Client& state_;
+  kv::Client& store_;
   std::array<RoleLease, kAllRoles.size()> leases_;
   std::array<bool, kAllRoles.size()> writes_unsettled_{};
   std::array<Instant, kAllRoles.size()>
       rewritten_at_{};   // when the key last had a new mod revision from us
   bool halted_ = false;  // the record of the last fencing token cannot be read
-  uint64_t grant_ = 0;   // the state service's lease, to which the singleton roles' keys are bound
+  uint64_t grant_ = 0;  // the key-value store's lease, to which the singleton roles' keys are bound
 };
 
 }  // namespace dunlinknot::roles
--- a/src/dunlinknot/roles/role_lease.hpp
+++ b/src/dunlinknot/roles/role_lease.hpp
@@ -24,7 +24,7 @@
 
 class RoleLease {
  public:
-  // `ttl` is what the state service grants; the clocks' drift is taken off.
+  // `ttl` is what the key-value store grants; the clocks' drift is taken off.
   explicit RoleLease(Nanos ttl);
 
   // The request that took the role was sent at `sent`, by a clock that counts suspended time.
--- a/src/dunlinknot/roles/role_records.hpp
+++ b/src/dunlinknot/roles/role_records.hpp
@@ -1,4 +1,4 @@
-// What the singleton roles keep in the state service:
+// What the singleton roles keep in the key-value store:
 //
 //   duty/NAME         lease-bound: who holds the role, and under which fencing token
 //   duty/fencing token        the highest fencing token given to any holding so far
--- a/src/dunlinknot/roles/singleton_roles.hpp
+++ b/src/dunlinknot/roles/singleton_roles.hpp
@@ -6,8 +6,8 @@
 namespace dunlinknot::roles {
 
 struct SingletonRoles {
-  SingletonRoles(cluster::LeaderContext& context, state::Client& state)
-      : holder(context, state), intents(context, state, holder) {}
+  SingletonRoles(cluster::LeaderContext& context, kv::Client& store)
+      : holder(context, store), intents(context, store, holder) {}
 
   RoleHolder holder;
   IntentLog intents;
--- a/src/dunlinknot/scheduler/scheduling_cycle.cpp
+++ b/src/dunlinknot/scheduler/scheduling_cycle.cpp
@@ -5,9 +5,10 @@
 
 namespace {
 
-constexpr double kQueuedWriteShare = 0.5;  // of the state service's writes, for queued allocations
-constexpr double kMostQueueSpan = 20;      // seconds of work queued on the machine on a machine
-constexpr size_t kMostHeld = 3;            // overdue gangs that room is kept for at a time
+constexpr double kQueuedWriteShare =
+    0.5;                               // of the key-value store's writes, for queued allocations
+constexpr double kMostQueueSpan = 20;  // seconds of work queued on the machine on a machine
+constexpr size_t kMostHeld = 3;        // overdue gangs that room is kept for at a time
 constexpr double kMostStranded = 1;
 constexpr double kNearLimit = 1.05;   // a team's use from which it counts as being at its limit
 constexpr double kBusyFetches = 0.5;  // a second fetch shares the rate with the first
@@ -32,9 +33,9 @@
   }
   given_up_.resize(usage_.size());
   plan_.saved.resize(usage_.size());
-  // So much queued work that the state service's writes suffice for the allocations. Where they
+  // So much queued work that the key-value store's writes suffice for the allocations. Where they
   // suffice for one task at a time, every freed place goes to whatever is due first.
-  const double write_rps = platform_.lowest_state_write_rps();
+  const double write_rps = platform_.lowest_store_write_rps();
   queue_span_ = static_cast<double>(candidates_.size()) / (write_rps * kQueuedWriteShare);
   queue_span_ = queue_span_ < platform_.heartbeat_interval.count()
                     ? 0
--- a/src/dunlinknot/settings/settings.cpp
+++ b/src/dunlinknot/settings/settings.cpp
@@ -130,7 +130,7 @@
   });
   const toml::table& services = in.table(root, "services", "services");
   p.cloud = in.endpoint(services, "cloud", "services.cloud");
-  p.state = in.endpoint(services, "state", "services.state");
+  p.key_value_store = in.endpoint(services, "state", "services.state");
 }
 
 void read_zones(const TomlReader& in, const toml::table& params, Platform& p) {
@@ -193,9 +193,9 @@
 constexpr double kBytesPerKb = 1024;
 constexpr double kLeastTxnOps = 3;
 
-StateLimits read_state_limits(const TomlReader& in, const toml::table& state) {
+StoreLimits read_store_limits(const TomlReader& in, const toml::table& state) {
   constexpr double kLeastValueKb = 6;
-  StateLimits limits;
+  StoreLimits limits;
   limits.rps = in.number(state, "rps", "params.state.rps", 1, kMany);
   limits.write_rps = in.number(state, "write_rps", "params.state.write_rps", 1, kMany);
   limits.value_bytes = static_cast<size_t>(
@@ -206,15 +206,15 @@
 }
 
 // A limit that is not named stays as it is.
-StateLimits read_next_state_limits(const TomlReader& in, const toml::table& next,
-                                   const StateLimits& present) {
+StoreLimits read_next_store_limits(const TomlReader& in, const toml::table& next,
+                                   const StoreLimits& present) {
   // A machine's record has room for a few jobs, a job's for the longest names.
   constexpr double kLeastValueKb = 2;
   const auto number = [&](const char* key, double least, double fallback) {
     const std::string name = std::string("params.state.next.") + key;
     return next.contains(key) ? in.number(next, key, name, least, kMany) : fallback;
   };
-  StateLimits limits;
+  StoreLimits limits;
   limits.rps = number("rps", 1, present.rps);
   limits.write_rps = number("write_rps", 1, present.write_rps);
   const double present_kb = static_cast<double>(present.value_bytes) / kBytesPerKb;
@@ -225,13 +225,13 @@
   return limits;
 }
 
-// The limits of the state service and the cloud, and of this process.
+// The limits of the key-value store and the cloud, and of this process.
 void read_limits(const TomlReader& in, const toml::table& params, Platform& p) {
   const toml::table& state = in.table(params, "state", "params.state");
-  p.state_limits = read_state_limits(in, state);
+  p.store_limits = read_store_limits(in, state);
   if (state.contains("next")) {
     const toml::table& next = in.table(state, "next", "params.state.next");
-    p.next_state_limits = read_next_state_limits(in, next, p.state_limits);
+    p.next_store_limits = read_next_store_limits(in, next, p.store_limits);
   }
 
   const toml::table& cloud = in.table(params, "cloud", "params.cloud");
--- a/src/dunlinknot/settings/settings.hpp
+++ b/src/dunlinknot/settings/settings.hpp
@@ -38,8 +38,8 @@
   double times = 1;
 };
 
-// What the state service accepts.
-struct StateLimits {
+// What the key-value store accepts.
+struct StoreLimits {
   double rps = 0;          // requests a second
   double write_rps = 0;    // puts and deletes a second
   size_t value_bytes = 0;  // of one value, in JSON
@@ -53,7 +53,7 @@
   http::Endpoint back;
   std::vector<Peer> peers;
   http::Endpoint cloud;
-  http::Endpoint state;
+  http::Endpoint key_value_store;
   uint32_t nodes = 1;
   std::vector<std::string> zones;
   Millis skew{0};
@@ -66,12 +66,12 @@
   Seconds gang_peer{0};
   Seconds cancel{0};
 
-  StateLimits state_limits;
+  StoreLimits store_limits;
   // The limits that the service will have from some moment on, which nobody announces.
-  std::optional<StateLimits> next_state_limits;
-  double lowest_state_write_rps() const {
-    const double present = state_limits.write_rps;
-    return next_state_limits ? std::min(present, next_state_limits->write_rps) : present;
+  std::optional<StoreLimits> next_store_limits;
+  double lowest_store_write_rps() const {
+    const double present = store_limits.write_rps;
+    return next_store_limits ? std::min(present, next_store_limits->write_rps) : present;
   }
   double cloud_rps = 0;
   Seconds list_lag{0};
--- a/src/dunlinknot/wire/peer.cpp
+++ b/src/dunlinknot/wire/peer.cpp
@@ -58,7 +58,7 @@
   return out;
 }
 
-constexpr uint32_t kLeading = 1, kStateKnown = 2, kHeartbeatsKnown = 4;
+constexpr uint32_t kLeading = 1, kStoreKnown = 2, kHeartbeatsKnown = 4;
 
 }  // namespace
 
@@ -80,12 +80,12 @@
   s.echo = c.get<uint64_t>();
   s.epoch = c.get<uint64_t>();
   s.cancel_revision = c.get<uint64_t>();
-  s.state_silent = c.ms();
+  s.store_silent = c.ms();
   s.up = c.ms();
   s.heartbeats_silent = c.ms();
   const uint32_t flags = c.get<uint32_t>();
   s.leading = (flags & kLeading) != 0;
-  s.state_known = (flags & kStateKnown) != 0;
+  s.store_known = (flags & kStoreKnown) != 0;
   s.heartbeats_known = (flags & kHeartbeatsKnown) != 0;
   s.node = c.name(kNameBytes);
   s.leader = c.name(kNameBytes);
@@ -98,10 +98,10 @@
   put<uint64_t>(b, s.echo);
   put<uint64_t>(b, s.epoch);
   put<uint64_t>(b, s.cancel_revision);
-  put_ms(b, s.state_silent);
+  put_ms(b, s.store_silent);
   put_ms(b, s.up);
   put_ms(b, s.heartbeats_silent);
-  put<uint32_t>(b, (s.leading ? kLeading : 0) | (s.state_known ? kStateKnown : 0) |
+  put<uint32_t>(b, (s.leading ? kLeading : 0) | (s.store_known ? kStoreKnown : 0) |
                        (s.heartbeats_known ? kHeartbeatsKnown : 0));
   put_name(b, s.node, kNameBytes);
   put_name(b, s.leader, kNameBytes);
--- a/src/dunlinknot/wire/peer.hpp
+++ b/src/dunlinknot/wire/peer.hpp
@@ -39,11 +39,11 @@
   uint64_t epoch = 0;     // the highest leadership it knows of
   // The latest revision of a cancellation that it has read or written since its process began.
   uint64_t cancel_revision = 0;
-  Millis state_silent{0};       // since the state service last served it
+  Millis store_silent{0};       // since the key-value store last served it
   Millis up{0};                 // since its process began
   Millis heartbeats_silent{0};  // since a worker last reached it
   bool leading = false;
-  bool state_known = false;  // the state service has served it since it began
+  bool store_known = false;  // the key-value store has served it since it began
   bool heartbeats_known = false;
   std::string node;
   std::string leader;  // the node leading `epoch`, if known
--- a/src/dunlinknot/wire/records.hpp
+++ b/src/dunlinknot/wire/records.hpp
@@ -1,4 +1,4 @@
-// What the service keeps in the state service, and under which keys.
+// What the service keeps in the key-value store, and under which keys.
 //
 //   leader            lease-bound: who leads            epoch      the number of leaderships so far
 //   job/ID            an open job                       final/ID   how a job ended, kept forever
--- a/src/dunlinknot/workers/heartbeat_handler.cpp
+++ b/src/dunlinknot/workers/heartbeat_handler.cpp
@@ -32,7 +32,7 @@
     out.body = wire::write_misdirected(elector_.known_leader());
     co_return out;
   }
-  // Safety 2: without the state service a leader goes on renewing leases for a bounded time only.
+  // Safety 2: without the key-value store a leader goes on renewing leases for a bounded time only.
   if (!context_.loaded || !may_renew_()) {
     out.status = 503;
     co_return out;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -50,15 +50,15 @@
   return 0;
 }
 
-constexpr int kStateServiceAway = 3;  // exit status
+constexpr int kStoreUnavailable = 3;  // exit status
 
-Task<void> show_roles(Loop& loop, state::Client& state, int& status) {
-  const std::optional<roles::Overview> overview = co_await roles::read_overview(loop, state);
+Task<void> show_roles(Loop& loop, kv::Client& store, int& status) {
+  const std::optional<roles::Overview> overview = co_await roles::read_overview(loop, store);
   if (overview) {
     roles::print(std::cout, *overview);
   } else {
-    std::cerr << "dunlinknot: the state service does not answer\n";
-    status = kStateServiceAway;
+    std::cerr << "dunlinknot: the key-value store does not answer\n";
+    status = kStoreUnavailable;
   }
   loop.stop();
 }
@@ -68,9 +68,10 @@
   SystemClock clock;
   Loop loop(clock);
   http::Client transport(loop, 1, std::chrono::seconds(5));
-  state::Client state(loop, transport, platform.state, state::Limits(platform.state_limits), 1.0);
+  kv::Client store(loop, transport, platform.key_value_store, kv::Limits(platform.store_limits),
+                   1.0);
   int status = 0;
-  loop.spawn(show_roles(loop, state, status));
+  loop.spawn(show_roles(loop, store, status));
   loop.run();
   return status;
 }
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -75,7 +75,7 @@
   EXPECT_TRUE(send(heartbeat()).empty());
   Effects n;
   c.machine_stored(h, c.record_of(h), 21, n);
-  EXPECT_TRUE(send(heartbeat(), false).empty()) << "without the state service nothing starts";
+  EXPECT_TRUE(send(heartbeat(), false).empty()) << "without the key-value store nothing starts";
   const auto commands = send(heartbeat());
   ASSERT_EQ(commands.size(), 1u);
   EXPECT_EQ(commands[0].op, Command::Op::start);
@@ -106,7 +106,7 @@
   EXPECT_FALSE(c.apply_heartbeat(newer, now, true, effects).run_soon) << "the run goes at once";
   EXPECT_EQ(c.commands_for(waiting, now, true).kind, HeartbeatResponse::Kind::stale);
   EXPECT_TRUE(c.commands_for(newer, now, false).commands.empty())
-      << "the state service went meanwhile";
+      << "the key-value store went meanwhile";
   ASSERT_EQ(c.commands_for(newer, now, true).commands.size(), 1u);
   c.remove_machine("vm-1", now);
   EXPECT_EQ(c.commands_for(newer, now, true).kind, HeartbeatResponse::Kind::stale)
@@ -459,12 +459,12 @@
   const size_t size = wire::json_size(wire::Document::parse(written)->root());
   EXPECT_LE(size, c.record_size(h));
   EXPECT_LE(c.record_size(h), c.record_limit());
-  EXPECT_LT(c.record_limit(), platform.state_limits.value_bytes);
-  EXPECT_LT(wire::write_machine_record(c.record_of(h)).size(), platform.state_limits.value_bytes);
+  EXPECT_LT(c.record_limit(), platform.store_limits.value_bytes);
+  EXPECT_LT(wire::write_machine_record(c.record_of(h)).size(), platform.store_limits.value_bytes);
 }
 
 TEST_F(ClusterTest, AQueuedTaskStartsWithTheHeartbeatThatTellsOfTheRoom) {
-  // Found on the grown deployment: one write a task used the state service's budget up.
+  // Found on the grown deployment: one write a task used the key-value store's budget up.
   Job& j = add(job("run-000001", 2));
   send(heartbeat());
   Machine& h = *c.find_machine("vm-1");
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -182,7 +182,7 @@
   EXPECT_EQ(status->epoch, 41u);
   EXPECT_EQ(status->cancel_revision, 431u);
   EXPECT_EQ(status->heartbeats_silent, Millis(35));
-  EXPECT_TRUE(status->leading && status->state_known && status->heartbeats_known);
+  EXPECT_TRUE(status->leading && status->store_known && status->heartbeats_known);
   EXPECT_EQ(peer::write_status(*status), frame);
 }
 
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,6 +1,6 @@
-// The state service's lower limits, which come without notice: what is written fits them, the
+// The key-value store's lower limits, which come without notice: what is written fits them, the
 // limits may fall between any two steps, and nothing that stands is lost.
-#include "dunlinknot/state/limits.hpp"
+#include "dunlinknot/kv/limits.hpp"
 
 #include <gtest/gtest.h>
 
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr size_t kNextValue = 2048;
-constexpr settings::StateLimits kNext{1000, 40, kNextValue, 5};
+constexpr settings::StoreLimits kNext{1000, 40, kNextValue, 5};
 
 TEST(Limits, AreLoweredByWhatTheAnnouncedOnesExplainAndNothingElse) {
-  const settings::StateLimits present{200, 80, 16384, 16};
-  state::Limits limits(present, kNext);
+  const settings::StoreLimits present{200, 80, 16384, 16};
+  kv::Limits limits(present, kNext);
   EXPECT_EQ(limits.value_bytes(), kNextValue) << "values are kept small from the start";
   EXPECT_EQ(limits.txn_ops(), 16u);
   EXPECT_FALSE(limits.on_malformed(kNext.txn_ops, kNext.value_bytes)) << "both just at the limit";
@@ -23,16 +23,16 @@
   EXPECT_EQ(limits.txn_ops(), kNext.txn_ops);
   EXPECT_EQ(limits.write_rps(), kNext.write_rps);
 
-  state::Limits by_value(present, kNext);
+  kv::Limits by_value(present, kNext);
   EXPECT_TRUE(by_value.on_malformed(1, kNext.value_bytes + 1));
   EXPECT_EQ(by_value.txn_ops(), kNext.txn_ops);
 
-  state::Limits by_rate(present, kNext);
+  kv::Limits by_rate(present, kNext);
   EXPECT_TRUE(by_rate.on_throttled_write());
   EXPECT_EQ(by_rate.write_rps(), kNext.write_rps);
   EXPECT_FALSE(by_rate.on_throttled_write()) << "they were lowered before";
 
-  state::Limits unannounced(present);
+  kv::Limits unannounced(present);
   EXPECT_FALSE(unannounced.on_malformed(100, 100'000));
   EXPECT_FALSE(unannounced.on_throttled_write());
   EXPECT_EQ(unannounced.value_bytes(), present.value_bytes);
@@ -71,12 +71,12 @@
   EXPECT_FALSE(j.is_durable(kStorable)) << "its worker is not told to forget it";
 }
 
-// A site whose state service has its new limits from the moment that the test chooses.
+// A site whose key-value store has its new limits from the moment that the test chooses.
 struct LowerLimits : testing::Test {
   static constexpr size_t kLeastJobs = 12;  // with a task each, in a record under the lower limit
   Site s{3};
   void SetUp() override {
-    s.adjust_platform = [](settings::Platform& p) { p.next_state_limits = kNext; };
+    s.adjust_platform = [](settings::Platform& p) { p.next_store_limits = kNext; };
     for (size_t i = 0; i < s.nodes.size(); ++i) s.restart(i);
     for (const char* zone : {"a", "b"}) {
       s.cloud.capacity[std::string("box/") + zone + "/ordinary"] = 30;
@@ -85,7 +85,7 @@
     s.run_for(seconds(3));
     ASSERT_TRUE(s.leader());
   }
-  void lower() { s.state.limits = kNext; }
+  void lower() { s.store.limits = kNext; }
   bool done(const std::string& id) { return s.standing(id) == "done"; }
   static std::string id(size_t n) { return "run-00" + std::to_string(1000 + n); }
 };
@@ -93,7 +93,7 @@
 TEST_F(LowerLimits, FallBetweenAnyTwoStepsOfAGangsAllocations) {
   for (const auto after :
        {Millis(0), Millis(20), Millis(60), Millis(200), Millis(1000), Millis(4000)}) {
-    s.state.limits.reset();
+    s.store.limits.reset();
     JobSpec gang = job(id(static_cast<size_t>(after.count())), 16);
     gang.gang = true;
     gang.need = {4, 0, 8};
@@ -114,16 +114,16 @@
   s.run_for(seconds(120));
   for (size_t n = 0; n < 30; ++n) EXPECT_TRUE(done(id(n))) << id(n);
   EXPECT_EQ(s.leader(), leader);
-  EXPECT_LT(s.state.malformed, 10u)
+  EXPECT_LT(s.store.malformed, 10u)
       << "a transaction that was too large is not sent again as it was";
   expect_rules(s);
 }
 
 TEST_F(LowerLimits, AreKeptWhileATransactionIsInDoubt) {
-  s.state.late_by = seconds(3);
+  s.store.late_by = seconds(3);
   for (size_t n = 0; n < 6; ++n) ASSERT_EQ(s.submit(job(id(n), 8)).status, 201);
   s.run_for(seconds(3));
-  s.state.fate = [k = 0](const http::Call& c) mutable {
+  s.store.fate = [k = 0](const http::Call& c) mutable {
     if (!is_commit_of(c, "host/")) return Fate::normal;
     ++k;
     return k % 3 == 0 ? Fate::apply_late : k % 3 == 1 ? Fate::lose_reply : Fate::normal;
@@ -131,7 +131,7 @@
   s.run_for(seconds(2));
   lower();
   s.run_for(seconds(6));
-  s.state.fate = nullptr;
+  s.store.fate = nullptr;
   s.run_for(seconds(120));
   for (size_t n = 0; n < 6; ++n) EXPECT_TRUE(done(id(n))) << id(n);
   expect_rules(s);
@@ -144,7 +144,7 @@
     large.groups.push_back({id(500 + n), "red", {0.01, 0, 0.01}, false, {{0, n + 1}}});
   }
   ASSERT_GT(wire::write_machine_record(large).size(), 2 * kNextValue);
-  s.state.put("host/vm-old", wire::write_machine_record(large));
+  s.store.put("host/vm-old", wire::write_machine_record(large));
   lower();
   const size_t old = *s.leader();
   s.crash(old);
@@ -155,13 +155,13 @@
     small.need = {0.1, 0, 0.1};
     ASSERT_EQ(s.submit(small, *s.leader()).status, 201);
   }
-  s.state.max_value = 0;
+  s.store.max_value = 0;
   s.run_for(seconds(120));
   for (size_t n = 0; n < 2 * kLeastJobs; ++n) {
     EXPECT_EQ(s.standing(id(n), *s.leader()), "done") << id(n);
   }
-  EXPECT_LT(s.state.malformed, 10u);
-  EXPECT_FALSE(s.state.data.contains("host/vm-old")) << "nothing is allocated there any more";
+  EXPECT_LT(s.store.malformed, 10u);
+  EXPECT_FALSE(s.store.data.contains("host/vm-old")) << "nothing is allocated there any more";
   expect_rules(s);
 }
 
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -49,14 +49,14 @@
     while (fresh.workers.empty()) fresh.run_for(Millis(100));
     for (auto& [id, w] : fresh.workers) w->run_time = [](const TaskRef&) { return seconds(400); };
     fresh.run_for(seconds(12));
-    fresh.nodes[l]->refused_by_state = true;
+    fresh.nodes[l]->refused_by_store = true;
     fresh.run_for(refused_before / 2);
     ASSERT_EQ(fresh.cancel("run-000002", (l + 1) % 3).status, 200);
     fresh.run_for(refused_before / 2);
-    fresh.state.outage = true;
+    fresh.store.outage = true;
     fresh.run_for(seconds(50));
-    fresh.state.end_outage();
-    fresh.nodes[l]->refused_by_state = false;
+    fresh.store.end_outage();
+    fresh.nodes[l]->refused_by_store = false;
     fresh.run_for(seconds(30));
     expect_rules(fresh);
     EXPECT_EQ(fresh.standing("run-000002"), "cancelled");
@@ -68,7 +68,7 @@
   // began anew with each renewal, and the cancelled tasks ran on for as long as that lasted.
   s.nodes[old]->cut_from_peers = true;
   tie_workers_to_old();
-  s.state.fate = [&](const http::Call& c) {
+  s.store.fate = [&](const http::Call& c) {
     return c.target.starts_with("/changes?starts=job/") ? Fate::lose_request : Fate::normal;
   };
   s.run_for(seconds(8));
@@ -82,18 +82,18 @@
   // A renewal gets through, the read does not.
   s.nodes[old]->cut_from_peers = true;
   tie_workers_to_old();
-  s.nodes[old]->refused_by_state = true;
+  s.nodes[old]->refused_by_store = true;
   s.run_for(Millis(200));
   ASSERT_EQ(s.cancel(long_job.id, other).status, 200);
-  s.state.outage = true;
-  s.state.fate = [&](const http::Call& c) {
+  s.store.outage = true;
+  s.store.fate = [&](const http::Call& c) {
     return c.target.starts_with("/changes") ? Fate::refuse : Fate::normal;
   };
   s.run_for(seconds(20));
-  s.state.end_outage();
-  s.nodes[old]->refused_by_state = false;
+  s.store.end_outage();
+  s.nodes[old]->refused_by_store = false;
   s.run_for(seconds(1));
-  s.state.outage = true;
+  s.store.outage = true;
   s.run_for(seconds(30));
   expect_rules(s);
   EXPECT_EQ(on_machines(), 0u);
@@ -101,10 +101,10 @@
 
 TEST_F(Gap, APeerThatToldAndCameBackCannotVouch) {
   // The other nodes are silent afterwards, and one of them has no memory of what it told.
-  s.nodes[old]->refused_by_state = true;
+  s.nodes[old]->refused_by_store = true;
   s.run_for(Millis(100));
   ASSERT_EQ(s.cancel(long_job.id, other).status, 200);
-  s.state.outage = true;
+  s.store.outage = true;
   s.restart(other);
   s.run_for(seconds(45));
   expect_rules(s);
@@ -113,23 +113,23 @@
 
 TEST_F(Gap, WhatOnlyTheLeaderItselfToldItKnows) {
   // Its user cancels at the leader, whose watch does not come; the others vouch for themselves.
-  s.state.fate = [&](const http::Call& c) {
+  s.store.fate = [&](const http::Call& c) {
     return c.target.starts_with("/changes?starts=job/") ? Fate::lose_request : Fate::normal;
   };
   s.run_for(seconds(3));
   ASSERT_EQ(s.cancel(long_job.id, old).status, 200);
   s.run_for(seconds(6));
   EXPECT_EQ(on_machines(), 0u) << "stopped at once, not by the end of the leases";
-  s.state.outage = true;
+  s.store.outage = true;
   s.run_for(seconds(45));
   expect_rules(s);
 }
 
 TEST_F(Gap, AnOutageForAllLongerThanTheWindowLosesNoTaskWhenNobodyToldOfACancellation) {
   s.run_for(seconds(5));
-  s.state.outage = true;
+  s.store.outage = true;
   s.run_for(seconds(80));
-  s.state.end_outage();
+  s.store.end_outage();
   s.run_for(seconds(20));
   EXPECT_EQ(on_machines(), 4u);
   EXPECT_EQ(s.starts, 4u) << "the leases were renewed all along";
@@ -137,7 +137,7 @@
 }
 
 TEST_F(Gap, ALeaderRefusedAloneGivesWaySoon) {
-  s.nodes[old]->refused_by_state = true;
+  s.nodes[old]->refused_by_store = true;
   s.run_for(seconds(6));
   ASSERT_TRUE(s.leader());
   EXPECT_NE(*s.leader(), old);
@@ -149,7 +149,7 @@
 }
 
 TEST_F(Gap, APeersWordStopsTheTasksAtOnce) {
-  s.nodes[old]->refused_by_state = true;
+  s.nodes[old]->refused_by_store = true;
   ASSERT_EQ(s.cancel(long_job.id, other).status, 200);
   s.daemon(old).on_peer_cancellation(long_job.id);
   s.run_for(seconds(2));
@@ -160,7 +160,7 @@
 TEST_F(Gap, AMachineThatHangsMeanwhileGoesOnToNothing) {
   // It has the stop in its socket, or missed it, and goes on within its lease.
   for (const bool direct : {true, false}) {
-    s.nodes[old]->refused_by_state = false;
+    s.nodes[old]->refused_by_store = false;
     auto& w = *s.workers.begin()->second;
     w.refuse_direct = !direct;
     w.hung = true;
@@ -202,14 +202,14 @@
   while (s.workers.empty()) s.run_for(Millis(100));
   for (auto& [id, w] : s.workers) w->run_time = [](const TaskRef&) { return seconds(400); };
   s.run_for(seconds(12));
-  s.state.too_old = true;
-  s.state.fate = [&](const http::Call& c) {
+  s.store.too_old = true;
+  s.store.fate = [&](const http::Call& c) {
     return c.target == "/keys/job/run-000001" ? Fate::lose_request : Fate::normal;
   };
-  s.state.erase("job/run-000001");
-  s.state.put("final/run-000001", wire::write_final({true, 2}));
+  s.store.erase("job/run-000001");
+  s.store.put("final/run-000001", wire::write_final({true, 2}));
   s.run_for(seconds(2));
-  s.state.too_old = false;
+  s.store.too_old = false;
   s.run_for(seconds(5));
   EXPECT_EQ(s.copies({"run-000001", 0}), 0u);
   EXPECT_EQ(s.copies({"run-000001", 1}), 0u);
@@ -226,8 +226,8 @@
     w->run_time = [](const TaskRef& t) { return seconds(t.index == 0 ? 5 : 300); };
   }
   bool lost = false, read = false;
-  s.state.late_by = Millis(900);
-  s.state.fate = [&](const http::Call& c) {
+  s.store.late_by = Millis(900);
+  s.store.fate = [&](const http::Call& c) {
     if (!lost && is_commit_of(c, "done/run-000001")) {
       lost = true;
       return Fate::lose_reply;
@@ -241,8 +241,8 @@
   while (!read && s.clock.now() < Instant(seconds(1100))) s.run_for(Millis(20));
   ASSERT_TRUE(read);
   s.run_for(Millis(50));
-  s.state.erase("job/run-000001");
-  s.state.put("final/run-000001", wire::write_final({true, 2}));
+  s.store.erase("job/run-000001");
+  s.store.put("final/run-000001", wire::write_final({true, 2}));
   s.run_for(Millis(100));
   size_t back = 0;
   for (int k = 0; k < 100; ++k) {
@@ -322,10 +322,10 @@
   }
   for (int change = 0; change < 10; ++change) {  // ten in two minutes, some inside an outage
     s.run_for(seconds(8));
-    s.state.outage = change % 3 == 1;
+    s.store.outage = change % 3 == 1;
     s.restart(s.leader().value_or(0));
     s.run_for(seconds(4));
-    if (s.state.outage) s.state.end_outage();
+    if (s.store.outage) s.store.end_outage();
   }
   s.run_for(seconds(20));
   EXPECT_EQ(s.standing("run-000001"), "done");
--- a/tests/random_placements_test.cpp
+++ b/tests/random_placements_test.cpp
@@ -56,7 +56,7 @@
     }
     if (!w.on) co_return;  // returned meanwhile
     w.power_off();
-    CloudService::Machine& m = s.cloud.machines[w.id];
+    ScriptedCloud::Machine& m = s.cloud.machines[w.id];
     m.removed = true;
     m.removed_at = s.loop.now();
     ++s.cloud.capacity[m.type + "/" + m.zone + (m.spot ? "/spot" : "/ordinary")];
--- a/tests/random_scenario.hpp
+++ b/tests/random_scenario.hpp
@@ -84,23 +84,23 @@
     (void)co_await s.handle(pick(3), std::move(r));
   }
 
-  // The state service is out for all, and often again a moment after it is back.
+  // The key-value store is out for all, and often again a moment after it is back.
   Task<void> outages() {
-    s.state.outage = true;
+    s.store.outage = true;
     co_await s.loop.sleep(in(1, 50));
-    s.state.end_outage();
-    for (auto& n : s.nodes) n->refused_by_state = false;
+    s.store.end_outage();
+    for (auto& n : s.nodes) n->refused_by_store = false;
     if (chance(0.5)) co_return;
     co_await s.loop.sleep(in(0.2, 1.5));
-    s.state.outage = true;
+    s.store.outage = true;
     co_await s.loop.sleep(in(1, 20));
-    s.state.end_outage();
+    s.store.end_outage();
   }
 
   Task<void> cut_from_state_and_peers(size_t node) {
-    s.nodes[node]->cut_from_state = s.nodes[node]->cut_from_peers = true;
+    s.nodes[node]->cut_from_store = s.nodes[node]->cut_from_peers = true;
     co_await s.loop.sleep(in(2, 40));
-    s.nodes[node]->cut_from_state = s.nodes[node]->cut_from_peers = false;
+    s.nodes[node]->cut_from_store = s.nodes[node]->cut_from_peers = false;
   }
 
   Task<void> leaders_change_again_and_again() {
@@ -121,13 +121,13 @@
   Task<void> late_transactions() {
     const Instant until = s.loop.now() + in(5, 30);
     while (s.loop.now() < until) {
-      s.state.late_by = in(2, 12);
-      s.state.fate = [this](const http::Call& c) {
+      s.store.late_by = in(2, 12);
+      s.store.fate = [this](const http::Call& c) {
         return c.target == "/multi" && chance(0.3) ? Fate::apply_late : Fate::normal;
       };
       co_await s.loop.sleep(in(0.5, 2));
     }
-    s.state.fate = nullptr;
+    s.store.fate = nullptr;
   }
 
   using Flags = std::vector<bool Worker::*>;
@@ -177,8 +177,8 @@
     log += " " + std::to_string(kind) + "@" +
            std::to_string(to_seconds(s.loop.now().time_since_epoch()).count() - 1000);
     switch (kind) {
-      case 0:  // the state service refuses the leader alone, and a moment later it is out for all
-        s.nodes[leader]->refused_by_state = true;
+      case 0:  // the key-value store refuses the leader alone, and a moment later it is out for all
+        s.nodes[leader]->refused_by_store = true;
         co_await s.loop.sleep(in(0.1, 3));
         co_await outages();
         break;
--- a/tests/role_handover_test.cpp
+++ b/tests/role_handover_test.cpp
@@ -184,9 +184,9 @@
   crash,            // back within a fraction of a second or some seconds
   crash_all,        // all controllers end amid their acts
   pause,            // the leader stands still, up to well over its lease
-  refused_alone,    // the state service refuses the leader, and serves the others
-  cut_from_state,   // the leader loses the state service
-  cut_from_cloud,   // the leader loses the cloud, not the state service
+  refused_alone,    // the key-value store refuses the leader, and serves the others
+  cut_from_store,   // the leader loses the key-value store
+  cut_from_cloud,   // the leader loses the cloud, not the key-value store
   late_acts,        // launches and deletions are executed late
   lost_answers,     // they are executed, and their answers are lost
   late_writes,      // transactions are applied late
@@ -202,7 +202,7 @@
     f_.site.cloud.capacity["box/a/ordinary"] = 4;
     f_.site.cloud.capacity["crate/a/ordinary"] = 2;
     f_.site.cloud.late_by = seconds(15);
-    f_.site.state.late_by = seconds(4);
+    f_.site.store.late_by = seconds(4);
     f_.site.on_worker = [this](Worker& worker) {
       worker.run_time = [this](const TaskRef& task) { return seconds(2 + (task.index + 3) % 5); };
     };
@@ -221,7 +221,7 @@
       f_.site.run_for(seconds(1));
     }
     f_.site.cloud.fate = nullptr;
-    f_.site.state.fate = nullptr;
+    f_.site.store.fate = nullptr;
     f_.site.run_for(seconds(240));
     expect_all_settled();
   }
@@ -289,9 +289,9 @@
       case Trouble::pause:
         return set_for_a_while(&Site::Node::paused, leader, 12);
       case Trouble::refused_alone:
-        return set_for_a_while(&Site::Node::refused_by_state, leader, 10);
-      case Trouble::cut_from_state:
-        return set_for_a_while(&Site::Node::cut_from_state, leader, 10);
+        return set_for_a_while(&Site::Node::refused_by_store, leader, 10);
+      case Trouble::cut_from_store:
+        return set_for_a_while(&Site::Node::cut_from_store, leader, 10);
       case Trouble::cut_from_cloud:
         return set_for_a_while(&Site::Node::cut_from_cloud, leader, 10);
       case Trouble::late_acts:
@@ -299,10 +299,10 @@
       case Trouble::lost_answers:
         return some_calls(Fate::lose_reply);
       case Trouble::late_writes:
-        f_.site.state.fate = [this](const http::Call& call) {
+        f_.site.store.fate = [this](const http::Call& call) {
           return call.target == "/multi" && draw(8) == 0 ? Fate::apply_late : Fate::normal;
         };
-        return for_a_while(10, [this] { f_.site.state.fate = nullptr; });
+        return for_a_while(10, [this] { f_.site.store.fate = nullptr; });
       case Trouble::crash_successor:
         crash(leader);
         for (int i = 0; i < 1000 && !f_.site.leader(); ++i) f_.site.run_for(Millis(10));
@@ -320,7 +320,7 @@
     for (const auto& broken : f_.site.rules.broken()) ADD_FAILURE() << broken;
     for (const std::string& id : accepted_) EXPECT_EQ(f_.site.standing(id, 0), "done") << id;
     EXPECT_EQ(f_.history.machines_held(), 0u) << "paid for and forgotten";
-    for (const auto& [key, entry] : f_.site.state.data) {
+    for (const auto& [key, entry] : f_.site.store.data) {
       EXPECT_FALSE(key.starts_with(roles::scale_in_key(""))) << key << " is still open";
     }
     EXPECT_GT(f_.history.counts().changed, 0u);
--- a/tests/role_history.cpp
+++ b/tests/role_history.cpp
@@ -7,13 +7,13 @@
 using roles::Role;
 
 RoleHistory::RoleHistory(Site& site) : site_(site) {
-  site.cloud.on_act = [this](const CloudService::Act& act) { apply_act(act); };
-  site.state.on_removed = [this](const std::string& key) { apply_removed_key(key); };
+  site.cloud.on_act = [this](const ScriptedCloud::Act& act) { apply_act(act); };
+  site.store.on_removed = [this](const std::string& key) { apply_removed_key(key); };
 }
 
 uint64_t RoleHistory::present_token(Role role) const {
-  const auto entry = site_.state.data.find(roles::role_key(role));
-  if (entry == site_.state.data.end()) return 0;
+  const auto entry = site_.store.data.find(roles::role_key(role));
+  if (entry == site_.store.data.end()) return 0;
   const auto document = wire::Document::parse(entry->second.value);
   const auto read = roles::read_holder(document->root());
   const auto* record = std::get_if<roles::RoleHolderRecord>(&read);
@@ -31,11 +31,11 @@
                     [](const auto& entry) { return !entry.second.removed; }));
 }
 
-void RoleHistory::apply_act(const CloudService::Act& act) {
+void RoleHistory::apply_act(const ScriptedCloud::Act& act) {
   const bool launch = !act.request.empty();
   const std::string key =
       launch ? roles::scale_out_key(act.request) : roles::scale_in_key(act.machines.front());
-  const bool open = site_.state.data.contains(key);
+  const bool open = site_.store.data.contains(key);
   const bool fenced = act.sender_token != present_token(launch ? Role::scale_out : Role::scale_in);
   ++counts_.acts;
   if (act.changed) {
@@ -54,7 +54,7 @@
 void RoleHistory::check_launch(const std::string& request) {
   std::optional<roles::ScaleOutIntent> own;
   std::vector<roles::ScaleOutIntent> others;
-  for (const auto& [key, entry] : site_.state.data) {
+  for (const auto& [key, entry] : site_.store.data) {
     const auto document = wire::Document::parse(entry.value);
     const auto read = roles::read_scale_out_intent(key, document->root());
     const auto* intent = std::get_if<roles::ScaleOutIntent>(&read);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -56,8 +56,8 @@
   World world;
   LongAnswer transport;
   const settings::Platform platform = Site::platform(0, 1);
-  state::Client client(world.loop, transport, platform.state, state::Limits(platform.state_limits),
-                       1.0);
+  kv::Client client(world.loop, transport, platform.key_value_store,
+                    kv::Limits(platform.store_limits), 1.0);
   for (const size_t beyond : {size_t{0}, size_t{1}}) {
     transport.beyond = beyond;
     const auto result = world.get(client.watch("job/", 3, Millis(100)));
@@ -80,9 +80,9 @@
   ASSERT_GT(job_record(spec).size() * kJobs, size_t{4} * 1024 * 1024);
   for (size_t i = 0; i < kJobs; ++i) {
     spec.id = "run-" + std::to_string(100'000 + i);
-    site.state.put(wire::job_key(spec.id), job_record(spec));
+    site.store.put(wire::job_key(spec.id), job_record(spec));
   }
-  site.state.erase(wire::job_key(kLargest));
+  site.store.erase(wire::job_key(kLargest));
   site.run_for(seconds(5));
   EXPECT_EQ(open_jobs(site), kJobs);
 }
@@ -91,8 +91,8 @@
   Site site;
   constexpr size_t kListed = 6000;
   for (size_t i = 1; i <= kListed; ++i) {
-    CloudService::Machine m{"aa-" + machine_name(i), "box", "b", true,
-                            site.clock.now(),        false, {},  "10.1.0.1:9000"};
+    ScriptedCloud::Machine m{"aa-" + machine_name(i), "box", "b", true,
+                             site.clock.now(),        false, {},  "10.1.0.1:9000"};
     site.cloud.machines[m.id] = m;
   }
   site.cloud.lag = Nanos(0);
@@ -120,8 +120,8 @@
     site.specs[kLargest] = spec;
     site.rules.submitted(spec);
     site.rules.submit_answered(kLargest, 201, "queued", site.clock.now());
-    site.state.put(std::string(wire::kEpochKey), wire::write_epoch(kFormerEpoch));
-    site.state.put(wire::job_key(kLargest), job_record(spec));
+    site.store.put(std::string(wire::kEpochKey), wire::write_epoch(kFormerEpoch));
+    site.store.put(wire::job_key(kLargest), job_record(spec));
     for (size_t i = 0; i < kMachines; ++i) add_machine(i);
     site.restart(0);
   }
@@ -137,8 +137,8 @@
 
  private:
   void add_machine(size_t number) {
-    const CloudService::Machine m{machine_name(number + 1), "box", "a", false,
-                                  site.clock.now(),         false, {},  "10.1.0.1:9000"};
+    const ScriptedCloud::Machine m{machine_name(number + 1), "box", "a", false,
+                                   site.clock.now(),         false, {},  "10.1.0.1:9000"};
     site.cloud.machines[m.id] = m;
     site.add_worker(m);
     Worker& worker = *site.workers.at(m.id);
@@ -155,7 +155,7 @@
       worker.tasks[{task, kAttempt}] = running;
     }
     record.groups.push_back(std::move(group));
-    site.state.put(wire::machine_key(m.id), wire::write_machine_record(record));
+    site.store.put(wire::machine_key(m.id), wire::write_machine_record(record));
   }
 };
 
--- a/tests/scenario_api_test.cpp
+++ b/tests/scenario_api_test.cpp
@@ -82,7 +82,7 @@
   s.ask(0, "POST", "/v1/jobs/run-000002/withdraw");
   s.run_for(seconds(30));
   ASSERT_EQ(s.standing("run-000001"), "done");
-  s.state.outage = true;
+  s.store.outage = true;
   const Instant before = s.clock.now();
   EXPECT_EQ(s.standing("run-000001"), "done");
   EXPECT_EQ(s.standing("run-000002"), "cancelled");
@@ -90,7 +90,7 @@
   const auto put_off = s.submit(job("run-000003"));
   EXPECT_EQ(put_off.status, 503);
   EXPECT_GT(put_off.retry_after_s, 0);
-  EXPECT_EQ(s.standing("run-000404"), "503") << "only the state service can say 404";
+  EXPECT_EQ(s.standing("run-000404"), "503") << "only the key-value store can say 404";
   EXPECT_LT(s.clock.now() - before, seconds(1)) << "nobody is held back";
 }
 
@@ -98,12 +98,12 @@
   Site s;
   s.run_for(seconds(2));
   int lost = 0;
-  s.state.fate = [&](const http::Call& c) {
+  s.store.fate = [&](const http::Call& c) {
     return is_commit_of(c, "run-000001") && lost++ == 0 ? Fate::lose_reply : Fate::normal;
   };
   const int status = s.submit(job("run-000001")).status;
   EXPECT_TRUE(status == 200 || status == 201);
-  s.state.fate = nullptr;
+  s.store.fate = nullptr;
   s.run_for(seconds(40));
   EXPECT_EQ(s.standing("run-000001"), "done");
   EXPECT_EQ(s.starts, 1u);
@@ -113,8 +113,8 @@
   Site s;
   s.run_for(seconds(2));
   int n = 0;
-  s.state.late_by = seconds(60);
-  s.state.fate = [&](const http::Call& c) {
+  s.store.late_by = seconds(60);
+  s.store.fate = [&](const http::Call& c) {
     return is_commit_of(c, "run-000001") && n++ == 0 ? Fate::apply_late : Fate::normal;
   };
   s.submit(job("run-000001"));
@@ -122,7 +122,7 @@
   ASSERT_EQ(s.standing("run-000001"), "done");
   s.run_for(seconds(60));
   EXPECT_EQ(s.standing("run-000001"), "done");
-  EXPECT_FALSE(s.state.data.contains("job/run-000001"));
+  EXPECT_FALSE(s.store.data.contains("job/run-000001"));
   EXPECT_EQ(s.starts, 1u);
 }
 
@@ -164,9 +164,9 @@
   });
   d.store_done.notify();
   s.run_for(seconds(3));
-  EXPECT_TRUE(s.state.data.contains("done/run-000001/12"));
-  EXPECT_LE(s.state.max_value, 8u * 1024);
-  EXPECT_LE(s.state.max_writes, 16u);
+  EXPECT_TRUE(s.store.data.contains("done/run-000001/12"));
+  EXPECT_LE(s.store.max_value, 8u * 1024);
+  EXPECT_LE(s.store.max_writes, 16u);
   s.restart(0);
   s.run_for(seconds(6));
   s.daemon(0).context().leader_state.with([&](cluster::LeaderState& p) {
@@ -176,7 +176,7 @@
   s.daemon(0).context().store_done.notify();
   s.run_for(seconds(12));
   EXPECT_EQ(s.standing("run-000001"), "done");
-  for (const auto& [key, e] : s.state.data) EXPECT_FALSE(key.starts_with("done/")) << key;
+  for (const auto& [key, e] : s.store.data) EXPECT_FALSE(key.starts_with("done/")) << key;
 }
 
 TEST(Jobs, ACancellationBeatsAnAllocationThatIsUnderWay) {
@@ -185,11 +185,11 @@
   s.submit(job("run-000001", 2));
   // The cancellation lands between the decision and the transaction that allocates it.
   bool done = false;
-  s.state.fate = [&](const http::Call& c) {
+  s.store.fate = [&](const http::Call& c) {
     if (!done && is_commit_of(c, "host/")) {
       done = true;
-      s.state.erase("job/run-000001");
-      s.state.put("final/run-000001", wire::write_final({true, 2}));
+      s.store.erase("job/run-000001");
+      s.store.put("final/run-000001", wire::write_final({true, 2}));
     }
     return Fate::normal;
   };
@@ -219,19 +219,19 @@
 
 TEST(Api, AnIdleNodeStaysReady) {
   // Found on a rough day: a follower that no user asked anything for some seconds took its own
-  // silence for a loss of the state service, was taken off the load balancer again and again, and
+  // silence for a loss of the key-value store, was taken off the load balancer again and again, and
   // its users found no node.
   Site s(3);
   s.run_for(seconds(3));
   const size_t follower = (*s.leader() + 1) % 3;
   s.run_for(seconds(4));
-  const uint64_t before = s.state.requests;
+  const uint64_t before = s.store.requests;
   EXPECT_EQ(s.ask(follower, "GET", "/ready").status, 200);
-  const uint64_t asked = s.state.requests - before;
+  const uint64_t asked = s.store.requests - before;
   EXPECT_GE(asked, 1u) << "it finds out rather than guess";
-  const uint64_t again = s.state.requests;
+  const uint64_t again = s.store.requests;
   EXPECT_EQ(s.ask(follower, "GET", "/ready").status, 200);
-  EXPECT_LT(s.state.requests - again, asked + 1) << "and not at every probe";
+  EXPECT_LT(s.store.requests - again, asked + 1) << "and not at every probe";
 }
 
 TEST(Jobs, EveryNodeAnswersAgainSoonAfterAnyMixOfTroubles) {
@@ -242,18 +242,18 @@
   s.run_for(seconds(6));
   for (int round = 0; round < 4; ++round) {
     const auto n = static_cast<size_t>(round % 3);
-    s.state.outage = true;
+    s.store.outage = true;
     s.cloud.trouble = true;
-    s.nodes[n]->cut_from_state = true;
+    s.nodes[n]->cut_from_store = true;
     s.run_for(seconds(round % 2 ? 3 : 25));
     s.restart((n + 1) % 3);
-    s.state.end_outage();
+    s.store.end_outage();
     s.run_for(Millis(400));
-    s.state.outage = true;
+    s.store.outage = true;
     s.run_for(seconds(5));
-    s.state.end_outage();
+    s.store.end_outage();
     s.cloud.trouble = false;
-    s.nodes[n]->cut_from_state = false;
+    s.nodes[n]->cut_from_store = false;
     s.run_for(seconds(15));
     for (size_t i = 0; i < 3; ++i) {
       EXPECT_EQ(s.ask(i, "GET", "/ready").status, 200) << "node " << i << ", round " << round;
--- a/tests/scenario_leadership_test.cpp
+++ b/tests/scenario_leadership_test.cpp
@@ -28,7 +28,7 @@
 TEST(Leadership, AnElectionWithAnUnknownOutcomeIsReadBack) {
   Site s(1);
   int n = 0;
-  s.state.fate = [&](const http::Call& c) {
+  s.store.fate = [&](const http::Call& c) {
     return is_commit_of(c, "epoch") && n++ == 0 ? Fate::lose_reply : Fate::normal;
   };
   s.run_for(seconds(2));
@@ -58,7 +58,7 @@
   const size_t first = *s.leader();
   s.submit(job("run-000001", 4), first);
   s.run_for(seconds(6));
-  s.nodes[first]->cut_from_state = true;
+  s.nodes[first]->cut_from_store = true;
   s.run_for(seconds(3));
   const size_t started = s.starts;
   EXPECT_FALSE(s.daemon(first).elector().may_start());
@@ -81,9 +81,9 @@
   for (auto& [id, w] : s.workers) w->run_time = [](const TaskRef&) { return seconds(40); };
   s.run_for(seconds(4));
   ASSERT_EQ(s.starts, 2u);
-  s.state.outage = true;
+  s.store.outage = true;
   s.run_for(seconds(20));
-  s.state.end_outage();
+  s.store.end_outage();
   s.run_for(seconds(60));
   EXPECT_EQ(s.leader(), first);
   EXPECT_EQ(s.starts, 2u) << "leases were renewed through the outage";
@@ -94,7 +94,7 @@
   Site s(3);
   s.run_for(seconds(2));
   const size_t first = *s.leader();
-  s.nodes[first]->cut_from_state = true;
+  s.nodes[first]->cut_from_store = true;
   s.nodes[first]->cut_from_peers = true;  // else it hears of its successor
   const auto& e = s.daemon(first).elector();
   s.run_for(leadership::renewal_window(s.nodes[first]->platform) - seconds(2));
@@ -198,15 +198,15 @@
   const uint64_t epoch = s.daemon(first).elector().term().epoch;
   s.submit(job("run-000001", 8), first);
   s.run_for(seconds(6));
-  s.state.late_by = Millis(700);
-  s.state.fate = [&](const http::Call& c) {
+  s.store.late_by = Millis(700);
+  s.store.fate = [&](const http::Call& c) {
     return is_commit_of(c, "leader") ? Fate::apply_late : Fate::normal;
   };
   s.crash(first);
   s.run_for(Millis(3600));
   for (size_t i = 0; i < 3; ++i) s.restart(i);  // in the middle of whatever they were about
   s.run_for(Millis(300));
-  s.state.fate = nullptr;
+  s.store.fate = nullptr;
   s.run_for(seconds(12));
   ASSERT_TRUE(s.leader());
   size_t leaders = 0;
@@ -219,7 +219,7 @@
 }
 
 TEST(Leadership, ALeaderWithNothingLeftButItsWorkersStartsNothingAndLetsGo) {
-  // It sees neither the state service nor the other controllers; its workers reach it alone. Its
+  // It sees neither the key-value store nor the other controllers; its workers reach it alone. Its
   // successor waits its window out, and no task runs twice.
   Site s(3);
   s.run_for(seconds(2));
@@ -229,7 +229,7 @@
   for (auto& [id, w] : s.workers) w->run_time = [](const TaskRef&) { return seconds(25); };
   s.submit(job("run-000002", 8), old);
   s.run_for(seconds(4));
-  s.nodes[old]->cut_from_state = true;
+  s.nodes[old]->cut_from_store = true;
   s.nodes[old]->cut_from_peers = true;
   for (size_t i = 0; i < 3; ++i) {
     for (auto& [id, w] : s.workers) {
--- a/tests/scenario_machines_test.cpp
+++ b/tests/scenario_machines_test.cpp
@@ -56,9 +56,9 @@
   for (auto& [id, w] : s.workers) w->run_time = [](const TaskRef&) { return seconds(300); };
   s.run_for(seconds(4));
   ASSERT_EQ(s.copies({"run-000001", 0}), 1u);
-  // The leader loses the state service; the workers reach no other node.
+  // The leader loses the key-value store; the workers reach no other node.
   const size_t old = *s.leader();
-  s.nodes[old]->cut_from_state = true;
+  s.nodes[old]->cut_from_store = true;
   s.nodes[old]->cut_from_peers = true;
   for (size_t i = 0; i < 3; ++i) {
     for (auto& [id, w] : s.workers) {
@@ -79,7 +79,7 @@
     Site s(1);
     s.run_for(seconds(2));
     int n = 0;
-    s.state.fate = [&](const http::Call& c) {
+    s.store.fate = [&](const http::Call& c) {
       return is_commit_of(c, "host/") && n++ % 2 == 0 ? f : Fate::normal;
     };
     s.submit(job("run-000001", 12));
@@ -95,7 +95,7 @@
     Site s(1);
     s.run_for(seconds(2));
     int n = 0;
-    s.state.fate = [&](const http::Call& c) {
+    s.store.fate = [&](const http::Call& c) {
       const bool progress = is_commit_of(c, "done/") || is_commit_of(c, "final/run");
       return progress && is_commit_of(c, "epoch") && n++ % 3 == 0 ? f : Fate::normal;
     };
@@ -112,8 +112,8 @@
   s.submit(job("run-000001", 2));
   const size_t first = *s.leader();
   bool held = false;
-  s.state.late_by = seconds(20);
-  s.state.fate = [&](const http::Call& c) {
+  s.store.late_by = seconds(20);
+  s.store.fate = [&](const http::Call& c) {
     if (!held && is_commit_of(c, "host/")) {
       held = true;
       return Fate::apply_late;
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -459,7 +459,7 @@
 }
 
 TEST_F(SchedulerTest, TasksAreQueuedOnFullMachinesThatHaveTheImage) {
-  platform.state_limits.write_rps = 0.2;  // far too few for one write a task
+  platform.store_limits.write_rps = 0.2;  // far too few for one write a task
   Machine& h = machine("vm-1");
   Job& j = add(job("run-000001", 100));
   for (int i = 0; i < 4; ++i) run(j, h);
--- a/tests/cloud_service.cpp
+++ b/tests/scripted_cloud.cpp
@@ -9,7 +9,7 @@
 using wire::View;
 using wire::Writer;
 
-Task<Reply> CloudService::serve(Call call, uint64_t sender_token) {
+Task<Reply> ScriptedCloud::serve(Call call, uint64_t sender_token) {
   const Fate f = fate ? fate(call) : Fate::normal;
   co_await loop_.sleep(Millis(80));
   if (trouble || f == Fate::refuse) co_return reply(503, wire::write_error("trouble"));
@@ -28,19 +28,19 @@
   co_return within_limit(call, std::move(out));
 }
 
-Task<void> CloudService::execute_later(Call call, uint64_t sender_token) {
+Task<void> ScriptedCloud::execute_later(Call call, uint64_t sender_token) {
   co_await loop_.sleep(late_by);
   (void)execute(call, sender_token);
 }
 
-Reply CloudService::execute(const Call& call, uint64_t sender_token) {
+Reply ScriptedCloud::execute(const Call& call, uint64_t sender_token) {
   if (call.target == "/catalog") return reply(200, wire::write_catalog(types));
   if (call.target == "/rentals" && call.method == "POST") return launch(call, sender_token);
   if (call.target == "/rentals/delete") return remove(call, sender_token);
   return list(call);
 }
 
-Reply CloudService::launch(const Call& call, uint64_t sender_token) {
+Reply ScriptedCloud::launch(const Call& call, uint64_t sender_token) {
   const auto doc = Document::parse(call.body);
   const View root = doc->root();
   const std::string request(*root["hire"].text());
@@ -78,7 +78,7 @@
   return reply(200, names(ids));
 }
 
-Reply CloudService::remove(const Call& call, uint64_t sender_token) {
+Reply ScriptedCloud::remove(const Call& call, uint64_t sender_token) {
   const auto doc = Document::parse(call.body);
   const View root = doc->root();
   const View ids = root["hosts"];
@@ -98,7 +98,7 @@
   return reply(200);
 }
 
-Reply CloudService::list(const Call& call) {
+Reply ScriptedCloud::list(const Call& call) {
   // The list as it was a while ago.
   const Instant as_of = loop_.now() - lag;
   ++lists;
--- a/tests/state_service.cpp
+++ b/tests/scripted_store.cpp
@@ -1,4 +1,4 @@
-// The scripted state service: keys, transactions, leases and watches.
+// The scripted key-value store: keys, transactions, leases and watches.
 #include <algorithm>
 #include <iomanip>
 #include <sstream>
@@ -75,9 +75,9 @@
   return size;
 }
 
-bool StateService::takes(View guards, View writes) const {
+bool ScriptedStore::takes(View compares, View writes) const {
   if (!limits) return true;
-  if (writes.size() > limits->txn_ops || guards.size() > 4 * limits->txn_ops) return false;
+  if (writes.size() > limits->txn_ops || compares.size() > 4 * limits->txn_ops) return false;
   for (size_t i = 0; i < writes.size(); ++i) {
     if (compact_json_size(writes.at(i)["v"]) > limits->value_bytes) return false;
   }
@@ -85,7 +85,7 @@
 }
 
 // Bursts of one second's worth.
-bool StateService::within_rate(size_t writes) {
+bool ScriptedStore::within_rate(size_t writes) {
   if (!limits) return true;
   const double passed = to_seconds(loop_.now() - write_level_at_).count();
   write_level_at_ = loop_.now();
@@ -95,7 +95,7 @@
   return true;
 }
 
-void StateService::note(std::string key, bool deleted, std::string value) {
+void ScriptedStore::note(std::string key, bool deleted, std::string value) {
   constexpr size_t kKept = 10'000;
   if (on_change) on_change(key);
   events_.push_back({revision_, std::move(key), deleted, std::move(value)});
@@ -104,24 +104,24 @@
   events_.pop_front();
 }
 
-void StateService::put(const std::string& key, std::string value) {
+void ScriptedStore::put(const std::string& key, std::string value) {
   ++revision_;
   data[key] = Entry{value, revision_, 0};
   note(key, false, std::move(value));
 }
 
-void StateService::erase(const std::string& key) {
+void ScriptedStore::erase(const std::string& key) {
   ++revision_;
   data.erase(key);
   note(key, true, "");
 }
 
-void StateService::end_outage() {
+void ScriptedStore::end_outage() {
   outage = false;
   for (auto& [id, lease] : leases_) lease.ends = loop_.now() + lease.ttl;
 }
 
-void StateService::expire() {
+void ScriptedStore::expire() {
   if (outage) return;
   for (auto it = leases_.begin(); it != leases_.end();) {
     if (loop_.now() < it->second.ends) {
@@ -138,10 +138,10 @@
   }
 }
 
-Reply StateService::multi(View root) {
+Reply ScriptedStore::multi(View root) {
   std::vector<std::string> failed;
-  const View guards = root["guards"];
-  if (!takes(guards, root["writes"])) {
+  const View compares = root["guards"];
+  if (!takes(compares, root["writes"])) {
     ++malformed;
     return reply(400, wire::write_error("too large"));
   }
@@ -149,11 +149,11 @@
     ++throttled;
     return reply(429);
   }
-  for (size_t i = 0; i < guards.size(); ++i) {
-    const std::string key(*guards.at(i)["key"].text());
+  for (size_t i = 0; i < compares.size(); ++i) {
+    const std::string key(*compares.at(i)["key"].text());
     const auto it = data.find(key);
     const uint64_t mod_revision = it == data.end() ? 0 : it->second.mod_revision;
-    if (mod_revision != *guards.at(i)["stamp"].count()) failed.push_back(key);
+    if (mod_revision != *compares.at(i)["stamp"].count()) failed.push_back(key);
   }
   Writer w;
   if (!failed.empty()) {
@@ -188,14 +188,14 @@
   return reply(200, w.take());
 }
 
-Task<void> StateService::multi_later(std::string body) {
+Task<void> ScriptedStore::multi_later(std::string body) {
   co_await loop_.sleep(late_by);
   const auto doc = Document::parse(body);
   expire();
   (void)multi(doc->root());
 }
 
-Task<Reply> StateService::changes(std::string target, Instant deadline) {
+Task<Reply> ScriptedStore::changes(std::string target, Instant deadline) {
   const std::string prefix = query_value(target, "starts");
   const uint64_t since = number(query_value(target, "since"));
   const Instant end = loop_.now() + Millis(number(query_value(target, "blockMs")));
@@ -228,7 +228,7 @@
 }
 
 // Renews or ends a lease.
-Reply StateService::lease_request(const std::string& method, const std::string& target) {
+Reply ScriptedStore::lease_request(const std::string& method, const std::string& target) {
   const uint64_t id = std::stoull(target.substr(8));
   const auto it = leases_.find(id);
   if (it == leases_.end()) return reply(404);
@@ -241,7 +241,7 @@
   return reply(200);
 }
 
-Reply StateService::read_key(const std::string& target) const {
+Reply ScriptedStore::read_key(const std::string& target) const {
   const auto it = data.find(target.substr(6));
   Writer w;
   if (it == data.end()) {
@@ -255,7 +255,7 @@
   }
 }
 
-Reply StateService::list_keys(const std::string& target) const {
+Reply ScriptedStore::list_keys(const std::string& target) const {
   const std::string prefix = query_value(target, "starts");
   const std::string after = query_value(target, "since");
   const uint64_t most = number(query_value(target, "most"));
@@ -282,7 +282,7 @@
 }
 
 // All requests but watches.
-Reply StateService::execute(const Call& call) {
+Reply ScriptedStore::execute(const Call& call) {
   const auto doc = Document::parse(call.body);
   const View root = doc ? doc->root() : View();
   if (call.target == "/multi") return multi(root);
@@ -299,7 +299,7 @@
   return reply(400);
 }
 
-Task<Reply> StateService::serve(Call call) {
+Task<Reply> ScriptedStore::serve(Call call) {
   ++requests;
   const Fate f = fate ? fate(call) : Fate::normal;
   co_await loop_.sleep(Millis(3));
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -17,7 +17,7 @@
   EXPECT_EQ(s.ran_twice, 0u);
   // Idle machines were returned, and no record of a machine is left behind.
   s.run_for(seconds(60));
-  for (const auto& [key, e] : s.state.data) EXPECT_FALSE(key.starts_with("host/")) << key;
+  for (const auto& [key, e] : s.store.data) EXPECT_FALSE(key.starts_with("host/")) << key;
 }
 
 }  // namespace
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -85,8 +85,8 @@
   EXPECT_EQ(p.peers.size(), 1u);
   EXPECT_EQ(p.lease, Seconds(14));
   EXPECT_EQ(p.teams[0].cpus_max, 16);
-  EXPECT_EQ(p.state_limits.value_bytes, 8192u);
-  EXPECT_FALSE(p.next_state_limits);
+  EXPECT_EQ(p.store_limits.value_bytes, 8192u);
+  EXPECT_FALSE(p.next_store_limits);
 }
 
 TEST(PlatformFile, TheStateServicesNextLimitsAreOptionalAndChecked) {
@@ -98,12 +98,12 @@
   };
   const File f(with("value_kb = 2.0\ntxn_ops = 5\nlater = 1\n"));
   const Platform p = load_platform(f.path());
-  ASSERT_TRUE(p.next_state_limits);
-  EXPECT_EQ(p.next_state_limits->value_bytes, 2048u);
-  EXPECT_EQ(p.next_state_limits->txn_ops, 5u);
-  EXPECT_EQ(p.next_state_limits->write_rps, 80) << "what is not named stays as it is";
-  EXPECT_EQ(p.next_state_limits->rps, 200);
-  EXPECT_EQ(p.lowest_state_write_rps(), 80);
+  ASSERT_TRUE(p.next_store_limits);
+  EXPECT_EQ(p.next_store_limits->value_bytes, 2048u);
+  EXPECT_EQ(p.next_store_limits->txn_ops, 5u);
+  EXPECT_EQ(p.next_store_limits->write_rps, 80) << "what is not named stays as it is";
+  EXPECT_EQ(p.next_store_limits->rps, 200);
+  EXPECT_EQ(p.lowest_store_write_rps(), 80);
   EXPECT_NE(problem(kGood, at, "[params.state.next]\ntxn_ops = 2\n" + at)
                 .find("params.state.next.txn_ops: must be between 3"),
             std::string::npos);
--- a/tests/singleton_roles_test.cpp
+++ b/tests/singleton_roles_test.cpp
@@ -94,7 +94,7 @@
 
 size_t count_keys(const Site& site, std::string_view prefix) {
   size_t count = 0;
-  for (const auto& [key, entry] : site.state.data) count += key.starts_with(prefix) ? 1 : 0;
+  for (const auto& [key, entry] : site.store.data) count += key.starts_with(prefix) ? 1 : 0;
   return count;
 }
 
@@ -127,9 +127,9 @@
   with_roles(site);
   site.cloud.lag = seconds(2);
   bool launched_with_intent = false;
-  site.cloud.on_act = [&](const CloudService::Act& act) {
+  site.cloud.on_act = [&](const ScriptedCloud::Act& act) {
     if (!act.request.empty() && act.changed) {
-      launched_with_intent = site.state.data.contains(roles::scale_out_key(act.request));
+      launched_with_intent = site.store.data.contains(roles::scale_out_key(act.request));
     }
   };
   site.run_for(seconds(3));
@@ -174,7 +174,7 @@
   with_roles(site);
   site.run_for(seconds(5));
   const uint64_t fencing_token = held(site).holder.fencing_token(Role::scale_out);
-  site.state.erase(roles::role_key(Role::scale_out));
+  site.store.erase(roles::role_key(Role::scale_out));
   site.run_for(seconds(4));
   EXPECT_GT(held(site).holder.fencing_token(Role::scale_out), fencing_token);
   EXPECT_TRUE(held(site).holder.may_act(Role::scale_out));
@@ -185,16 +185,16 @@
   wire::Writer damaged;
   damaged.text("?");
   const std::string bytes = damaged.take();
-  site.state.put(std::string(roles::kFencingTokenKey), bytes);
+  site.store.put(std::string(roles::kFencingTokenKey), bytes);
   with_roles(site);
-  const CloudService::Machine m{"vm-100001",      "box", "a", false,
-                                site.clock.now(), false, {},  "10.1.0.1:9000"};
+  const ScriptedCloud::Machine m{"vm-100001",      "box", "a", false,
+                                 site.clock.now(), false, {},  "10.1.0.1:9000"};
   site.cloud.machines[m.id] = m;
   site.add_worker(m);
   site.run_for(seconds(5));
   site.submit(job("run-000001"));
   site.run_for(seconds(30));
-  EXPECT_EQ(site.state.data.at(std::string(roles::kFencingTokenKey)).value, bytes);
+  EXPECT_EQ(site.store.data.at(std::string(roles::kFencingTokenKey)).value, bytes);
   EXPECT_EQ(count_keys(site, "duty/"), 1u) << "no role was acquired";
   EXPECT_EQ(site.cloud.launches + site.cloud.deletions.size(), 0u);
   EXPECT_EQ(site.standing("run-000001"), "done") << "what needs no role goes on";
@@ -204,8 +204,8 @@
   Site site(1);
   site.cloud.lag = Nanos(0);
   for (const char* id : {"vm-100001", "vm-100002"}) {
-    const CloudService::Machine m{id, "box",          "a", false, site.clock.now(), false,
-                                  {}, "10.1.0.1:9000"};
+    const ScriptedCloud::Machine m{id, "box",          "a", false, site.clock.now(), false,
+                                   {}, "10.1.0.1:9000"};
     site.cloud.machines[m.id] = m;
     site.add_worker(m);
   }
@@ -213,7 +213,7 @@
   newer.map(2).key("v").count(roles::kRecordVersion + 1).key("token").count(1);
   const std::string bytes = newer.take();
   const std::string key = roles::scale_in_key("vm-100001");
-  site.state.put(key, bytes);
+  site.store.put(key, bytes);
   with_roles(site);
   site.run_for(seconds(5));
   site.submit(job("run-000001", 4));
@@ -223,25 +223,25 @@
   EXPECT_FALSE(site.workers.at("vm-100002")->started.empty());
   EXPECT_FALSE(site.cloud.machines.at("vm-100001").removed);
   EXPECT_TRUE(site.cloud.machines.at("vm-100002").removed) << "it was idle in the end";
-  EXPECT_EQ(site.state.data.at(key).value, bytes);
+  EXPECT_EQ(site.store.data.at(key).value, bytes);
 }
 
 TEST(SingletonRoles, TheOverviewShowsHoldersAndOpenIntentsAndChangesNothing) {
   Site site(1);
   with_roles(site);
   site.run_for(seconds(5));
-  site.state.put(roles::scale_out_key("d-9-1"),
+  site.store.put(roles::scale_out_key("d-9-1"),
                  roles::write_scale_out_intent({"d-9-1", "box", "a", true, 3, "run-000009", 9}));
-  site.state.put(roles::scale_in_key("vm-000007"),
+  site.store.put(roles::scale_in_key("vm-000007"),
                  roles::write_scale_in_intent({"vm-000007", "idle", 9}));
   wire::Writer damaged;
   damaged.text("?");
-  site.state.put(roles::scale_in_key("vm-000008"), damaged.take());
-  const size_t keys = site.state.data.size();
+  site.store.put(roles::scale_in_key("vm-000008"), damaged.take());
+  const size_t keys = site.store.data.size();
 
   Site::Node& node = *site.nodes.front();
-  state::Client client(site.loop, node, node.platform.state,
-                       state::Limits(node.platform.state_limits), 1.0);
+  kv::Client client(site.loop, node, node.platform.key_value_store,
+                    kv::Limits(node.platform.store_limits), 1.0);
   const auto overview = site.get(roles::read_overview(site.loop, client));
   ASSERT_TRUE(overview.has_value());
   std::ostringstream out;
@@ -250,9 +250,9 @@
   EXPECT_NE(out.str().find("open: rent 3 x spot box in a as d-9-1"), std::string::npos);
   EXPECT_NE(out.str().find("open: return vm-000007 (token 9): idle"), std::string::npos);
   EXPECT_NE(out.str().find("unreadable: intent/return/vm-000008"), std::string::npos);
-  EXPECT_EQ(site.state.data.size(), keys);
+  EXPECT_EQ(site.store.data.size(), keys);
 
-  site.state.outage = true;
+  site.store.outage = true;
   EXPECT_FALSE(site.get(roles::read_overview(site.loop, client)).has_value());
 }
 
@@ -261,8 +261,8 @@
 TEST(SingletonRoles, AResumedReturnWaitsForWorkThatALeaderWithoutRolesPutThere) {
   Site site(1);
   site.cloud.lag = Nanos(0);
-  const CloudService::Machine m{"vm-100001",      "box", "a", false,
-                                site.clock.now(), false, {},  "10.1.0.1:9000"};
+  const ScriptedCloud::Machine m{"vm-100001",      "box", "a", false,
+                                 site.clock.now(), false, {},  "10.1.0.1:9000"};
   site.cloud.machines[m.id] = m;
   site.add_worker(m);
   Worker& worker = *site.workers.at(m.id);
@@ -271,7 +271,7 @@
   site.submit(job("run-000001"));
   site.run_for(seconds(5));
   ASSERT_EQ(worker.started.size(), 1u);
-  site.state.put(roles::scale_in_key(m.id), roles::write_scale_in_intent({m.id, "idle", 1}));
+  site.store.put(roles::scale_in_key(m.id), roles::write_scale_in_intent({m.id, "idle", 1}));
   with_roles(site);
   site.run_for(seconds(8));
   EXPECT_TRUE(worker.on) << "its task runs";
--- a/tests/support.cpp
+++ b/tests/support.cpp
@@ -1,4 +1,4 @@
-// The scripted site: controllers, workers, state service, cloud and users together.
+// The scripted site: controllers, workers, key-value store, cloud and users together.
 #include "support.hpp"
 
 #include <gtest/gtest.h>
@@ -51,18 +51,18 @@
 }
 
 Task<Reply> Site::Node::deliver(Call call) {
-  if (call.to == platform.state) {
-    if (cut_from_state) {
+  if (call.to == platform.key_value_store) {
+    if (cut_from_store) {
       co_await site.loop.sleep_until(call.deadline);
       co_return Reply{};
     }
     // Open watches of a node that is refused wait as they do in an outage.
-    if (refused_by_state && !call.target.starts_with("/changes")) co_return reply(503);
-    Reply r = co_await site.state.serve(call);
-    while (refused_by_state && site.loop.now() < call.deadline) {
+    if (refused_by_store && !call.target.starts_with("/changes")) co_return reply(503);
+    Reply r = co_await site.store.serve(call);
+    while (refused_by_store && site.loop.now() < call.deadline) {
       co_await site.loop.sleep(Millis(20));
     }
-    if (refused_by_state) co_return Reply{};
+    if (refused_by_store) co_return Reply{};
     co_return r;
   }
   if (call.to == platform.cloud) {
@@ -114,7 +114,7 @@
                        *http::Endpoint::parse("127.0.0.1:" + std::to_string(2000 + i))});
   }
   p.cloud = *http::Endpoint::parse("127.0.0.1:3000");
-  p.state = *http::Endpoint::parse("127.0.0.1:3001");
+  p.key_value_store = *http::Endpoint::parse("127.0.0.1:3001");
   p.nodes = static_cast<uint32_t>(count);
   p.zones = {"a", "b"};
   p.teams = {{"red", 8, 64, 0, 0}, {"blue", 8, 64, 0, 0}, {"tiny", 0, 4, 0, 0}};
@@ -123,10 +123,10 @@
   p.gang_wait = Seconds(40);
   p.gang_peer = Seconds(6);
   p.cancel = Seconds(39);
-  p.state_limits.rps = 1000;
-  p.state_limits.write_rps = 1000;
-  p.state_limits.value_bytes = size_t{8} * 1024;
-  p.state_limits.txn_ops = 16;
+  p.store_limits.rps = 1000;
+  p.store_limits.write_rps = 1000;
+  p.store_limits.value_bytes = size_t{8} * 1024;
+  p.store_limits.txn_ops = 16;
   p.cloud_rps = 4;
   p.list_lag = Seconds(8);
   p.cpu_share = 0.1;
@@ -150,7 +150,7 @@
   crate.zones = {"a"};
   cloud.types = {box, crate};
   cloud.capacity["box/a/ordinary"] = 2;
-  cloud.on_launched = [this](const CloudService::Machine& m) { add_worker(m); };
+  cloud.on_launched = [this](const ScriptedCloud::Machine& m) { add_worker(m); };
   cloud.on_deleted = [this](const std::string& id) {
     if (const auto it = workers.find(id); it != workers.end()) it->second->power_off();
   };
@@ -187,7 +187,7 @@
   return std::nullopt;
 }
 
-void Site::add_worker(const CloudService::Machine& m) {
+void Site::add_worker(const ScriptedCloud::Machine& m) {
   const MachineType* type = nullptr;
   for (const auto& t : cloud.types) {
     if (t.name == m.type) type = &t;
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -1,5 +1,6 @@
-// A small scripted world for the tests: a clock moved by hand, a state service with guards, leases,
-// watches and late transactions, a cloud whose list lags, and workers that keep the protocol.
+// A small scripted world for the tests: a clock moved by hand, a key-value store with guards,
+// leases, watches and late transactions, a cloud whose list lags, and workers that keep the
+// protocol.
 #pragma once
 #include <deque>
 #include <functional>
@@ -82,9 +83,9 @@
 // The value of a parameter of a request's target; empty where it is missing.
 std::string query_value(const std::string& target, const std::string& name);
 
-class StateService {
+class ScriptedStore {
  public:
-  explicit StateService(Loop& loop) : loop_(loop) {}
+  explicit ScriptedStore(Loop& loop) : loop_(loop) {}
   Task<http::Reply> serve(http::Call call);
 
   bool outage = false;
@@ -97,7 +98,7 @@
   uint64_t requests = 0;
   size_t max_value = 0, max_writes = 0;  // the largest seen
   // Enforced where set: a larger value or transaction gets 400, writes beyond the rate 429.
-  std::optional<settings::StateLimits> limits;
+  std::optional<settings::StoreLimits> limits;
   size_t malformed = 0, throttled = 0;  // requests refused for them
 
   struct Entry {
@@ -126,7 +127,7 @@
   http::Reply read_key(const std::string& target) const;
   http::Reply list_keys(const std::string& target) const;
   http::Reply multi(wire::View root);
-  bool takes(wire::View guards, wire::View writes) const;
+  bool takes(wire::View compares, wire::View writes) const;
   bool within_rate(size_t writes);
   Task<void> multi_later(std::string body);
   Task<http::Reply> changes(std::string target, Instant deadline);
@@ -145,9 +146,9 @@
 // The size of a value in JSON without any spaces.
 size_t compact_json_size(wire::View v);
 
-class CloudService {
+class ScriptedCloud {
  public:
-  explicit CloudService(Loop& loop) : loop_(loop) {}
+  explicit ScriptedCloud(Loop& loop) : loop_(loop) {}
   // `sender_token`: of the role under which the sender acts, for the history.
   Task<http::Reply> serve(http::Call call, uint64_t sender_token = 0);
 
@@ -251,7 +252,7 @@
   Instant answered_sent_;
 };
 
-// Everything together: any number of controllers over one state service and one cloud.
+// Everything together: any number of controllers over one key-value store and one cloud.
 class Site : public World {
  public:
   explicit Site(size_t controllers = 1);
@@ -266,8 +267,8 @@
     settings::Platform platform;
     std::unique_ptr<node::Daemon> daemon;
     bool dead = false;
-    bool cut_from_state = false;
-    bool refused_by_state = false;  // 503, while others may be served
+    bool cut_from_store = false;
+    bool refused_by_store = false;  // 503, while others may be served
     bool cut_from_peers = false;
     bool cut_from_cloud = false;
     // Stands still: what it is about to send goes out when it goes on, without another look.
@@ -280,7 +281,7 @@
   static settings::Platform platform(size_t index, size_t count);
   node::Daemon& daemon(size_t i) { return *nodes[i]->daemon; }
   std::optional<size_t> leader() const;
-  void add_worker(const CloudService::Machine& m);
+  void add_worker(const ScriptedCloud::Machine& m);
   // One user's request, watched by the rules.
   Task<http::Response> request(size_t node, std::string method, std::string target,
                                std::string body = "");
@@ -298,8 +299,8 @@
   std::function<void(settings::Platform&)> adjust_platform;
   const settings::Platform rules_platform = platform(0, 3);
   Rules rules{clock, rules_platform};
-  StateService state{loop};
-  CloudService cloud{loop};
+  ScriptedStore store{loop};
+  ScriptedCloud cloud{loop};
   std::map<std::string, JobSpec> specs;
   std::vector<std::unique_ptr<Node>> nodes;
   std::vector<std::unique_ptr<Node>> graveyard;
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -19,35 +19,35 @@
     ASSERT_TRUE(s.leader());
   }
   uint64_t epoch() const {
-    const auto doc = wire::Document::parse(s.state.data.at(std::string(wire::kEpochKey)).value);
+    const auto doc = wire::Document::parse(s.store.data.at(std::string(wire::kEpochKey)).value);
     return *wire::read_epoch(doc->root());
   }
   // A controller of the version before is elected: the epoch and the leader are its own.
   uint64_t old_version_takes_over() {
     const uint64_t mine = epoch() + 1;
-    s.state.put(std::string(wire::kEpochKey), wire::write_epoch(mine));
-    s.state.put(std::string(wire::kLeaderKey), wire::write_leader({"dunlin-old", mine}));
+    s.store.put(std::string(wire::kEpochKey), wire::write_epoch(mine));
+    s.store.put(std::string(wire::kLeaderKey), wire::write_leader({"dunlin-old", mine}));
     return mine;
   }
   // Its lease on the key ends with it.
-  void old_version_ends() { s.state.erase(std::string(wire::kLeaderKey)); }
+  void old_version_ends() { s.store.erase(std::string(wire::kLeaderKey)); }
   static uint64_t attempt_of(uint64_t epoch, uint64_t n) { return epoch << 24 | n; }
   void old_version_allocates(const std::string& machine, const JobSpec& spec, uint64_t attempt,
                              const std::vector<uint32_t>& tasks) {
     wire::MachineRecord record;
-    const CloudService::Machine& m = s.cloud.machines.at(machine);
+    const ScriptedCloud::Machine& m = s.cloud.machines.at(machine);
     record.type = m.type;
     record.zone = m.zone;
     record.address = s.workers.at(machine)->address;
     record.groups.push_back({spec.id, spec.team, spec.need, spec.gang, {}});
     for (const uint32_t i : tasks) record.groups[0].tasks.emplace_back(i, attempt);
-    s.state.put(wire::machine_key(machine), wire::write_machine_record(record));
+    s.store.put(wire::machine_key(machine), wire::write_machine_record(record));
   }
   // A cancellation as a controller of the version before confirms it.
   void old_version_cancels(const JobSpec& spec) {
     s.rules.cancel_asked(spec.id);
-    s.state.put(wire::final_key(spec.id), wire::write_final({true, spec.tasks}));
-    s.state.erase(wire::job_key(spec.id));
+    s.store.put(wire::final_key(spec.id), wire::write_final({true, spec.tasks}));
+    s.store.erase(wire::job_key(spec.id));
   }
   void run_long_tasks() {
     s.on_worker = [](Worker& w) { w.run_time = [](const TaskRef&) { return kLongRun; }; };
@@ -84,9 +84,9 @@
   ASSERT_EQ(s.submit(spec).status, 201);
   s.run_for(seconds(4));
   old_version_takes_over();
-  s.state.outage = true;
+  s.store.outage = true;
   s.run_for(seconds(12));
-  s.state.end_outage();
+  s.store.end_outage();
   s.run_for(Millis(300));
   old_version_ends();
   expect_done(spec, seconds(120));
@@ -128,7 +128,7 @@
   s.run_for(seconds(15));
   ASSERT_EQ(on_machines(api), 3u);
   old_version_takes_over();
-  s.state.put(wire::done_key(api.id, 0), wire::write_done_chunk({true, true, true}, 0));
+  s.store.put(wire::done_key(api.id, 0), wire::write_done_chunk({true, true, true}, 0));
   s.run_for(Millis(500));
   old_version_ends();
   s.run_for(seconds(60));
@@ -138,7 +138,7 @@
   ASSERT_EQ(s.cancel(api.id, *s.leader()).status, 200);
   s.run_for(seconds(30));
   EXPECT_EQ(on_machines(api), 0u);
-  EXPECT_FALSE(s.state.data.contains(wire::done_key(api.id, 0)));
+  EXPECT_FALSE(s.store.data.contains(wire::done_key(api.id, 0)));
   expect_rules(s);
 }
 
@@ -176,12 +176,12 @@
   s.run_for(seconds(6));
   ASSERT_GE(s.workers.size(), 1u);
   const std::string machine = s.workers.begin()->first;
-  const auto stored = s.state.data.find(wire::machine_key(machine));
-  ASSERT_NE(stored, s.state.data.end());
+  const auto stored = s.store.data.find(wire::machine_key(machine));
+  ASSERT_NE(stored, s.store.data.end());
   for (int k = 0; k < 4; ++k) {
     // The same contents under another mod revision: the new leader's next write meets a guard that
     // fails.
-    s.state.put(wire::machine_key(machine), std::string(stored->second.value));
+    s.store.put(wire::machine_key(machine), std::string(stored->second.value));
     s.run_for(Millis(700));
   }
   s.run_for(seconds(120));
@@ -217,7 +217,7 @@
   const JobSpec spec = job("run-000001", 8);
   ASSERT_EQ(s.submit(spec).status, 201);
   bool written = false;
-  s.state.fate = [&](const http::Call& c) {
+  s.store.fate = [&](const http::Call& c) {
     written |= is_commit_of(c, "host/");
     return Fate::normal;
   };
@@ -225,7 +225,7 @@
   ASSERT_TRUE(written);
   s.run_for(Millis(4));
   s.restart(*s.leader());
-  s.state.fate = nullptr;
+  s.store.fate = nullptr;
   expect_done(spec, seconds(120));
 }
 
@@ -252,14 +252,14 @@
   for (size_t n = 0; n < 10; ++n) {
     ASSERT_EQ(s.submit(job("run-00001" + std::to_string(n), 6)).status, 201);
   }
-  const settings::StateLimits next{1000, 40, 2048, 5};
-  s.adjust_platform = [&](settings::Platform& p) { p.next_state_limits = next; };
+  const settings::StoreLimits next{1000, 40, 2048, 5};
+  s.adjust_platform = [&](settings::Platform& p) { p.next_store_limits = next; };
   for (size_t i = 0; i < 3; ++i) {
     s.run_for(seconds(4));
     s.restart(i);
   }
   s.run_for(seconds(2));
-  s.state.limits = next;
+  s.store.limits = next;
   s.restart(1);  // and one ends again amid that
   s.run_for(seconds(120));
   for (size_t n = 0; n < 10; ++n) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -182,10 +182,10 @@
   s.echo = 6;
   s.epoch = 0x1122334455667788;
   s.cancel_revision = 4'300'000'000;
-  s.state_silent = Millis(1500);
+  s.store_silent = Millis(1500);
   s.up = Millis(99);
   s.leading = true;
-  s.state_known = true;
+  s.store_known = true;
   s.node = "dunlin-1";
   s.leader = "dunlin-2";
   const std::string frame = peer::write_status(s);
--- a/tests/zone_constraints_test.cpp
+++ b/tests/zone_constraints_test.cpp
@@ -170,7 +170,7 @@
 }
 
 // Found while looking for decisions that miss what the cycle itself has placed: a record longer
-// than the state service takes is never written, and nothing on its machine starts any more.
+// than the key-value store takes is never written, and nothing on its machine starts any more.
 TEST_F(ZoneConstraints, ACyclePlacesNoMoreThanAMachinesRecordTakes) {
   Machine& machine = add_machine("vm-1", "a");
   JobSpec many = job("run-000001", 5'000);
@@ -180,7 +180,7 @@
   gang.id = "run-000002";
   gang.gang = true;
   add(gang);
-  platform.state_limits.write_rps = 0.1;  // work is queued on the machine
+  platform.store_limits.write_rps = 0.1;  // work is queued on the machine
   const Plan p = plan();
   EXPECT_FALSE(p.placements.empty());
   EXPECT_TRUE(p.gangs.empty());
--- a/tools/handover_run.cpp
+++ b/tools/handover_run.cpp
@@ -1,5 +1,5 @@
 // Forces handovers of the singleton roles between real controller processes, against a cloud, a
-// state service, workers and users that this process plays on loopback. Writes the history of all
+// key-value store, workers and users that this process plays on loopback. Writes the history of all
 // acts, checks it and prints counts.
 //
 // Controllers are stopped and continued by signal, killed and restarted, and cut from the state
@@ -75,8 +75,8 @@
         options_.roles ? roles::role_key(roles::Role::scale_in) : std::string(wire::kLeaderKey);
     state_.on_change = [this](const std::string& key) { apply_change(key); };
     state_.on_removed = [this](const std::string& key) { apply_removed(key); };
-    cloud_.on_act = [this](const CloudService::Act& act) { apply_act(act); };
-    cloud_.on_launched = [this](const CloudService::Machine& m) { add_worker(m); };
+    cloud_.on_act = [this](const ScriptedCloud::Act& act) { apply_act(act); };
+    cloud_.on_launched = [this](const ScriptedCloud::Machine& m) { add_worker(m); };
     cloud_.on_deleted = [this](const std::string& id) { workers_.at(id)->power_off(); };
     cloud_.machine_address = "127.0.0.1:1";  // refuses: stops travel with the answers to reports
     cloud_.lag = seconds(3);
@@ -205,7 +205,7 @@
   }
 
   // --- machines
-  void add_worker(const CloudService::Machine& m) {
+  void add_worker(const ScriptedCloud::Machine& m) {
     auto worker = std::make_unique<Worker>(loop_, m.id, cloud_.types.front(), m.zone, m.spot,
                                            cloud_.machine_address, kWorkerLease);
     worker->specs = &specs_;
@@ -327,7 +327,7 @@
     holder_token_ = record.fencing_token;
   }
 
-  void apply_act(const CloudService::Act& act) {
+  void apply_act(const ScriptedCloud::Act& act) {
     const bool launch = !act.request.empty();
     const std::string& name = launch ? act.request : act.machines.front();
     const std::string key = launch ? roles::scale_out_key(name) : roles::scale_in_key(name);
@@ -532,8 +532,8 @@
   std::mt19937_64 random_;
   Instant began_{};
   std::ofstream history_;
-  StateService state_{loop_};
-  CloudService cloud_{loop_};
+  ScriptedStore state_{loop_};
+  ScriptedCloud cloud_{loop_};
   http::Client client_{loop_, 4, seconds(10)};
   std::vector<std::unique_ptr<http::Server>> servers_;
   std::deque<Controller> controllers_;
