--- a/src/dunlinknot/cluster/job.hpp
+++ b/src/dunlinknot/cluster/job.hpp
@@ -66,7 +66,7 @@
 
   // What went wrong with its tasks.
   std::set<std::string> failed_on;  // machines; bounded
-  bool failing = false;             // fails everywhere: backs off and may not evict
+  bool failing = false;             // fails everywhere: backs off and may not preempt
   Nanos backoff{0};
   Instant not_before{};
 
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -353,7 +353,7 @@
     effects = scheduler::apply(decided, p, now);
     return decided;
   });
-  evictions_ += plan.evictions.size();
+  preemptions_ += plan.preemptions.size();
   context_.follow_up(effects);
   log_waiting(plan, now);
   autoscaler_.order(plan.capacity_requests);
@@ -393,19 +393,19 @@
 
 // Refusals and the like are counted, not told one by one.
 Task<void> Daemon::log_counters() {
-  uint64_t accepted = 0, refused = 0, throttled = 0, away = 0, evictions = 0;
+  uint64_t accepted = 0, refused = 0, throttled = 0, away = 0, preemptions = 0;
   for (;;) {
     co_await loop_.sleep(std::chrono::seconds(30));
     const uint64_t a = jobs_.accepted(), r = jobs_.refused(), t = store_.throttled(),
-                   w = server_ ? server_->turned_away() : 0, e = evictions_;
+                   w = server_ ? server_->turned_away() : 0, e = preemptions_;
     spdlog::info(
         "last 30 s: {} accepted, {} put off, {} store calls over budget, {} connections turned "
         "away, "
-        "{} evictions; {} connections open",
-        a - accepted, r - refused, t - throttled, w - away, e - evictions,
+        "{} preemptions; {} connections open",
+        a - accepted, r - refused, t - throttled, w - away, e - preemptions,
         server_ ? server_->connections() : 0);
     if (elector_.leading() && context_.loaded) log_cluster_summary();
-    accepted = a, refused = r, throttled = t, away = w, evictions = e;
+    accepted = a, refused = r, throttled = t, away = w, preemptions = e;
   }
 }
 
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -68,7 +68,7 @@
   autoscaler::Autoscaler autoscaler_;
   std::vector<MachineType> catalog_;
   std::unique_ptr<http::Server> server_;
-  uint64_t evictions_ = 0;
+  uint64_t preemptions_ = 0;
   Instant next_waiting_log_{};
 };
 
--- a/src/dunlinknot/preemption/fit.cpp
+++ b/src/dunlinknot/preemption/fit.cpp
@@ -113,7 +113,7 @@
     if (b.stopping() && !listed) continue;  // leaves for another reason, on its own time
     bool allowed = b.priority < who.priority || listed;
     // A team that is beyond its guarantee gives back what is beyond it: jobs within it stay. Else
-    // two teams, both with work within their guarantees, evict one another for ever.
+    // two teams, both with work within their guarantees, preempt one another for ever.
     if (!allowed && who.within_guarantee && b.team >= 0 && b.team != who.team &&
         !(who.guaranteed && who.guaranteed->contains(b.task.job))) {
       Resources& over = beyond[static_cast<size_t>(b.team)];
--- a/src/dunlinknot/scheduler/apply.cpp
+++ b/src/dunlinknot/scheduler/apply.cpp
@@ -63,19 +63,20 @@
   }
 }
 
-void evict(const Eviction& eviction, LeaderState& state, Instant now, Effects& effects) {
-  if (eviction.renews) state.nominations.end(eviction.renews, preemption::End::renominated);
-  Machine& machine = *state.cluster.find_machine(eviction.machine);
+void preempt_victims(const Preemption& preemption, LeaderState& state, Instant now,
+                     Effects& effects) {
+  if (preemption.renews) state.nominations.end(preemption.renews, preemption::End::renominated);
+  Machine& machine = *state.cluster.find_machine(preemption.machine);
   std::string names;
-  for (const auto& victim : eviction.victims) {
+  for (const auto& victim : preemption.victims) {
     effects |= state.cluster.preempt(machine, victim.task, victim.attempt, now);
     names += " " + victim.task.text();
   }
-  state.nominations.add(eviction.job, eviction.machine, eviction.room, eviction.priority,
-                        eviction.victims);
-  spdlog::info("evicting on {} for {} (room {} cpus, {} gpus, {} GB):{}", eviction.machine,
-               eviction.job, eviction.room.cpus, eviction.room.gpus, eviction.room.memory_gb,
-               names);
+  state.nominations.add(preemption.job, preemption.machine, preemption.room, preemption.priority,
+                        preemption.victims);
+  spdlog::info("preempting on {} for {} (room {} cpus, {} gpus, {} GB):{}", preemption.machine,
+               preemption.job, preemption.room.cpus, preemption.room.gpus,
+               preemption.room.memory_gb, names);
 }
 
 }  // namespace
@@ -88,7 +89,8 @@
   for (const QueuedPlacement& placement : plan.queued) queue_tasks(placement, state, now, effects);
   state.cluster.set_held(plan.held, plan.saved);
   state.cluster.set_work_waits(plan.waiting_tasks > 0);
-  for (const Eviction& eviction : plan.evictions) evict(eviction, state, now, effects);
+  for (const Preemption& preemption : plan.preemptions)
+    preempt_victims(preemption, state, now, effects);
   return effects;
 }
 
--- a/src/dunlinknot/scheduler/apply.hpp
+++ b/src/dunlinknot/scheduler/apply.hpp
@@ -1,4 +1,4 @@
-// Carries a plan out on the leader's state: allocations, nominations and evictions. Nothing may
+// Carries a plan out on the leader's state: allocations, nominations and preemptions. Nothing may
 // change the state between the plan and this, so both belong under one lock.
 #pragma once
 #include "dunlinknot/cluster/leader_context.hpp"
--- a/src/dunlinknot/scheduler/arrays.cpp
+++ b/src/dunlinknot/scheduler/arrays.cpp
@@ -43,7 +43,7 @@
     if (open > 0) open -= place_coming(w, open, expected);
     if (open > 0) open -= scale_out_for_array(w, open, expected);
     cause = open < wanted ? WaitCause::machine_coming : WaitCause::no_room;
-    if (!own.empty()) cause = WaitCause::eviction;
+    if (!own.empty()) cause = WaitCause::preemption;
     preempt(w, own, open, constraints);
   }
   if (placed == 0) note_waiting(j, cause);
--- a/src/dunlinknot/scheduler/eviction.cpp
+++ b/src/dunlinknot/scheduler/preemption.cpp
@@ -24,18 +24,19 @@
   // does not wait on a nomination that is neither used nor renewed.
   const bool can_scale_out = !ranked_offers(j.spec(), promised).empty() && !machine_limit_reached();
   for (const uint64_t id : again) {
-    if (!can_scale_out && evict_for(w, id, promised)) continue;
+    if (!can_scale_out && nominate_for(w, id, promised)) continue;
     clear_nomination(id);
     promised.remove(zone_of(id), 1);
   }
   if (can_scale_out) return;
-  while (tries-- > 0 && plan_.evictions.size() < kMaxPreemptionsPerCycle) {
-    if (!evict_for(w, 0, promised)) break;
+  while (tries-- > 0 && plan_.preemptions.size() < kMaxPreemptionsPerCycle) {
+    if (!nominate_for(w, 0, promised)) break;
   }
 }
 
-bool SchedulingCycle::evict_for(const Waiting& w, uint64_t renews, PlacementConstraints& promised) {
-  if (plan_.evictions.size() >= kMaxPreemptionsPerCycle) return renews != 0;
+bool SchedulingCycle::nominate_for(const Waiting& w, uint64_t renews,
+                                   PlacementConstraints& promised) {
+  if (plan_.preemptions.size() >= kMaxPreemptionsPerCycle) return renews != 0;
   const Job& j = *w.job;
   const JobSpec& spec = j.spec();
   std::vector<Resources> beyond;
@@ -55,7 +56,7 @@
   if (renews) beside.remove(zone_of(renews), 1);
   std::optional<preemption::Candidate> best;
   CandidateMachine* best_candidate = nullptr;
-  // What nobody could be evicted for a moment ago, nobody can be evicted for now: jobs of one
+  // What nobody could be preempted for a moment ago, nobody can be preempted for now: jobs of one
   // shape are alike in this.
   const Shape shape{j.team(),
                     w.guaranteed,
@@ -69,7 +70,7 @@
   if (renews == 0 && hopeless_.contains(shape)) return false;
   for (CandidateMachine& s : candidates_) {
     if (s.coming || !spec.need.fits_in(s.machine->size)) continue;
-    if (evicted_on_.contains(s.machine->id) || !may_go(j, s)) continue;
+    if (preempted_on_.contains(s.machine->id) || !may_go(j, s)) continue;
     if (beside.tasks_allowed(s.zone()) == 0) continue;
     auto c = preemption::simulate(s.room, nominations_, cluster_, spec.need, renews, who, now_);
     if (!c) continue;
@@ -82,9 +83,9 @@
     if (renews == 0) hopeless_.insert(shape);
     return false;
   }
-  evicted_on_.insert(best_candidate->machine->id);
-  plan_.evictions.push_back({spec.id, best_candidate->machine->id, spec.need, spec.priority,
-                             best->victims, best->lost_seconds, renews});
+  preempted_on_.insert(best_candidate->machine->id);
+  plan_.preemptions.push_back({spec.id, best_candidate->machine->id, spec.need, spec.priority,
+                               best->victims, best->lost_seconds, renews});
   if (renews) {
     if (CandidateMachine* s = find_candidate(nominations_.all().at(renews).machine))
       s->room.end_hold(renews);
--- a/src/dunlinknot/scheduler/scheduler.cpp
+++ b/src/dunlinknot/scheduler/scheduler.cpp
@@ -12,7 +12,7 @@
       return "a task to end on the machine where it is allocated";
     case WaitCause::machine_coming:
       return "a machine that is coming";
-    case WaitCause::eviction:
+    case WaitCause::preemption:
       return "tasks that are being stopped for it";
     case WaitCause::room_kept:
       return "tasks to end where room is kept for it";
--- a/src/dunlinknot/scheduler/scheduler.hpp
+++ b/src/dunlinknot/scheduler/scheduler.hpp
@@ -54,7 +54,7 @@
   std::string job;  // that it is for, first of all
 };
 
-struct Eviction {
+struct Preemption {
   std::string job;
   std::string machine;
   Resources room;
@@ -69,7 +69,7 @@
   team_limit,         // its team's limit is used up, or saved up for it
   queued_on_machine,  // a task to end on the machine where it is allocated
   machine_coming,     // a machine that boots or was asked for
-  eviction,           // tasks that are being stopped for it
+  preemption,         // tasks that are being stopped for it
   room_kept,          // room is kept for it where tasks are to end
   no_room,            // no allowed machine has room, and none can be launched
 };
@@ -87,7 +87,7 @@
   std::map<std::string, Resources> held;  // by machine: room that queued tasks must leave
   std::vector<Resources> saved;           // by team: of its limit, for gangs
   std::vector<CapacityRequest> capacity_requests;
-  std::vector<Eviction> evictions;
+  std::vector<Preemption> preemptions;
   std::vector<uint64_t> cleared;    // nominations that came to nothing
   std::vector<std::string> wanted;  // idle machines that waiting work will use: not to be returned
   size_t waiting_tasks = 0;
--- a/src/dunlinknot/scheduler/scheduling_cycle.hpp
+++ b/src/dunlinknot/scheduler/scheduling_cycle.hpp
@@ -215,7 +215,7 @@
 
   // How many tasks of the job fit there, up to `most`. Single tasks without accelerators leave to
   // each free accelerator what its next task will need besides; else machines launched for their
-  // accelerators fill up with work that could run anywhere, and is evicted for a guarantee soon
+  // accelerators fill up with work that could run anywhere, and is preempted for a guarantee soon
   // after.
   uint32_t count_on(const Job& j, const CandidateMachine& s, uint32_t most) const;
 
@@ -297,18 +297,18 @@
   // are too few.
   std::vector<Place> soonest_places(const Job& j, std::vector<Place> places) const;
 
-  // No room and nothing to launch: gangs do not evict, so the room that others leave is kept for
+  // No room and nothing to launch: gangs do not preempt, so the room that others leave is kept for
   // this one where it will be enough first. Else single tasks take it piece by piece, and the
   // larger the gang the longer it waits. Only if all of it is there within `most` seconds.
   bool keep_for_gang(const Job& j, Borrowing borrowing,
                      double most = std::numeric_limits<double>::max());
 
   // --- preemption: only when nothing can be launched, one machine, never by or of gangs
-  // `promised`: what the job holds and is promised; each eviction adds to it.
+  // `promised`: what the job holds and is promised; each preemption adds to it.
   void preempt(const Waiting& w, const std::vector<uint64_t>& own, uint32_t open,
                PlacementConstraints& promised);
 
-  bool evict_for(const Waiting& w, uint64_t renews, PlacementConstraints& promised);
+  bool nominate_for(const Waiting& w, uint64_t renews, PlacementConstraints& promised);
 
   // The ranking of machines is ours: the lowest highest victim, the least work lost (with the fetch
   // that the preemptor would wait for), the fewest victims.
@@ -330,7 +330,7 @@
   std::vector<std::unique_ptr<Machine>> imagined_;
   std::vector<Resources> usage_;
   std::vector<Resources> given_up_;  // by team: victims chosen in this cycle
-  std::set<std::string> evicted_on_;
+  std::set<std::string> preempted_on_;
   using Shape = std::tuple<int, bool, bool, Priority, double, double, double,
                            std::vector<std::string>, std::string>;
   std::set<Shape> hopeless_;
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -61,10 +61,10 @@
     n.settle(c);
     return scheduler::plan(c, n, cloud_capacity, platform, op, WallTime(Millis(100'000)), now);
   }
-  // Carries the plan's evictions out, as the leader does.
+  // Carries the plan's preemptions out, as the leader does.
   void carry_out(const scheduler::Plan& p) {
     for (const uint64_t id : p.cleared) n.end(id, End::cleared);
-    for (const auto& e : p.evictions) {
+    for (const auto& e : p.preemptions) {
       if (e.renews) n.end(e.renews, End::renominated);
       for (const auto& v : e.victims) {
         Machine& h = *c.find_machine(e.machine);
@@ -111,17 +111,17 @@
   uint64_t sequence = 1;
 };
 
-TEST_F(PreemptionTest, EvictsOnlyWhenNothingCanBeLaunched) {
+TEST_F(PreemptionTest, PreemptsOnlyWhenNothingCanBeLaunched) {
   Machine& h = *c.find_machine("vm-1");
   run(add("run-000001", Priority::low, 8), h);
   add("run-000002", Priority::high, 4);
   cloud_capacity.refused.clear();
-  EXPECT_TRUE(plan().evictions.empty());
+  EXPECT_TRUE(plan().preemptions.empty());
   EXPECT_FALSE(plan().capacity_requests.empty());
   cloud_capacity.refused = {{"box", "a", false}, {"box", "a", true}};
   const auto p = plan();
-  ASSERT_EQ(p.evictions.size(), 1u);
-  EXPECT_EQ(p.evictions[0].room.cpus, 4) << "the exact room, not the victim's";
+  ASSERT_EQ(p.preemptions.size(), 1u);
+  EXPECT_EQ(p.preemptions[0].room.cpus, 4) << "the exact room, not the victim's";
 }
 
 TEST_F(PreemptionTest, TakesBackVictimsThatNeedNotGo) {
@@ -130,8 +130,8 @@
   for (int i = 0; i < 4; ++i) run(low, h);
   add("run-000002", Priority::high, 4);
   const auto p = plan();
-  ASSERT_EQ(p.evictions.size(), 1u);
-  EXPECT_EQ(p.evictions[0].victims.size(), 2u);
+  ASSERT_EQ(p.preemptions.size(), 1u);
+  EXPECT_EQ(p.preemptions[0].victims.size(), 2u);
 }
 
 TEST_F(PreemptionTest, EqualPriorityIsNoVictimAndGangsAreNeither) {
@@ -144,14 +144,14 @@
   c.load_job({g, WallTime(Millis(1))}, 10, now);
   run(*c.job("run-000003"), h).gang = true;
   add("run-000002", Priority::normal, 4);
-  EXPECT_TRUE(plan().evictions.empty());
+  EXPECT_TRUE(plan().preemptions.empty());
   c.close_job("run-000002", false, now);
   JobSpec pre = g;
   pre.id = "run-000004";
   pre.priority = Priority::production;
   pre.need = {8, 0, 1};
   c.load_job({pre, WallTime(Millis(2))}, 10, now);
-  EXPECT_TRUE(plan().evictions.empty()) << "a gang does not preempt";
+  EXPECT_TRUE(plan().preemptions.empty()) << "a gang does not preempt";
 }
 
 TEST_F(PreemptionTest, NoSecondPreemptionWhileAVictimIsAllocated) {
@@ -165,7 +165,7 @@
   for (int i = 0; i < 3; ++i) {
     now += seconds(30);
     other.last_heartbeat = h.last_heartbeat = now;
-    EXPECT_TRUE(plan().evictions.empty()) << "no timer makes it try elsewhere";
+    EXPECT_TRUE(plan().preemptions.empty()) << "no timer makes it try elsewhere";
     EXPECT_EQ(n.all().size(), 1u);
   }
 }
@@ -213,12 +213,12 @@
   carry_out(plan());
   add("run-000003", Priority::normal, 4);
   const auto p = plan();
-  ASSERT_EQ(p.evictions.size(), 1u) << "the other half of what the victim leaves";
+  ASSERT_EQ(p.preemptions.size(), 1u) << "the other half of what the victim leaves";
   carry_out(p);
   EXPECT_EQ(n.all().size(), 2u);
   EXPECT_EQ(n.victims_on("vm-1")->size(), 1u);
   add("run-000007", Priority::normal, 4);
-  EXPECT_TRUE(plan().evictions.empty()) << "both halves are held";
+  EXPECT_TRUE(plan().preemptions.empty()) << "both halves are held";
 }
 
 TEST_F(PreemptionTest, PlacementTriesTheHeldRoomFirstAndEndsTheNomination) {
@@ -268,9 +268,9 @@
   Machine& other = machine("vm-2");
   run(add("run-000004", Priority::low, 8), other);
   const auto p = plan();
-  ASSERT_EQ(p.evictions.size(), 1u);
-  EXPECT_EQ(p.evictions[0].renews, first);
-  EXPECT_EQ(p.evictions[0].machine, "vm-2");
+  ASSERT_EQ(p.preemptions.size(), 1u);
+  EXPECT_EQ(p.preemptions[0].renews, first);
+  EXPECT_EQ(p.preemptions[0].machine, "vm-2");
   carry_out(p);
   ASSERT_EQ(n.all().size(), 1u);
   EXPECT_EQ(n.all().begin()->second.machine, "vm-2");
@@ -283,7 +283,7 @@
   c.close_job("run-000001", false, now);
   cloud_capacity.refused.clear();
   const auto p = plan();
-  EXPECT_TRUE(p.evictions.empty());
+  EXPECT_TRUE(p.preemptions.empty());
   EXPECT_EQ(p.cleared, std::vector<uint64_t>{first});
   carry_out(p);
   EXPECT_FALSE(plan().capacity_requests.empty());
@@ -295,14 +295,14 @@
   run(borrowing, h);
   run(borrowing, h);
   add("run-000002", Priority::low, 4, 1, "red");
-  EXPECT_TRUE(plan().evictions.empty()) << "blue is within its own guarantee";
+  EXPECT_TRUE(plan().preemptions.empty()) << "blue is within its own guarantee";
   Machine& other = machine("vm-2");
   Job& more = add("run-000003", Priority::high, 4, 2, "blue");
   run(more, other);
   run(more, other);
   const auto p = plan();
-  ASSERT_EQ(p.evictions.size(), 1u);
-  EXPECT_EQ(p.evictions[0].job, "run-000002");
+  ASSERT_EQ(p.preemptions.size(), 1u);
+  EXPECT_EQ(p.preemptions[0].job, "run-000002");
 }
 
 TEST_F(PreemptionTest, AVictimWhoseRunNeverWentOutIsUndoneAtOnce) {
@@ -317,15 +317,15 @@
   EXPECT_EQ(low.pending(), 1u);
 }
 
-TEST_F(PreemptionTest, AFailingJobDoesNotEvict) {
+TEST_F(PreemptionTest, AFailingJobDoesNotPreempt) {
   run(add("run-000001", Priority::low, 8), *c.find_machine("vm-1"));
   add("run-000002", Priority::high, 4).failing = true;
-  EXPECT_TRUE(plan().evictions.empty());
+  EXPECT_TRUE(plan().preemptions.empty());
 }
 
 TEST_F(PreemptionTest, WorkWithinAGuaranteeIsNotGivenUpForAnothers) {
   // Found on the grown deployment: two teams, each with work within its guarantee and more beyond,
-  // evicted one another's tasks ten times a second.
+  // preempted one another's tasks ten times a second.
   machine("vm-2");
   Job& within = add("run-000001", Priority::normal, 4, 2, "blue");  // 8 of a guaranteed 8
   Job& beyond = add("run-000002", Priority::normal, 4, 2, "blue");
@@ -335,9 +335,9 @@
   run(beyond, *c.find_machine("vm-2"));
   add("run-000003", Priority::normal, 4, 2, "red");
   const auto p = plan();
-  ASSERT_EQ(p.evictions.size(), 1u);
-  EXPECT_EQ(p.evictions[0].machine, "vm-2");
-  for (const auto& v : p.evictions[0].victims) EXPECT_EQ(v.task.job, "run-000002");
+  ASSERT_EQ(p.preemptions.size(), 1u);
+  EXPECT_EQ(p.preemptions[0].machine, "vm-2");
+  for (const auto& v : p.preemptions[0].victims) EXPECT_EQ(v.task.job, "run-000002");
 }
 
 }  // namespace
--- a/tests/random_placements_test.cpp
+++ b/tests/random_placements_test.cpp
@@ -127,7 +127,7 @@
     services += scenario.services;
   }
   EXPECT_EQ(sum.refused_allocations, 0u) << "a plan broke its job's constraints";
-  // A generator that evicts nobody would show nothing.
+  // A generator that preempts nobody would show nothing.
   EXPECT_GT(sum.made, kScenarios);
   EXPECT_GT(sum.used, kScenarios / 2);
   EXPECT_GT(sum.cleared, 0u);
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -21,7 +21,7 @@
 
 // What a set of clusters brought about, to show that they were no idle ones.
 struct Tally {
-  uint64_t evictions = 0;
+  uint64_t preemptions = 0;
   uint64_t used = 0;     // nominations
   uint64_t cleared = 0;  // nominations
   uint64_t zone_bound_starts = 0;
@@ -276,7 +276,7 @@
     state_.nominations.settle(state_.cluster);
     const Plan decided = plan(state_.cluster, state_.nominations, cloud_capacity, platform_, op_,
                               clock_.wall(), clock_.now());
-    tally_.evictions += decided.evictions.size();
+    tally_.preemptions += decided.preemptions.size();
     (void)apply(decided, state_, clock_.now());
     std::set<std::string> jobs, machines;
     for (const auto& x : decided.placements) jobs.insert(x.job), machines.insert(x.machine);
@@ -334,7 +334,7 @@
   // Room that is being made for a job in this cycle is where all of it may go.
   void check_promises(const Plan& decided) {
     std::map<std::string, std::map<std::string, uint32_t>> zones;
-    for (const auto& e : decided.evictions) {
+    for (const auto& e : decided.preemptions) {
       const Machine& h = *state_.cluster.find_machine(e.machine);
       const JobSpec& spec = open_.at(e.job);
       ++zones[e.job][h.zone];
@@ -396,7 +396,7 @@
     cluster.play(kRounds);
     if (cluster.failed()) return;
   }
-  EXPECT_GT(tally.evictions, kClusters) << "clusters in which nobody is evicted show little";
+  EXPECT_GT(tally.preemptions, kClusters) << "clusters in which nobody is evicted show little";
   EXPECT_GT(tally.used, kClusters / 2);
   EXPECT_GT(tally.cleared, kClusters / 10);
   EXPECT_GT(tally.zone_bound_starts, kClusters * 10);
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -388,7 +388,7 @@
 }
 
 TEST_F(SchedulerTest, TheRoomThatOthersLeaveIsKeptForAGangThatWaits) {
-  // Gangs do not evict: single tasks took each freed place, and the larger the gang the longer it
+  // Gangs do not preempt: single tasks took each freed place, and the larger the gang the longer it
   // waited.
   Machine& a = machine("vm-1");
   Machine& b = machine("vm-2");
@@ -578,11 +578,11 @@
   high.need.cpus = 8;
   add(high);
   const Plan first = plan();
-  ASSERT_EQ(first.evictions.size(), 1u);
-  const auto& e = first.evictions.front();
+  ASSERT_EQ(first.preemptions.size(), 1u);
+  const auto& e = first.preemptions.front();
   n.add(e.job, e.machine, e.room, e.priority, e.victims);
   (void)c.preempt(h, e.victims.front().task, e.victims.front().attempt, now);
-  EXPECT_EQ(wait_causes(plan()).at("run-000002"), WaitCause::eviction);
+  EXPECT_EQ(wait_causes(plan()).at("run-000002"), WaitCause::preemption);
 }
 
 }  // namespace
--- a/tests/zone_constraints_test.cpp
+++ b/tests/zone_constraints_test.cpp
@@ -41,7 +41,7 @@
   }
   std::map<std::string, uint32_t> evicted_by_zone(const Plan& p) {
     std::map<std::string, uint32_t> zones;
-    for (const auto& e : p.evictions) ++zones[cluster.find_machine(e.machine)->zone];
+    for (const auto& e : p.preemptions) ++zones[cluster.find_machine(e.machine)->zone];
     return zones;
   }
 
