--- a/src/dunlinknot/cloud/client.cpp
+++ b/src/dunlinknot/cloud/client.cpp
@@ -11,11 +11,11 @@
 constexpr size_t kBody = kPageMachines * kMachineBytes;
 }  // namespace
 
-Client::Client(Loop& loop, http::Transport& transport, http::Endpoint at, double rps)
-    : loop_(loop), transport_(transport), at_(at), budget_(rps * 0.9, std::max(1.0, rps)) {}
+Client::Client(EventLoop& loop, http::Transport& transport, http::Endpoint at, double rps)
+    : loop_(loop), transport_(transport), at_(at), rate_limit_(rps * 0.9, std::max(1.0, rps)) {}
 
 Task<http::Reply> Client::call(std::string method, std::string target, std::string body) {
-  while (!budget_.take(loop_.now())) co_await loop_.sleep(budget_.until(loop_.now()));
+  while (!rate_limit_.take(loop_.now())) co_await loop_.sleep(rate_limit_.until(loop_.now()));
   http::Call c;
   c.to = at_;
   c.method = std::move(method);
--- a/src/dunlinknot/cloud/client.hpp
+++ b/src/dunlinknot/cloud/client.hpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "dunlinknot/http/client.hpp"
-#include "dunlinknot/runtime/budget.hpp"
+#include "dunlinknot/runtime/token_bucket.hpp"
 #include "dunlinknot/wire/messages.hpp"
 
 namespace dunlinknot::cloud {
@@ -20,7 +20,7 @@
 
 class Client {
  public:
-  Client(Loop& loop, http::Transport& transport, http::Endpoint at, double rps);
+  Client(EventLoop& loop, http::Transport& transport, http::Endpoint at, double rps);
 
   Task<std::optional<std::vector<MachineType>>> catalog();
   Task<LaunchResult> launch(std::string request, std::string type, std::string zone, bool spot,
@@ -28,16 +28,16 @@
   Task<Outcome> remove(std::vector<std::string> machines);
   Task<std::optional<MachineList>> list(std::string after);
   // When the cloud may next be asked, and whether it answered the last time.
-  Nanos until_free() { return budget_.until(loop_.now()); }
+  Nanos until_free() { return rate_limit_.until(loop_.now()); }
   bool answering() const { return answering_; }
 
  private:
   Task<http::Reply> call(std::string method, std::string target, std::string body);
 
-  Loop& loop_;
+  EventLoop& loop_;
   http::Transport& transport_;
   http::Endpoint at_;
-  Budget budget_;
+  TokenBucket rate_limit_;
   bool answering_ = true;
 };
 
--- a/src/dunlinknot/cluster/leader_context.hpp
+++ b/src/dunlinknot/cluster/leader_context.hpp
@@ -3,8 +3,8 @@
 #pragma once
 #include "dunlinknot/cluster/cluster.hpp"
 #include "dunlinknot/preemption/nominations.hpp"
-#include "dunlinknot/runtime/loop.hpp"
-#include "dunlinknot/runtime/shared.hpp"
+#include "dunlinknot/runtime/event_loop.hpp"
+#include "dunlinknot/runtime/synchronized.hpp"
 
 namespace dunlinknot::cluster {
 
@@ -15,7 +15,7 @@
 };
 
 struct LeaderContext {
-  LeaderContext(Loop& l, const settings::Platform& p, const settings::Operator& o)
+  LeaderContext(EventLoop& l, const settings::Platform& p, const settings::Operator& o)
       : loop(l),
         platform(p),
         op(o),
@@ -27,11 +27,11 @@
         runs(l),
         scaling(l) {}
 
-  Loop& loop;
+  EventLoop& loop;
   const settings::Platform& platform;
   const settings::Operator& op;
-  Shared<LeaderState> leader_state;
-  Signal schedule, store_machines, store_done, stops, runs, scaling;
+  Synchronized<LeaderState> leader_state;
+  AutoResetEvent schedule, store_machines, store_done, stops, runs, scaling;
 
   // Each term has a number; a part that was started for one ends with it.
   uint64_t term = 0;
--- a/src/dunlinknot/http/client.cpp
+++ b/src/dunlinknot/http/client.cpp
@@ -4,7 +4,7 @@
 
 namespace dunlinknot::http {
 
-Client::Client(Loop& loop, size_t max_idle_per_peer, Nanos idle_time)
+Client::Client(EventLoop& loop, size_t max_idle_per_peer, Nanos idle_time)
     : loop_(loop), max_idle_(max_idle_per_peer), idle_time_(idle_time) {}
 
 Task<Reply> Client::attempt(Socket& socket, const Call& call, bool& untouched, bool& reusable) {
--- a/src/dunlinknot/http/client.hpp
+++ b/src/dunlinknot/http/client.hpp
@@ -38,7 +38,7 @@
 // Keeps a few idle connections per peer.
 class Client final : public Transport {
  public:
-  Client(Loop& loop, size_t max_idle_per_peer, Nanos idle_time);
+  Client(EventLoop& loop, size_t max_idle_per_peer, Nanos idle_time);
   Task<Reply> exchange(Call call) override;
   size_t open_connections() const { return open_; }
 
@@ -49,7 +49,7 @@
   };
   Task<Reply> attempt(Socket& socket, const Call& call, bool& untouched, bool& reusable);
 
-  Loop& loop_;
+  EventLoop& loop_;
   size_t max_idle_;
   Nanos idle_time_;
   size_t open_ = 0;
--- a/src/dunlinknot/http/server.cpp
+++ b/src/dunlinknot/http/server.cpp
@@ -6,7 +6,7 @@
 
 namespace dunlinknot::http {
 
-Server::Server(Loop& loop, Endpoint at, ServerOptions options, Handler handler)
+Server::Server(EventLoop& loop, Endpoint at, ServerOptions options, Handler handler)
     : loop_(loop), listener_(loop, at), options_(options), handler_(std::move(handler)) {}
 
 Task<void> Server::serve() {
--- a/src/dunlinknot/http/server.hpp
+++ b/src/dunlinknot/http/server.hpp
@@ -18,7 +18,7 @@
 // Serves one listening address. Connections over the limit are told to come back and closed.
 class Server {
  public:
-  Server(Loop& loop, Endpoint at, ServerOptions options, Handler handler);
+  Server(EventLoop& loop, Endpoint at, ServerOptions options, Handler handler);
   Task<void> serve();
   size_t connections() const { return connections_; }
   uint64_t turned_away() const { return turned_away_; }
@@ -28,7 +28,7 @@
   Task<void> connection(Socket socket);
   Task<void> turn_away(Socket socket);
 
-  Loop& loop_;
+  EventLoop& loop_;
   Listener listener_;
   ServerOptions options_;
   Handler handler_;
--- a/src/dunlinknot/http/socket.cpp
+++ b/src/dunlinknot/http/socket.cpp
@@ -46,7 +46,7 @@
   return std::string(buf) + ":" + std::to_string(port);
 }
 
-Socket::Socket(Loop& loop, int fd) : loop_(&loop), fd_(fd) {
+Socket::Socket(EventLoop& loop, int fd) : loop_(&loop), fd_(fd) {
   loop.watch_fd(fd);
 }
 
@@ -68,7 +68,7 @@
   fd_ = -1;
 }
 
-Task<Socket> Socket::connect(Loop& loop, Endpoint to, Instant deadline) {
+Task<Socket> Socket::connect(EventLoop& loop, Endpoint to, Instant deadline) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) co_return Socket{};
   const int one = 1;
@@ -108,7 +108,7 @@
   co_return true;
 }
 
-Listener::Listener(Loop& loop, Endpoint at) : loop_(loop) {
+Listener::Listener(EventLoop& loop, Endpoint at) : loop_(loop) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) throw std::runtime_error("cannot make a socket");
   const int one = 1;
--- a/src/dunlinknot/http/socket.hpp
+++ b/src/dunlinknot/http/socket.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "dunlinknot/runtime/loop.hpp"
+#include "dunlinknot/runtime/event_loop.hpp"
 
 namespace dunlinknot::http {
 
@@ -21,7 +21,7 @@
 class Socket {
  public:
   Socket() = default;
-  Socket(Loop& loop, int fd);
+  Socket(EventLoop& loop, int fd);
   Socket(Socket&& o) noexcept;
   Socket& operator=(Socket&& o) noexcept;
   ~Socket() { close(); }
@@ -29,24 +29,24 @@
   bool open() const { return fd_ >= 0; }
   int fd() const { return fd_; }
 
-  static Task<Socket> connect(Loop& loop, Endpoint to, Instant deadline);
+  static Task<Socket> connect(EventLoop& loop, Endpoint to, Instant deadline);
   // Bytes read, 0 at the end of the stream, -1 on an error or when the deadline has passed.
   Task<ssize_t> read_some(char* into, size_t room, Instant deadline);
   Task<bool> write_all(std::string_view bytes, Instant deadline);
 
  private:
-  Loop* loop_ = nullptr;
+  EventLoop* loop_ = nullptr;
   int fd_ = -1;
 };
 
 class Listener {
  public:
-  Listener(Loop& loop, Endpoint at);  // throws std::runtime_error
+  Listener(EventLoop& loop, Endpoint at);  // throws std::runtime_error
   Task<Socket> accept();
   uint16_t port() const;
 
  private:
-  Loop& loop_;
+  EventLoop& loop_;
   Socket socket_;
 };
 
--- a/src/dunlinknot/jobs/request_handler.cpp
+++ b/src/dunlinknot/jobs/request_handler.cpp
@@ -56,9 +56,9 @@
   return it == jobs_.end() ? std::pair<uint32_t, uint32_t>{0, 0} : it->second;
 }
 
-RequestHandler::RequestHandler(Loop& loop, kv::Client& store, const settings::Platform& platform,
-                               const settings::Operator& op, uint32_t seed,
-                               std::function<void(const std::string&)> cancelled)
+RequestHandler::RequestHandler(EventLoop& loop, kv::Client& store,
+                               const settings::Platform& platform, const settings::Operator& op,
+                               uint32_t seed, std::function<void(const std::string&)> cancelled)
     : loop_(loop),
       store_(store),
       platform_(platform),
--- a/src/dunlinknot/jobs/request_handler.hpp
+++ b/src/dunlinknot/jobs/request_handler.hpp
@@ -41,7 +41,7 @@
 
 class RequestHandler {
  public:
-  RequestHandler(Loop& loop, kv::Client& store, const settings::Platform& platform,
+  RequestHandler(EventLoop& loop, kv::Client& store, const settings::Platform& platform,
                  const settings::Operator& op, uint32_t seed,
                  std::function<void(const std::string& id)> cancelled);
 
@@ -78,7 +78,7 @@
   bool storable(const std::string& value) const;
   std::string never_runs(const JobSpec& spec) const;
 
-  Loop& loop_;
+  EventLoop& loop_;
   kv::Client& store_;
   const settings::Platform& platform_;
   const settings::Operator& op_;
--- a/src/dunlinknot/kv/client.cpp
+++ b/src/dunlinknot/kv/client.cpp
@@ -41,7 +41,7 @@
   return std::find(failed.begin(), failed.end(), key) != failed.end();
 }
 
-Client::Client(Loop& loop, http::Transport& transport, http::Endpoint at, const Limits& limits,
+Client::Client(EventLoop& loop, http::Transport& transport, http::Endpoint at, const Limits& limits,
                double share)
     : loop_(loop),
       transport_(transport),
--- a/src/dunlinknot/kv/client.hpp
+++ b/src/dunlinknot/kv/client.hpp
@@ -8,7 +8,7 @@
 
 #include "dunlinknot/http/client.hpp"
 #include "dunlinknot/kv/limits.hpp"
-#include "dunlinknot/runtime/budget.hpp"
+#include "dunlinknot/runtime/token_bucket.hpp"
 #include "dunlinknot/wire/pack.hpp"
 
 namespace dunlinknot::kv {
@@ -92,7 +92,7 @@
 class Client {
  public:
   // Keeps to this share of the service's rates.
-  Client(Loop& loop, http::Transport& transport, http::Endpoint at, const Limits& limits,
+  Client(EventLoop& loop, http::Transport& transport, http::Endpoint at, const Limits& limits,
          double share);
 
   Task<GetResult> get(std::string key, Nanos within, Importance how = Importance::normal);
@@ -125,14 +125,14 @@
   void on_throttled(bool writes);
   void adopt_limits();
 
-  Loop& loop_;
+  EventLoop& loop_;
   http::Transport& transport_;
   http::Endpoint at_;
   Limits limits_;
   double share_;
-  Budget requests_;
-  Budget writes_;
-  Budget user_writes_;
+  TokenBucket requests_;
+  TokenBucket writes_;
+  TokenBucket user_writes_;
   bool ever_served_ = false;
   Instant last_served_{};
   Instant last_served_sent_{};
--- a/src/dunlinknot/leadership/elector.cpp
+++ b/src/dunlinknot/leadership/elector.cpp
@@ -32,7 +32,7 @@
   return to_nanos(p.lease * kDrift + kMargin / 2);
 }
 
-Elector::Elector(Loop& loop, kv::Client& store, const settings::Platform& platform, Nanos ttl,
+Elector::Elector(EventLoop& loop, kv::Client& store, const settings::Platform& platform, Nanos ttl,
                  Hooks hooks)
     : loop_(loop),
       store_(store),
--- a/src/dunlinknot/leadership/elector.hpp
+++ b/src/dunlinknot/leadership/elector.hpp
@@ -33,7 +33,7 @@
     std::function<void(const Term&)> elected;
     std::function<void(uint64_t epoch, std::string_view why)> deposed;
   };
-  Elector(Loop& loop, kv::Client& store, const settings::Platform& platform, Nanos ttl,
+  Elector(EventLoop& loop, kv::Client& store, const settings::Platform& platform, Nanos ttl,
           Hooks hooks);
 
   Task<void> run();
@@ -70,7 +70,7 @@
   void step_down(std::string_view why);
   void become_leader(uint64_t epoch, uint64_t mod_revision, Instant asked);
 
-  Loop& loop_;
+  EventLoop& loop_;
   kv::Client& store_;
   const settings::Platform& platform_;
   Nanos ttl_;
@@ -90,7 +90,7 @@
   uint64_t revision_ = 0;
   Instant not_before_{};
   bool resigning_ = false;
-  Signal changed_;
+  AutoResetEvent changed_;
 };
 
 }  // namespace dunlinknot::leadership
--- a/src/dunlinknot/leadership/peers.cpp
+++ b/src/dunlinknot/leadership/peers.cpp
@@ -20,12 +20,12 @@
 using wire::peer::Kind;
 using wire::peer::Status;
 
-Peers::Peers(Loop& loop, const settings::Platform& platform, Hooks hooks)
+Peers::Peers(EventLoop& loop, const settings::Platform& platform, Hooks hooks)
     : loop_(loop), platform_(platform), hooks_(std::move(hooks)) {
   for (const auto& p : platform.peers) {
     Link& link = links_[p.node];
     link.peer = p;
-    link.wake = std::make_unique<Signal>(loop);
+    link.wake = std::make_unique<AutoResetEvent>(loop);
   }
 }
 
--- a/src/dunlinknot/leadership/peers.hpp
+++ b/src/dunlinknot/leadership/peers.hpp
@@ -24,7 +24,7 @@
     std::function<void(const std::string& job)> cancellation_received;  // a peer told its user so
   };
 
-  Peers(Loop& loop, const settings::Platform& platform, Hooks hooks);
+  Peers(EventLoop& loop, const settings::Platform& platform, Hooks hooks);
   void start();
 
   // The time until which every peer is known to have told of no cancellation beyond `revision`;
@@ -48,7 +48,7 @@
     std::optional<wire::peer::Status> last;
     Instant received_at{};
     Instant confirmed_to{};  // its answer was made after this moment
-    std::unique_ptr<Signal> wake;
+    std::unique_ptr<AutoResetEvent> wake;
     std::deque<std::string> cancelled;  // to be told
   };
   Task<void> dial(Link& link);
@@ -57,7 +57,7 @@
   Task<std::optional<std::pair<wire::peer::Kind, std::string>>> read_frame(http::Socket& socket,
                                                                            Instant deadline);
 
-  Loop& loop_;
+  EventLoop& loop_;
   const settings::Platform& platform_;
   Hooks hooks_;
   std::map<std::string, Link> links_;
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -37,7 +37,7 @@
   return std::max(most * 3 / 4, most > own ? most - own : 0);
 }
 
-Daemon::Daemon(Loop& loop, const settings::Platform& platform, const settings::Operator& op,
+Daemon::Daemon(EventLoop& loop, const settings::Platform& platform, const settings::Operator& op,
                http::Transport& transport, uint32_t seed)
     : loop_(loop),
       platform_(platform),
@@ -278,8 +278,8 @@
   context_.loaded = false;
   ++context_.term;
   // Whoever waits for a signal wakes up, sees that its term is over and ends.
-  for (Signal* s : {&context_.schedule, &context_.store_machines, &context_.store_done,
-                    &context_.stops, &context_.runs, &context_.scaling}) {
+  for (AutoResetEvent* s : {&context_.schedule, &context_.store_machines, &context_.store_done,
+                            &context_.stops, &context_.runs, &context_.scaling}) {
     s->notify();
   }
 }
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -19,7 +19,7 @@
 
 class Daemon {
  public:
-  Daemon(Loop& loop, const settings::Platform& platform, const settings::Operator& op,
+  Daemon(EventLoop& loop, const settings::Platform& platform, const settings::Operator& op,
          http::Transport& transport, uint32_t seed);
   // Opens the listening sockets (throws when that fails) and starts all parts.
   void start();
@@ -52,7 +52,7 @@
   bool may_renew() const;
   void on_user_cancellation(const std::string& id);
 
-  Loop& loop_;
+  EventLoop& loop_;
   const settings::Platform& platform_;
   const settings::Operator& op_;
   Instant began_;
--- a/src/dunlinknot/roles/intent_log.hpp
+++ b/src/dunlinknot/roles/intent_log.hpp
@@ -69,7 +69,7 @@
   RoleHolder& holder_;
   std::map<std::string, uint64_t> mod_revisions_;  // of the open intents
   std::deque<Ended> ended_;
-  Signal has_ended_;
+  AutoResetEvent has_ended_;
 };
 
 }  // namespace dunlinknot::roles
--- a/src/dunlinknot/roles/overview.cpp
+++ b/src/dunlinknot/roles/overview.cpp
@@ -13,7 +13,7 @@
 constexpr Millis kRetry{300};
 
 // All items under a prefix, page by page; nothing when a page did not come.
-Task<bool> list_all(Loop& loop, kv::Client& store, std::string prefix,
+Task<bool> list_all(EventLoop& loop, kv::Client& store, std::string prefix,
                     std::vector<kv::ListResult>& pages) {
   std::string after;
   for (;;) {
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-Task<std::optional<Overview>> read_overview(Loop& loop, kv::Client& store) {
+Task<std::optional<Overview>> read_overview(EventLoop& loop, kv::Client& store) {
   std::vector<kv::ListResult> role_pages;
   std::vector<kv::ListResult> intent_pages;
   const bool roles = co_await list_all(loop, store, std::string(kRolePrefix), role_pages);
--- a/src/dunlinknot/roles/overview.hpp
+++ b/src/dunlinknot/roles/overview.hpp
@@ -25,7 +25,7 @@
 };
 
 // Nothing when the key-value store did not answer.
-Task<std::optional<Overview>> read_overview(Loop& loop, kv::Client& store);
+Task<std::optional<Overview>> read_overview(EventLoop& loop, kv::Client& store);
 void print(std::ostream& out, const Overview& overview);
 
 }  // namespace dunlinknot::roles
--- a/src/dunlinknot/runtime/loop.cpp
+++ b/src/dunlinknot/runtime/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "dunlinknot/runtime/loop.hpp"
+#include "dunlinknot/runtime/event_loop.hpp"
 
 #include <spdlog/spdlog.h>
 #include <sys/epoll.h>
@@ -16,8 +16,8 @@
 // The outermost frame of a spawned coroutine: it starts at once, owns the task and frees itself.
 struct Detached {
   struct promise_type {
-    Loop& loop;
-    promise_type(Loop& l, Task<void>&) : loop(l) { loop.spawned().insert(frame()); }
+    EventLoop& loop;
+    promise_type(EventLoop& l, Task<void>&) : loop(l) { loop.spawned().insert(frame()); }
     ~promise_type() { loop.spawned().erase(frame()); }
     void* frame() { return std::coroutine_handle<promise_type>::from_promise(*this).address(); }
     Detached get_return_object() { return {}; }
@@ -28,7 +28,7 @@
   };
 };
 
-Detached run_detached([[maybe_unused]] Loop& loop, Task<void> task) {
+Detached run_detached([[maybe_unused]] EventLoop& loop, Task<void> task) {
   try {
     co_await task;
   } catch (const std::exception& e) {
@@ -38,14 +38,14 @@
 
 }  // namespace
 
-Loop::Loop(Clock& clock, bool with_epoll) : clock_(clock) {
+EventLoop::EventLoop(Clock& clock, bool with_epoll) : clock_(clock) {
   if (with_epoll) {
     epoll_ = ::epoll_create1(EPOLL_CLOEXEC);
     if (epoll_ < 0) throw std::runtime_error("epoll_create1 failed");
   }
 }
 
-void Loop::abandon() {
+void EventLoop::abandon() {
   abandoned_ = true;
   ready_.clear();
   timers_.clear();
@@ -54,30 +54,30 @@
   abandoned_ = false;
 }
 
-Loop::~Loop() {
+EventLoop::~EventLoop() {
   abandon();
   if (epoll_ >= 0) ::close(epoll_);
 }
 
-void Loop::spawn(Task<void> task) {
+void EventLoop::spawn(Task<void> task) {
   run_detached(*this, std::move(task));
 }
 
-void Loop::arm(Waiter& w) {
+void EventLoop::arm(Waiter& w) {
   if (w.deadline != Instant::max()) {
     w.timed = true;
     timers_.emplace(w.deadline, &w);
   }
 }
 
-void Loop::disarm(Waiter& w) {
+void EventLoop::disarm(Waiter& w) {
   if (w.timed) {
     timers_.erase({w.deadline, &w});
     w.timed = false;
   }
 }
 
-void Loop::wake(Waiter& w, bool timed_out) {
+void EventLoop::wake(Waiter& w, bool timed_out) {
   disarm(w);
   if (w.slot) *w.slot = nullptr;
   w.slot = nullptr;
@@ -85,12 +85,12 @@
   ready_.push_back(w.handle);
 }
 
-void Loop::Sleep::await_suspend(std::coroutine_handle<> h) {
+void EventLoop::Sleep::await_suspend(std::coroutine_handle<> h) {
   waiter.handle = h;
   loop.arm(waiter);
 }
 
-void Loop::Io::await_suspend(std::coroutine_handle<> h) {
+void EventLoop::Io::await_suspend(std::coroutine_handle<> h) {
   waiter.handle = h;
   FdSlots& slots = loop.fds_[static_cast<size_t>(fd)];
   waiter.slot = write ? &slots.writer : &slots.reader;
@@ -98,7 +98,7 @@
   loop.arm(waiter);
 }
 
-void Loop::watch_fd(int fd) {
+void EventLoop::watch_fd(int fd) {
   if (fds_.size() <= static_cast<size_t>(fd)) fds_.resize(static_cast<size_t>(fd) + 1);
   fds_[static_cast<size_t>(fd)] = FdSlots{};
   epoll_event ev{};
@@ -107,7 +107,7 @@
   ::epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &ev);
 }
 
-void Loop::forget_fd(int fd) {
+void EventLoop::forget_fd(int fd) {
   if (abandoned_) return;  // closing the socket takes it off epoll as well
   // Found by the handover run under the address sanitizer: a socket that outlived abandon().
   if (static_cast<size_t>(fd) >= fds_.size()) return;
@@ -117,7 +117,7 @@
   ::epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, nullptr);
 }
 
-void Loop::run_ready() {
+void EventLoop::run_ready() {
   while (!ready_.empty() && !stopping_) {
     auto h = ready_.front();
     ready_.pop_front();
@@ -125,16 +125,16 @@
   }
 }
 
-Instant Loop::next_timer() const {
+Instant EventLoop::next_timer() const {
   return timers_.empty() ? Instant::max() : timers_.begin()->first;
 }
 
-void Loop::fire_due() {
+void EventLoop::fire_due() {
   const Instant t = now();
   while (!timers_.empty() && timers_.begin()->first <= t) wake(*timers_.begin()->second, true);
 }
 
-void Loop::poll_io() {
+void EventLoop::poll_io() {
   int timeout = -1;
   if (!ready_.empty()) {
     timeout = 0;
@@ -152,7 +152,7 @@
   }
 }
 
-void Loop::run() {
+void EventLoop::run() {
   while (!stopping_) {
     run_ready();
     if (stopping_) break;
--- a/src/dunlinknot/runtime/loop.hpp
+++ b/src/dunlinknot/runtime/event_loop.hpp
@@ -15,7 +15,7 @@
 
 namespace dunlinknot {
 
-class Loop {
+class EventLoop {
  public:
   // One suspended coroutine, waiting for a time, for a socket, for a signal, or for several.
   struct Waiter {
@@ -26,10 +26,10 @@
     Waiter** slot = nullptr;  // the place that refers to this waiter, cleared on resume
   };
 
-  explicit Loop(Clock& clock, bool with_epoll = true);
-  ~Loop();
-  Loop(const Loop&) = delete;
-  Loop& operator=(const Loop&) = delete;
+  explicit EventLoop(Clock& clock, bool with_epoll = true);
+  ~EventLoop();
+  EventLoop(const EventLoop&) = delete;
+  EventLoop& operator=(const EventLoop&) = delete;
 
   Instant now() const { return clock_.now(); }
   WallTime wall() const { return clock_.wall(); }
@@ -45,7 +45,7 @@
   std::set<void*>& spawned() { return spawned_; }
 
   struct [[nodiscard]] Sleep {
-    Loop& loop;
+    EventLoop& loop;
     Waiter waiter;
     bool await_ready() const { return false; }
     void await_suspend(std::coroutine_handle<> h);
@@ -56,7 +56,7 @@
 
   // Waits until the socket may be read (or written); false when the deadline passed first.
   struct [[nodiscard]] Io {
-    Loop& loop;
+    EventLoop& loop;
     int fd;
     bool write;
     Waiter waiter;
@@ -103,9 +103,9 @@
 };
 
 // A signal that is remembered until it is taken: any number of notify() calls wake one waiter once.
-class Signal {
+class AutoResetEvent {
  public:
-  explicit Signal(Loop& loop) : loop_(loop) {}
+  explicit AutoResetEvent(EventLoop& loop) : loop_(loop) {}
   void notify() {
     if (waiter_) {
       loop_.wake(*waiter_, false);
@@ -114,8 +114,8 @@
     }
   }
   struct [[nodiscard]] Wait {
-    Signal& signal;
-    Loop::Waiter waiter;
+    AutoResetEvent& signal;
+    EventLoop::Waiter waiter;
     bool await_ready() {
       if (!signal.set_) return false;
       signal.set_ = false;
@@ -131,14 +131,14 @@
   };
   // One waiter at a time. False when the deadline passed first.
   Wait wait_until(Instant deadline) {
-    return Wait{*this, Loop::Waiter{{}, deadline, false, false, nullptr}};
+    return Wait{*this, EventLoop::Waiter{{}, deadline, false, false, nullptr}};
   }
   Wait wait() { return wait_until(Instant::max()); }
 
  private:
-  Loop& loop_;
+  EventLoop& loop_;
   bool set_ = false;
-  Loop::Waiter* waiter_ = nullptr;
+  EventLoop::Waiter* waiter_ = nullptr;
 };
 
 }  // namespace dunlinknot
--- a/src/dunlinknot/runtime/shared.hpp
+++ b/src/dunlinknot/runtime/synchronized.hpp
@@ -7,10 +7,10 @@
 namespace dunlinknot {
 
 template <class T>
-class Shared {
+class Synchronized {
  public:
   template <class... A>
-  explicit Shared(A&&... a) : value_(std::forward<A>(a)...) {}
+  explicit Synchronized(A&&... a) : value_(std::forward<A>(a)...) {}
 
   template <class F>
   auto with(F&& f) {
--- a/src/dunlinknot/runtime/budget.hpp
+++ b/src/dunlinknot/runtime/token_bucket.hpp
@@ -1,5 +1,5 @@
-// A request budget: so many a second, with bursts. A caller either takes its share or is told when
-// to come back; nothing queues in here.
+// A token bucket: so many requests a second, with bursts. A caller either takes its share or is
+// told when to come back; nothing queues in here.
 #pragma once
 #include <algorithm>
 
@@ -7,9 +7,9 @@
 
 namespace dunlinknot {
 
-class Budget {
+class TokenBucket {
  public:
-  Budget(double per_second, double burst) : rate_(per_second), burst_(burst), level_(burst) {}
+  TokenBucket(double per_second, double burst) : rate_(per_second), burst_(burst), level_(burst) {}
 
   bool take(Instant now, double n = 1) {
     refill(now);
--- a/src/dunlinknot/workers/heartbeat_handler.cpp
+++ b/src/dunlinknot/workers/heartbeat_handler.cpp
@@ -82,7 +82,7 @@
 }
 
 Task<void> HeartbeatHandler::await_run(std::string machine) {
-  Signal signal(context_.loop);
+  AutoResetEvent signal(context_.loop);
   if (const auto it = waiting_.find(machine); it != waiting_.end()) it->second->notify();
   waiting_[machine] = &signal;
   const Nanos most =
--- a/src/dunlinknot/workers/heartbeat_handler.hpp
+++ b/src/dunlinknot/workers/heartbeat_handler.hpp
@@ -39,7 +39,7 @@
   Instant last_answered_heartbeat_{};
   uint64_t bad_ = 0;
   size_t calling_ = 0;
-  std::unordered_map<std::string, Signal*> waiting_;  // by machine: the answer that waits
+  std::unordered_map<std::string, AutoResetEvent*> waiting_;  // by machine: the answer that waits
 };
 
 }  // namespace dunlinknot::workers
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -37,7 +37,7 @@
 
 int serve(const settings::Platform& platform, const settings::Operator& op) {
   SystemClock clock;
-  Loop loop(clock);
+  EventLoop loop(clock);
   http::Client transport(loop, 12, std::chrono::seconds(20));
   const auto seed =
       static_cast<uint32_t>(std::hash<std::string>{}(platform.node) ^
@@ -52,7 +52,7 @@
 
 constexpr int kStoreUnavailable = 3;  // exit status
 
-Task<void> show_roles(Loop& loop, kv::Client& store, int& status) {
+Task<void> show_roles(EventLoop& loop, kv::Client& store, int& status) {
   const std::optional<roles::Overview> overview = co_await roles::read_overview(loop, store);
   if (overview) {
     roles::print(std::cout, *overview);
@@ -66,7 +66,7 @@
 // Prints who holds the singleton roles and what is open; returns the exit status.
 int print_roles(const settings::Platform& platform) {
   SystemClock clock;
-  Loop loop(clock);
+  EventLoop loop(clock);
   http::Client transport(loop, 1, std::chrono::seconds(5));
   kv::Client store(loop, transport, platform.key_value_store, kv::Limits(platform.store_limits),
                    1.0);
--- a/tests/runtime_test.cpp
+++ b/tests/runtime_test.cpp
@@ -2,15 +2,15 @@
 #include <netinet/in.h>
 
 #include "dunlinknot/http/socket.hpp"
-#include "dunlinknot/runtime/budget.hpp"
+#include "dunlinknot/runtime/token_bucket.hpp"
 
 namespace dunlinknot {
 namespace {
 
-TEST(Budget, WhoeverWaitsAsLongAsItSaysGetsItsShare) {
+TEST(TokenBucket, WhoeverWaitsAsLongAsItSaysGetsItsShare) {
   // Found by the drawn meetings: what was missing refilled in less than a nanosecond, so the wait
   // was none at all, and the caller span.
-  Budget b(3.6, 4);
+  TokenBucket b(3.6, 4);
   Instant now{std::chrono::seconds(1)};
   for (int i = 0; i < 1000; ++i) {
     int waits = 0;
@@ -30,9 +30,9 @@
 
 // Found by the handover run under the address sanitizer: closing the socket woke a coroutine that
 // had ended with the loop.
-TEST(Loop, ASocketMayOutliveItsCoroutines) {
+TEST(EventLoop, ASocketMayOutliveItsCoroutines) {
   SystemClock clock;
-  Loop loop(clock);
+  EventLoop loop(clock);
   auto listener = std::make_unique<http::Listener>(loop, http::Endpoint{htonl(INADDR_LOOPBACK), 0});
   loop.spawn(accept_one(*listener));
   loop.run_ready();
--- a/tests/scripted_worker.cpp
+++ b/tests/scripted_worker.cpp
@@ -8,7 +8,7 @@
 using wire::Document;
 using wire::View;
 
-Worker::Worker(Loop& loop, std::string machine_id, const MachineType& type, std::string zone,
+Worker::Worker(EventLoop& loop, std::string machine_id, const MachineType& type, std::string zone,
                bool spot, std::string worker_address, Nanos lease)
     : id(std::move(machine_id)),
       address(std::move(worker_address)),
--- a/tests/support.cpp
+++ b/tests/support.cpp
@@ -227,7 +227,7 @@
     }
     co_return out;
   };
-  const auto boot = [](Loop& l, Worker* worker,
+  const auto boot = [](EventLoop& l, Worker* worker,
                        std::function<Task<http::Response>(http::Request)> h) -> Task<void> {
     co_await l.sleep(seconds(2));
     co_await worker->run(std::move(h), Millis(1500));
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -10,7 +10,7 @@
 
 #include "dunlinknot/http/client.hpp"
 #include "dunlinknot/node/daemon.hpp"
-#include "dunlinknot/runtime/loop.hpp"
+#include "dunlinknot/runtime/event_loop.hpp"
 #include "dunlinknot/settings/settings.hpp"
 #include "dunlinknot/wire/records.hpp"
 #include "rules.hpp"
@@ -41,7 +41,7 @@
  public:
   World() : loop(clock, false) {}
   FakeClock clock;
-  Loop loop;
+  EventLoop loop;
 
   void run_for(Nanos d) {
     const Instant end = clock.now() + d;
@@ -85,7 +85,7 @@
 
 class ScriptedStore {
  public:
-  explicit ScriptedStore(Loop& loop) : loop_(loop) {}
+  explicit ScriptedStore(EventLoop& loop) : loop_(loop) {}
   Task<http::Reply> serve(http::Call call);
 
   bool outage = false;
@@ -133,7 +133,7 @@
   Task<http::Reply> changes(std::string target, Instant deadline);
   void note(std::string key, bool deleted, std::string value);
 
-  Loop& loop_;
+  EventLoop& loop_;
   uint64_t revision_ = 1;
   uint64_t next_lease_ = 1;
   std::map<uint64_t, Lease> leases_;
@@ -148,7 +148,7 @@
 
 class ScriptedCloud {
  public:
-  explicit ScriptedCloud(Loop& loop) : loop_(loop) {}
+  explicit ScriptedCloud(EventLoop& loop) : loop_(loop) {}
   // `sender_token`: of the role under which the sender acts, for the history.
   Task<http::Reply> serve(http::Call call, uint64_t sender_token = 0);
 
@@ -191,7 +191,7 @@
   http::Reply remove(const http::Call& call, uint64_t sender_token);
   http::Reply list(const http::Call& call);
 
-  Loop& loop_;
+  EventLoop& loop_;
   uint64_t next_ = 1;
 };
 
@@ -207,7 +207,7 @@
     Instant since{};
     Instant ends{};
   };
-  Worker(Loop& loop, std::string id, const MachineType& type, std::string zone, bool spot,
+  Worker(EventLoop& loop, std::string id, const MachineType& type, std::string zone, bool spot,
          std::string address, Nanos lease);
 
   Task<void> run(std::function<Task<http::Response>(http::Request)> handler, Nanos pace);
@@ -244,7 +244,7 @@
   void end_all();
   http::Reply execute(const std::string& body);
   Task<void> execute_later(std::string body);
-  Loop& loop_;
+  EventLoop& loop_;
   MachineType type_;
   std::string zone_;
   bool spot_;
--- a/tools/handover_run.cpp
+++ b/tools/handover_run.cpp
@@ -528,7 +528,7 @@
 
   Options options_;
   SystemClock clock_;
-  Loop loop_;
+  EventLoop loop_;
   std::mt19937_64 random_;
   Instant began_{};
   std::ofstream history_;
