--- a/tests/meetings_test.cpp
+++ b/tests/concurrent_faults_test.cpp
@@ -193,7 +193,7 @@
   EXPECT_NE(r.body.find("stop"), std::string::npos);
 }
 
-TEST(Meetings, AListingThatLacksAJobEndsItAtOnce) {
+TEST(ConcurrentFaults, AListingThatLacksAJobEndsItAtOnce) {
   // The watch was too old, and asking how the missing job ended got no answer: its cancellation was
   // never heard of again.
   Site s(1);
@@ -215,7 +215,7 @@
   EXPECT_EQ(s.copies({"run-000001", 1}), 0u);
 }
 
-TEST(Meetings, AnAnswerOlderThanAJobsEndDoesNotBringItBack) {
+TEST(ConcurrentFaults, AnAnswerOlderThanAJobsEndDoesNotBringItBack) {
   // Its progress was written with an unknown outcome, so the leader reads its record; it is
   // cancelled while that answer is under way.
   Site s(1);
@@ -255,7 +255,7 @@
   EXPECT_EQ(s.copies({"run-000001", 1}), 0u);
 }
 
-TEST(Meetings, CancellationsQuestionsAndRepeatsMeetTheEndOfAJobsLastTask) {
+TEST(ConcurrentFaults, CancellationsQuestionsAndRepeatsMeetTheEndOfAJobsLastTask) {
   // On all nodes at once, from well before the end to well after it.
   Site s(3);
   s.run_for(seconds(2));
@@ -286,7 +286,7 @@
   expect_rules(s);
 }
 
-TEST(Meetings, ATeamAtItsLimitWhoseMachineCannotBeAskedWhenTheLeaderChanges) {
+TEST(ConcurrentFaults, ATeamAtItsLimitWhoseMachineCannotBeAskedWhenTheLeaderChanges) {
   Site s(3);
   s.cloud.capacity["box/a/ordinary"] = 4;
   s.run_for(seconds(2));
@@ -311,7 +311,7 @@
   expect_rules(s);
 }
 
-TEST(Meetings, TasksOfOneJobEndFarApartAcrossChangesOfLeader) {
+TEST(ConcurrentFaults, TasksOfOneJobEndFarApartAcrossChangesOfLeader) {
   Site s(3);
   s.cloud.capacity["box/a/ordinary"] = 4;
   s.run_for(seconds(2));
@@ -333,13 +333,13 @@
   expect_rules(s);
 }
 
-class RandomMeetings : public testing::TestWithParam<uint32_t> {};
+class RandomConcurrentFaults : public testing::TestWithParam<uint32_t> {};
 
-TEST_P(RandomMeetings, BreakNoRule) {
+TEST_P(RandomConcurrentFaults, BreakNoRule) {
   RandomScenario(GetParam()).play();
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, RandomMeetings, testing::Range(1u, 61u));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomConcurrentFaults, testing::Range(1u, 61u));
 
 }  // namespace
 }  // namespace dunlinknot::test
--- a/tests/role_handover_test.cpp
+++ b/tests/role_handover_test.cpp
@@ -180,7 +180,7 @@
   f.expect_clean();
 }
 
-enum class Trouble {
+enum class Fault {
   crash,            // back within a fraction of a second or some seconds
   crash_all,        // all controllers end amid their acts
   pause,            // the leader stands still, up to well over its lease
@@ -193,12 +193,12 @@
   crash_successor,  // the leader ends, and the next one during its take-over
   cloud_trouble,    // the cloud answers nobody
 };
-constexpr int kTroubles = 11;
+constexpr int kFaults = 11;
 
 // Draws jobs and troubles over a while, lets all troubles end, and expects a clean history.
 class Drawn {
  public:
-  Drawn(uint64_t seed, std::vector<Trouble> kinds) : random_(seed), kinds_(std::move(kinds)) {
+  Drawn(uint64_t seed, std::vector<Fault> kinds) : random_(seed), kinds_(std::move(kinds)) {
     f_.site.cloud.capacity["box/a/ordinary"] = 4;
     f_.site.cloud.capacity["crate/a/ordinary"] = 2;
     f_.site.cloud.late_by = seconds(15);
@@ -278,37 +278,37 @@
     for_a_while(15, [this] { f_.site.cloud.fate = nullptr; });
   }
 
-  void begin(Trouble trouble) {
+  void begin(Fault trouble) {
     const size_t leader = f_.site.leader().value_or(draw(kControllers));
     switch (trouble) {
-      case Trouble::crash:
+      case Fault::crash:
         return crash(leader);
-      case Trouble::crash_all:
+      case Fault::crash_all:
         for (size_t i = 0; i < kControllers; ++i) crash(i);
         return;
-      case Trouble::pause:
+      case Fault::pause:
         return set_for_a_while(&Site::Node::paused, leader, 12);
-      case Trouble::refused_alone:
+      case Fault::refused_alone:
         return set_for_a_while(&Site::Node::refused_by_store, leader, 10);
-      case Trouble::cut_from_store:
+      case Fault::cut_from_store:
         return set_for_a_while(&Site::Node::cut_from_store, leader, 10);
-      case Trouble::cut_from_cloud:
+      case Fault::cut_from_cloud:
         return set_for_a_while(&Site::Node::cut_from_cloud, leader, 10);
-      case Trouble::late_acts:
+      case Fault::late_acts:
         return some_calls(Fate::apply_late);
-      case Trouble::lost_answers:
+      case Fault::lost_answers:
         return some_calls(Fate::lose_reply);
-      case Trouble::late_writes:
+      case Fault::late_writes:
         f_.site.store.fate = [this](const http::Call& call) {
           return call.target == "/multi" && draw(8) == 0 ? Fate::apply_late : Fate::normal;
         };
         return for_a_while(10, [this] { f_.site.store.fate = nullptr; });
-      case Trouble::crash_successor:
+      case Fault::crash_successor:
         crash(leader);
         for (int i = 0; i < 1000 && !f_.site.leader(); ++i) f_.site.run_for(Millis(10));
         if (f_.site.leader()) crash(*f_.site.leader());
         return;
-      case Trouble::cloud_trouble:
+      case Fault::cloud_trouble:
         f_.site.cloud.trouble = true;
         return for_a_while(8, [this] { f_.site.cloud.trouble = false; });
     }
@@ -328,30 +328,30 @@
 
   Fixture f_;
   std::mt19937_64 random_;
-  std::vector<Trouble> kinds_;
+  std::vector<Fault> kinds_;
   std::vector<std::string> accepted_;
   std::vector<End> ends_;
 };
 
-class RoleTroubles : public testing::TestWithParam<int> {};
+class RoleFaults : public testing::TestWithParam<int> {};
 
-TEST_P(RoleTroubles, AloneLeaveACleanHistory) {
+TEST_P(RoleFaults, AloneLeaveACleanHistory) {
   for (uint64_t seed = 1; seed <= 2; ++seed) {
     SCOPED_TRACE(testing::Message() << "seed " << seed);
-    Drawn(seed, {static_cast<Trouble>(GetParam())}).run();
+    Drawn(seed, {static_cast<Fault>(GetParam())}).run();
   }
 }
-INSTANTIATE_TEST_SUITE_P(Kinds, RoleTroubles, testing::Range(0, kTroubles));
+INSTANTIATE_TEST_SUITE_P(Kinds, RoleFaults, testing::Range(0, kFaults));
 
-class RoleMeetings : public testing::TestWithParam<int> {};
+class RoleConcurrentFaults : public testing::TestWithParam<int> {};
 
-TEST_P(RoleMeetings, OfSeveralTroublesLeaveACleanHistory) {
-  std::vector<Trouble> all;
-  all.reserve(kTroubles);
-  for (int i = 0; i < kTroubles; ++i) all.push_back(static_cast<Trouble>(i));
+TEST_P(RoleConcurrentFaults, OfSeveralFaultsLeaveACleanHistory) {
+  std::vector<Fault> all;
+  all.reserve(kFaults);
+  for (int i = 0; i < kFaults; ++i) all.push_back(static_cast<Fault>(i));
   Drawn(static_cast<uint64_t>(100 + GetParam()), all).run();
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, RoleMeetings, testing::Range(0, 36));
+INSTANTIATE_TEST_SUITE_P(Seeds, RoleConcurrentFaults, testing::Range(0, 36));
 
 }  // namespace
 }  // namespace dunlinknot::test
--- a/tests/scenario_api_test.cpp
+++ b/tests/scenario_api_test.cpp
@@ -234,7 +234,7 @@
   EXPECT_LT(s.store.requests - again, asked + 1) << "and not at every probe";
 }
 
-TEST(Jobs, EveryNodeAnswersAgainSoonAfterAnyMixOfTroubles) {
+TEST(Jobs, EveryNodeAnswersAgainSoonAfterAnyMixOfFaults) {
   // A job about which no question is answered for 75 s counts as forgotten.
   Site s(3);
   s.run_for(seconds(2));
