--- a/benchmarks/cost_driver.cpp
+++ b/benchmarks/cost_driver.cpp
@@ -49,23 +49,24 @@
 class Driver {
  public:
   explicit Driver(const Load& load) : load_(load) {
-    site_.adjust_platform = [this](settings::Platform& p) {
+    site_.adjust_platform = [this](settings::Platform& platform) {
       const double cpus = 2000 * scale();
       const double gpus = 400 * scale();
-      p.teams = {{"red", cpus, 0, gpus, 0}, {"blue", cpus, 0, gpus, 0}, {"tiny", 0, 4, 0, 0}};
-      p.heartbeat_interval = Seconds(2.5);
-      p.store_limits.rps = 200;
-      p.store_limits.write_rps = 80;
-      p.store_limits.value_bytes = size_t{16} * 1024;
-      p.max_connections = 1800;
+      platform.teams = {
+          {"red", cpus, 0, gpus, 0}, {"blue", cpus, 0, gpus, 0}, {"tiny", 0, 4, 0, 0}};
+      platform.heartbeat_interval = Seconds(2.5);
+      platform.store_limits.rps = 200;
+      platform.store_limits.write_rps = 80;
+      platform.store_limits.value_bytes = size_t{16} * 1024;
+      platform.max_connections = 1800;
     };
     site_.cloud.types = catalog();
     site_.cloud.capacity["cpu/a/ordinary"] = load.machines / 2;
     site_.cloud.capacity["cpu/b/ordinary"] = load.machines / 4;
     site_.cloud.capacity["gpu/a/ordinary"] = load.machines / 4;
     site_.op.max_machines = load.machines;
-    site_.on_worker = [this](Worker& w) {
-      w.run_time = [this](const TaskRef& task) {
+    site_.on_worker = [this](Worker& worker) {
+      worker.run_time = [this](const TaskRef& task) {
         const double factor = 0.5 + static_cast<double>(task.index * 37 % 100) / 100;
         return to_nanos(Seconds(load_.task_seconds * factor));
       };
--- a/src/dunlinknot/autoscaler/autoscaler.cpp
+++ b/src/dunlinknot/autoscaler/autoscaler.cpp
@@ -82,7 +82,7 @@
       if (!context_.in_term(term)) co_return;
       if (types) {
         context_.leader_state.with(
-            [&](LeaderState& p) { p.cluster.set_catalog(std::move(*types)); });
+            [&](LeaderState& leader) { leader.cluster.set_catalog(std::move(*types)); });
       }
     }
     // A list of many pages leaves half of the cloud's budget to launches and returns.
@@ -95,22 +95,22 @@
 void Autoscaler::apply_list(const std::vector<ListedMachine>& machines, Instant now) {
   bool changed = false;
   std::vector<std::string> failed;
-  context_.leader_state.with([&](LeaderState& p) {
+  context_.leader_state.with([&](LeaderState& leader) {
     for (const auto& m : machines) {
-      if (p.cluster.was_removed(m.id)) continue;  // the list lags
-      const bool known = p.cluster.find_machine(m.id) != nullptr;
-      Machine& h = p.cluster.register_machine(m.id, m.type, m.zone, m.spot, now);
+      if (leader.cluster.was_removed(m.id)) continue;  // the list lags
+      const bool known = leader.cluster.find_machine(m.id) != nullptr;
+      Machine& machine = leader.cluster.register_machine(m.id, m.type, m.zone, m.spot, now);
       if (!known) {
         // Not launched under this term, or by a request whose answer was lost: used like any other.
-        h.known_since = now - to_nanos(m.age);
+        machine.known_since = now - to_nanos(m.age);
         changed = true;
         spdlog::info("machine {} ({} in {}) found in the list", m.id, m.type, m.zone);
       }
-      h.listed = true;
-      h.listed_running |= m.state == MachineState::running;
-      if (h.address.empty()) h.address = m.address;
-      if (m.state == MachineState::failed && !h.listed_failed) {
-        h.listed_failed = true;
+      machine.listed = true;
+      machine.listed_running |= m.state == MachineState::running;
+      if (machine.address.empty()) machine.address = m.address;
+      if (m.state == MachineState::failed && !machine.listed_failed) {
+        machine.listed_failed = true;
         changed = true;
         failed.push_back(m.id);
       }
@@ -126,48 +126,49 @@
   const auto& op = context_.op;
   const Nanos silent =
       to_nanos(context_.platform.heartbeat_interval * kHeartbeatSpread + kHeartbeatSlack);
-  context_.leader_state.with([&](LeaderState& p) {
+  context_.leader_state.with([&](LeaderState& leader) {
     // Deleting a machine that does not hear us is the quick fence: its tasks go elsewhere at once.
-    for (const auto& id : p.cluster.unreachable_machines())
+    for (const auto& id : leader.cluster.unreachable_machines())
       out.emplace_back(id, "our responses do not reach it");
-    for (const auto& [id, h] : p.cluster.machines()) {
-      if (h->terminating || h->unreachable) continue;
-      if (!h->has_heartbeat) {
+    for (const auto& [id, machine] : leader.cluster.machines()) {
+      if (machine->terminating || machine->unreachable) continue;
+      if (!machine->has_heartbeat) {
         // Some take several times as long; some never come up and cost until they are deleted.
         // What is allocated there by a former leader ends with the deletion (the fast fence).
-        const MachineType* t = p.cluster.type(h->type);
-        if (!t) continue;
+        const MachineType* machine_type = leader.cluster.type(machine->type);
+        if (!machine_type) continue;
         // A new leader has heard nobody yet: a machine that is up, or was while somebody else led,
         // has the time a silent one has before it is given up.
         const Instant heartbeat_due =
-            p.cluster.term_since() + to_nanos(context_.platform.lease + op.lost_return);
-        const bool was_up = h->listed_running || !h->allocations.empty();
-        const Instant up_by = h->known_since + to_nanos(t->boot * op.boot_patience + kBootSlack);
+            leader.cluster.term_since() + to_nanos(context_.platform.lease + op.lost_return);
+        const bool was_up = machine->listed_running || !machine->allocations.empty();
+        const Instant up_by =
+            machine->known_since + to_nanos(machine_type->boot * op.boot_patience + kBootSlack);
         if (now > heartbeat_due && (was_up || now > up_by)) {
           out.emplace_back(id, was_up ? "its worker stays silent" : "it never came up");
-        } else if (!was_up && now > up_by && h->known_since > p.cluster.term_since()) {
+        } else if (!was_up && now > up_by && machine->known_since > leader.cluster.term_since()) {
           out.emplace_back(id, "it never came up");
         }
         continue;
       }
-      if (h->lost) {
-        if (now - h->last_heartbeat > to_nanos(context_.platform.lease + op.lost_return)) {
+      if (machine->lost) {
+        if (now - machine->last_heartbeat > to_nanos(context_.platform.lease + op.lost_return)) {
           out.emplace_back(id, "its worker stays silent");
         }
         continue;
       }
       // Its notice came and then nothing more: taken, or about to be. What was not saved there need
       // not wait for the lease.
-      if (h->interruption_at && now - h->last_heartbeat > silent) {
+      if (machine->interruption_at && now - machine->last_heartbeat > silent) {
         out.emplace_back(id, "interrupted and silent");
         continue;
       }
-      if (!h->allocations.empty()) continue;
-      if (h->draining) {
-        out.emplace_back(id, h->drain_reason);
-      } else if (h->interruption_at) {
+      if (!machine->allocations.empty()) continue;
+      if (machine->draining) {
+        out.emplace_back(id, machine->drain_reason);
+      } else if (machine->interruption_at) {
         out.emplace_back(id, "interrupted and empty");
-      } else if (now - h->idle_since > to_nanos(op.idle_return) &&
+      } else if (now - machine->idle_since > to_nanos(op.idle_return) &&
                  !std::binary_search(wanted.begin(), wanted.end(), id)) {
         out.emplace_back(id, waiting_tasks > 0 ? "idle, and nothing that waits fits" : "idle");
       }
--- a/src/dunlinknot/autoscaler/scale_in.cpp
+++ b/src/dunlinknot/autoscaler/scale_in.cpp
@@ -31,25 +31,25 @@
 }
 
 void ScaleIn::resume(const roles::OpenIntents& open) {
-  context_.leader_state.with([&](LeaderState& p) {
+  context_.leader_state.with([&](LeaderState& leader) {
     for (const roles::ScaleInIntent& intent : open.scale_in) {
-      p.cluster.mark_terminating(intent.machine);
+      leader.cluster.mark_terminating(intent.machine);
       resumed_.insert(intent.machine);
     }
     // What stands in an unreadable intent is not known, only which machine it is about: it gets no
     // work, and it is not deleted.
     for (const roles::UnreadableIntent& intent : open.unreadable) {
       const std::string_view machine = roles::scale_in_name(intent.key);
-      if (!machine.empty()) p.cluster.mark_terminating(std::string(machine));
+      if (!machine.empty()) leader.cluster.mark_terminating(std::string(machine));
     }
   });
 }
 
 void ScaleIn::decide(const std::string& machine, std::string_view why) {
-  const bool first = context_.leader_state.with([&](LeaderState& p) {
-    Machine* h = p.cluster.find_machine(machine);
-    if (!h || h->terminating) return false;
-    h->terminating = true;
+  const bool first = context_.leader_state.with([&](LeaderState& leader) {
+    Machine* this_machine = leader.cluster.find_machine(machine);
+    if (!this_machine || this_machine->terminating) return false;
+    this_machine->terminating = true;
     return true;
   });
   if (!first) return;
@@ -65,10 +65,10 @@
 void ScaleIn::release_resumed() {
   if (resumed_.empty()) return;
   std::vector<std::string> ready;
-  context_.leader_state.with([&](LeaderState& p) {
+  context_.leader_state.with([&](LeaderState& leader) {
     for (const std::string& machine : resumed_) {
-      const Machine* h = p.cluster.find_machine(machine);
-      if (!h || h->allocations.empty()) ready.push_back(machine);
+      const Machine* this_machine = leader.cluster.find_machine(machine);
+      if (!this_machine || this_machine->allocations.empty()) ready.push_back(machine);
     }
   });
   for (const std::string& machine : ready) {
@@ -124,11 +124,11 @@
 // By the time of the cloud's answer the machines and everything on them are gone.
 void ScaleIn::removed(const std::vector<std::string>& machines) {
   Effects effects;
-  context_.leader_state.with([&](LeaderState& p) {
+  context_.leader_state.with([&](LeaderState& leader) {
     for (const auto& id : machines) {
-      if (const Machine* h = p.cluster.find_machine(id))
-        scale_out_.end_refusal({h->type, h->zone, h->spot});
-      effects |= p.cluster.remove_machine(id, context_.loop.now());
+      if (const Machine* machine = leader.cluster.find_machine(id))
+        scale_out_.end_refusal({machine->type, machine->zone, machine->spot});
+      effects |= leader.cluster.remove_machine(id, context_.loop.now());
     }
   });
   context_.follow_up(effects);
--- a/src/dunlinknot/autoscaler/scale_out.cpp
+++ b/src/dunlinknot/autoscaler/scale_out.cpp
@@ -57,14 +57,14 @@
 }
 
 scheduler::CloudCapacity ScaleOut::cloud_capacity(Instant now) const {
-  scheduler::CloudCapacity m;
+  scheduler::CloudCapacity capacity;
   for (const Launch& launch : launches_) {
-    if (!launch.parked) m.pending.emplace_back(launch.offer, launch.count);
+    if (!launch.parked) capacity.pending.emplace_back(launch.offer, launch.count);
   }
   for (const auto& [offer, refusal] : refusals_) {
-    if (refusal.until > now) m.refused.insert(offer);
+    if (refusal.until > now) capacity.refused.insert(offer);
   }
-  return m;
+  return capacity;
 }
 
 // Each refusal in a row doubles the pause: what the cloud does not have it will mostly not have in
@@ -171,11 +171,11 @@
   const scheduler::Offer& offer = launch.offer;
   forget(launch.request);
   spdlog::info("launched {} of {} for {}", machines.size(), launch.count, launch.request);
-  context_.leader_state.with([&](LeaderState& p) {
+  context_.leader_state.with([&](LeaderState& leader) {
     for (const auto& id : machines) {
       // A repeated answer may name machines that are gone by now.
-      if (p.cluster.was_removed(id)) continue;
-      p.cluster.register_machine(id, offer.type, offer.zone, offer.spot, now);
+      if (leader.cluster.was_removed(id)) continue;
+      leader.cluster.register_machine(id, offer.type, offer.zone, offer.spot, now);
     }
   });
   if (roles_) {
@@ -212,11 +212,12 @@
 
 void ScaleOut::settle(Instant now) {
   const Nanos lag = to_nanos(context_.platform.list_lag * kListLagSpread);
-  context_.leader_state.with([&](LeaderState& p) {
+  context_.leader_state.with([&](LeaderState& leader) {
     const auto seen = [&](const std::string& id) {
-      if (p.cluster.was_removed(id)) return true;
-      const Machine* h = p.cluster.find_machine(id);
-      return !h || h->has_heartbeat || (h->listed && now - h->known_since > lag);
+      if (leader.cluster.was_removed(id)) return true;
+      const Machine* machine = leader.cluster.find_machine(id);
+      return !machine || machine->has_heartbeat ||
+             (machine->listed && now - machine->known_since > lag);
     };
     for (auto& [request, machines] : unseen_) {
       std::erase_if(machines, seen);
--- a/src/dunlinknot/cloud/client.cpp
+++ b/src/dunlinknot/cloud/client.cpp
@@ -16,25 +16,25 @@
 
 Task<http::Reply> Client::call(std::string method, std::string target, std::string body) {
   while (!rate_limit_.take(loop_.now())) co_await loop_.sleep(rate_limit_.until(loop_.now()));
-  http::Call c;
-  c.to = at_;
-  c.method = std::move(method);
-  c.target = std::move(target);
-  c.body = std::move(body);
-  c.deadline = loop_.now() + kWithin;
-  c.max_body = kBody;
-  http::Reply r = co_await transport_.exchange(std::move(c));
-  if (r.outcome == Outcome::ok && (r.status == 429 || r.status == 503)) {
-    r.outcome = Outcome::refused;
+  http::Call call;
+  call.to = at_;
+  call.method = std::move(method);
+  call.target = std::move(target);
+  call.body = std::move(body);
+  call.deadline = loop_.now() + kWithin;
+  call.max_body = kBody;
+  http::Reply reply = co_await transport_.exchange(std::move(call));
+  if (reply.outcome == Outcome::ok && (reply.status == 429 || reply.status == 503)) {
+    reply.outcome = Outcome::refused;
   }
-  answering_ = r.outcome == Outcome::ok || r.status == 429 || r.status == 503;
-  co_return r;
+  answering_ = reply.outcome == Outcome::ok || reply.status == 429 || reply.status == 503;
+  co_return reply;
 }
 
 Task<std::optional<std::vector<MachineType>>> Client::catalog() {
-  http::Reply r = co_await call("GET", "/catalog", "");
-  if (r.outcome != Outcome::ok || r.status != 200) co_return std::nullopt;
-  auto types = wire::read_catalog(r.body);
+  http::Reply reply = co_await call("GET", "/catalog", "");
+  if (reply.outcome != Outcome::ok || reply.status != 200) co_return std::nullopt;
+  auto types = wire::read_catalog(reply.body);
   if (!types) spdlog::info("cloud: unreadable catalogue, ignored");
   co_return types;
 }
@@ -42,21 +42,21 @@
 Task<LaunchResult> Client::launch(std::string request, std::string type, std::string zone,
                                   bool spot, uint32_t count) {
   LaunchResult out;
-  http::Reply r = co_await call("POST", "/rentals",
-                                wire::write_launch_request(request, type, zone, spot, count));
-  out.outcome = r.outcome;
-  if (r.status == 503) {
-    const auto doc = wire::Document::parse(r.body);
+  http::Reply reply = co_await call("POST", "/rentals",
+                                    wire::write_launch_request(request, type, zone, spot, count));
+  out.outcome = reply.outcome;
+  if (reply.status == 503) {
+    const auto doc = wire::Document::parse(reply.body);
     out.no_capacity = doc && doc->root()["error"].text() == "no capacity";
     if (!out.no_capacity) answering_ = false;
   }
-  if (r.outcome != Outcome::ok) co_return out;
-  if (r.status != 200) {
-    spdlog::error("cloud: launch {} refused with status {}", request, r.status);
+  if (reply.outcome != Outcome::ok) co_return out;
+  if (reply.status != 200) {
+    spdlog::error("cloud: launch {} refused with status {}", request, reply.status);
     out.outcome = Outcome::refused;
     co_return out;
   }
-  auto machines = wire::read_launched(r.body);
+  auto machines = wire::read_launched(reply.body);
   if (!machines) {
     spdlog::info("cloud: unreadable answer to launch {}, taken as unknown", request);
     out.outcome = Outcome::unknown;
@@ -67,18 +67,18 @@
 }
 
 Task<Outcome> Client::remove(std::vector<std::string> machines) {
-  http::Reply r =
+  http::Reply reply =
       co_await call("POST", "/rentals/delete", wire::write_termination_request(machines));
-  if (r.outcome == Outcome::ok && r.status != 200) co_return Outcome::unknown;
-  co_return r.outcome;
+  if (reply.outcome == Outcome::ok && reply.status != 200) co_return Outcome::unknown;
+  co_return reply.outcome;
 }
 
 Task<std::optional<MachineList>> Client::list(std::string after) {
   std::string target = "/rentals?most=" + std::to_string(kPageMachines);
   if (!after.empty()) target += "&since=" + after;
-  http::Reply r = co_await call("GET", target, "");
-  if (r.outcome != Outcome::ok || r.status != 200) co_return std::nullopt;
-  auto list = wire::read_machines(r.body);
+  http::Reply reply = co_await call("GET", target, "");
+  if (reply.outcome != Outcome::ok || reply.status != 200) co_return std::nullopt;
+  auto list = wire::read_machines(reply.body);
   if (!list) spdlog::info("cloud: unreadable machine list, ignored");
   co_return list;
 }
--- a/src/dunlinknot/cluster/allocation_store.cpp
+++ b/src/dunlinknot/cluster/allocation_store.cpp
@@ -29,18 +29,18 @@
   bool first = true;
   for (;;) {
     const Instant sent = context_.loop.now();
-    kv::ListResult r = co_await store_.list(prefix, after, std::chrono::seconds(3));
+    kv::ListResult list = co_await store_.list(prefix, after, std::chrono::seconds(3));
     if (!context_.in_term(term)) co_return false;
-    if (r.outcome != Outcome::ok) {
+    if (list.outcome != Outcome::ok) {
       co_await context_.loop.sleep(kRetry);
       if (!context_.in_term(term)) co_return false;
       continue;
     }
-    if (first) reading = {r.revision, sent};
+    if (first) reading = {list.revision, sent};
     first = false;
-    for (const auto& item : r.items) visit(item);
-    if (!r.more || r.items.empty()) co_return true;
-    after = r.items.back().key;
+    for (const auto& item : list.items) visit(item);
+    if (!list.more || list.items.empty()) co_return true;
+    after = list.items.back().key;
   }
 }
 
@@ -53,36 +53,38 @@
   spdlog::debug("job {}: {} x {} of {}, estimate {:.0f} s", record->spec.id, record->spec.tasks,
                 record->spec.job_class, record->spec.team, record->spec.estimate.count());
   const Instant now = context_.loop.now();
-  context_.leader_state.with(
-      [&](LeaderState& p) { p.cluster.load_job(std::move(*record), item.mod_revision, now); });
+  context_.leader_state.with([&](LeaderState& leader) {
+    leader.cluster.load_job(std::move(*record), item.mod_revision, now);
+  });
 }
 
 Task<bool> AllocationStore::load(uint64_t term) {
-  const Visit job = [this](const kv::KeyValue& i) { apply_job_record(i); };
+  const Visit job = [this](const kv::KeyValue& item) { apply_job_record(item); };
   Reading jobs, rest;
   if (!co_await list_all(term, std::string(wire::kJobPrefix), job, jobs)) co_return false;
   garbage_.clear();
-  const Visit done = [this](const kv::KeyValue& i) {
-    const auto key = wire::parse_done_key(i.key);
+  const Visit done = [this](const kv::KeyValue& item) {
+    const auto key = wire::parse_done_key(item.key);
     if (!key) return;
-    const bool open = context_.leader_state.with([&](LeaderState& p) {
-      if (!p.cluster.job(key->first)) return false;
-      p.cluster.load_done(key->first, key->second, i.value, i.mod_revision);
+    const bool open = context_.leader_state.with([&](LeaderState& leader) {
+      if (!leader.cluster.job(key->first)) return false;
+      leader.cluster.load_done(key->first, key->second, item.value, item.mod_revision);
       return true;
     });
-    if (!open) garbage_.emplace_back(i.key, i.mod_revision);
+    if (!open) garbage_.emplace_back(item.key, item.mod_revision);
   };
   if (!co_await list_all(term, std::string(wire::kDonePrefix), done, rest)) co_return false;
-  const Visit machine = [this](const kv::KeyValue& i) {
-    const std::string id(wire::after_prefix(i.key, wire::kMachinePrefix));
-    const auto record = wire::read_machine_record(i.value);
+  const Visit machine = [this](const kv::KeyValue& item) {
+    const std::string id(wire::after_prefix(item.key, wire::kMachinePrefix));
+    const auto record = wire::read_machine_record(item.value);
     const Instant now = context_.loop.now();
     if (!record) {
-      spdlog::error("the record {} cannot be read and is left alone", i.key);
+      spdlog::error("the record {} cannot be read and is left alone", item.key);
       return;
     }
-    context_.leader_state.with(
-        [&](LeaderState& p) { p.cluster.load_machine(id, *record, i.mod_revision, now); });
+    context_.leader_state.with([&](LeaderState& leader) {
+      leader.cluster.load_machine(id, *record, item.mod_revision, now);
+    });
   };
   if (!co_await list_all(term, std::string(wire::kMachinePrefix), machine, rest)) co_return false;
   jobs_revision_ = jobs.revision;
@@ -96,8 +98,8 @@
   if (!context_.in_term(term) || got.outcome != Outcome::ok) co_return;
   if (got.found) {
     // Only the watch makes a job known: this answer may be older than its end.
-    context_.leader_state.with([&](LeaderState& p) {
-      if (Job* j = p.cluster.job(id)) j->mod_revision = got.item.mod_revision;
+    context_.leader_state.with([&](LeaderState& leader) {
+      if (Job* job = leader.cluster.job(id)) job->mod_revision = got.item.mod_revision;
     });
     co_return;
   }
@@ -106,9 +108,9 @@
   const auto record = final.found ? wire::read_final(final.item.value) : std::nullopt;
   const bool cancelled = !record || record->cancelled;
   Effects effects;
-  context_.leader_state.with([&](LeaderState& p) {
-    effects = p.cluster.close_job(id, cancelled, context_.loop.now());
-    p.nominations.job_closed(id);
+  context_.leader_state.with([&](LeaderState& leader) {
+    effects = leader.cluster.close_job(id, cancelled, context_.loop.now());
+    leader.nominations.job_closed(id);
   });
   if (!cancelled) hooks_.finished(id, record->tasks);
   context_.follow_up(effects);
@@ -116,21 +118,21 @@
 
 Task<bool> AllocationStore::relist_jobs(uint64_t term) {
   std::set<std::string> listed;
-  const Visit visit = [&](const kv::KeyValue& i) {
-    listed.insert(std::string(wire::after_prefix(i.key, wire::kJobPrefix)));
-    apply_job_record(i);
+  const Visit visit = [&](const kv::KeyValue& item) {
+    listed.insert(std::string(wire::after_prefix(item.key, wire::kJobPrefix)));
+    apply_job_record(item);
   };
   Reading reading;
   if (!co_await list_all(term, std::string(wire::kJobPrefix), visit, reading)) co_return false;
   // Only this watch makes jobs known, so all were there before the listing: one that is not in it
   // is over. Asking for each how it ended could fail, and its cancellation would never be heard of.
   Effects effects;
-  context_.leader_state.with([&](LeaderState& p) {
+  context_.leader_state.with([&](LeaderState& leader) {
     std::vector<std::string> over;
-    for (const auto& [id, j] : p.cluster.jobs()) {
+    for (const auto& [id, job] : leader.cluster.jobs()) {
       if (!listed.contains(id)) over.push_back(id);
     }
-    for (const auto& id : over) effects |= close_over(p, id);
+    for (const auto& id : over) effects |= close_over(leader, id);
   });
   effects.schedule = true;
   context_.follow_up(effects);
@@ -142,45 +144,46 @@
 // The job's record is gone: cancelled, or done. Ours are closed when their transaction is answered;
 // whoever comes first, the tasks of a finished job are all done, and stopping what is left of it
 // does no harm.
-Effects AllocationStore::close_over(LeaderState& p, const std::string& id) {
-  const Job* j = p.cluster.job(id);
-  if (!j) return {};
-  if (!j->all_done()) spdlog::info("job {} was cancelled", id);
-  const Effects effects = p.cluster.close_job(id, true, context_.loop.now());
-  p.nominations.job_closed(id);
+Effects AllocationStore::close_over(LeaderState& leader, const std::string& id) {
+  const Job* job = leader.cluster.job(id);
+  if (!job) return {};
+  if (!job->all_done()) spdlog::info("job {} was cancelled", id);
+  const Effects effects = leader.cluster.close_job(id, true, context_.loop.now());
+  leader.nominations.job_closed(id);
   return effects;
 }
 
 void AllocationStore::cancelled(const std::string& id) {
-  context_.follow_up(context_.leader_state.with([&](LeaderState& p) { return close_over(p, id); }));
+  context_.follow_up(
+      context_.leader_state.with([&](LeaderState& leader) { return close_over(leader, id); }));
 }
 
 Task<void> AllocationStore::watch_jobs(uint64_t term) {
   while (context_.in_term(term)) {
     const Instant sent = context_.loop.now();
-    kv::WatchResult w =
+    kv::WatchResult watch =
         co_await store_.watch(std::string(wire::kJobPrefix), jobs_revision_, kWatchBlock);
     if (!context_.in_term(term)) co_return;
-    if (w.outcome != Outcome::ok) {
+    if (watch.outcome != Outcome::ok) {
       co_await context_.loop.sleep(kRetry);
       continue;
     }
-    if (w.too_old) {
+    if (watch.too_old) {
       if (!co_await relist_jobs(term)) co_return;
       continue;
     }
     Effects effects;
-    for (const auto& c : w.changes) {
+    for (const auto& c : watch.changes) {
       const std::string id(wire::after_prefix(c.key, wire::kJobPrefix));
       if (c.deleted) {
-        context_.leader_state.with([&](LeaderState& p) { effects |= close_over(p, id); });
+        context_.leader_state.with([&](LeaderState& leader) { effects |= close_over(leader, id); });
       } else {
         kv::KeyValue item{c.key, c.value, c.mod_revision, 0};
         apply_job_record(item);
         effects.schedule = true;
       }
     }
-    jobs_revision_ = std::max(jobs_revision_, w.revision);
+    jobs_revision_ = std::max(jobs_revision_, watch.revision);
     hooks_.caught_up(sent);
     context_.follow_up(effects);
   }
--- a/src/dunlinknot/cluster/allocation_store.hpp
+++ b/src/dunlinknot/cluster/allocation_store.hpp
@@ -75,24 +75,25 @@
   static constexpr size_t kMostOps = 16;
   size_t max_ops() const { return std::min(store_.limits().txn_ops(), kMostOps); }
   size_t compares_left(const MachineBatch& batch) const;
-  bool add_machine_record(MachineBatch& batch, Cluster& cluster, Machine& h) const;
+  bool add_machine_record(MachineBatch& batch, Cluster& cluster, Machine& machine) const;
   MachineBatch collect_machines(Cluster& cluster, bool trailing) const;
   Effects apply_machines_result(Cluster& cluster, const MachineBatch& batch,
-                                const kv::TransactionResult& r, std::vector<std::string>& recheck);
+                                const kv::TransactionResult& result,
+                                std::vector<std::string>& recheck);
   Task<bool> store_some_machines(uint64_t term, bool trailing);
   Task<bool> delete_some_records(uint64_t term);
-  void add_end(ProgressBatch& batch, const Job& j) const;
-  void add_chunks(ProgressBatch& batch, const Job& j) const;
+  void add_end(ProgressBatch& batch, const Job& job) const;
+  void add_chunks(ProgressBatch& batch, const Job& job) const;
   ProgressBatch collect_progress(const Cluster& cluster, bool partial) const;
   void progress_stored(const ProgressBatch& batch, uint64_t revision);
   Task<bool> reread_progress(uint64_t term, const ProgressBatch& batch,
-                             const kv::TransactionResult& r);
+                             const kv::TransactionResult& result);
   void pause_partial(const ProgressBatch& batch);
   Task<bool> store_some_done(uint64_t term);
   Task<void> recheck_job(uint64_t term, std::string id);
   Task<bool> relist_jobs(uint64_t term);
   void apply_job_record(const kv::KeyValue& item);
-  Effects close_over(LeaderState& p, const std::string& id);
+  Effects close_over(LeaderState& leader, const std::string& id);
   kv::Compare epoch_compare() const;
   Task<void> await_budget(uint64_t term, double writes);
 
--- a/src/dunlinknot/cluster/allocation_store_machines.cpp
+++ b/src/dunlinknot/cluster/allocation_store_machines.cpp
@@ -37,10 +37,10 @@
 // Machines whose record may have been changed by a transaction with an unknown outcome.
 Task<void> AllocationStore::refresh_machines(uint64_t term) {
   mod_revisions_unknown_ = false;
-  std::vector<std::string> ids = context_.leader_state.with([](LeaderState& p) {
+  std::vector<std::string> ids = context_.leader_state.with([](LeaderState& leader) {
     std::vector<std::string> out;
-    for (const auto& [id, h] : p.cluster.machines()) {
-      if (!h->mod_revision_known) out.push_back(id);
+    for (const auto& [id, machine] : leader.cluster.machines()) {
+      if (!machine->mod_revision_known) out.push_back(id);
     }
     return out;
   });
@@ -52,13 +52,13 @@
       continue;
     }
     Effects effects;
-    context_.leader_state.with([&](LeaderState& p) {
-      Machine* h = p.cluster.find_machine(id);
-      if (!h) return;
+    context_.leader_state.with([&](LeaderState& leader) {
+      Machine* machine = leader.cluster.find_machine(id);
+      if (!machine) return;
       // What the record says is what is durable, whichever attempt wrote it.
       const auto record = got.found ? wire::read_machine_record(got.item.value) : std::nullopt;
-      p.cluster.machine_stored(*h, record.value_or(wire::MachineRecord{}),
-                               got.found ? got.item.mod_revision : 0, effects);
+      leader.cluster.machine_stored(*machine, record.value_or(wire::MachineRecord{}),
+                                    got.found ? got.item.mod_revision : 0, effects);
     });
     context_.follow_up(effects);
   }
@@ -77,13 +77,13 @@
 namespace {
 
 // Takes the new allocations of all but these jobs out of a record.
-void leave_out_new_allocations(wire::MachineRecord& record, const Machine& h,
+void leave_out_new_allocations(wire::MachineRecord& record, const Machine& machine,
                                const std::set<std::string>& but_of) {
-  for (const Allocation& b : h.allocations) {
-    if (b.phase != Phase::planned || but_of.contains(b.task.job)) continue;
+  for (const Allocation& allocation : machine.allocations) {
+    if (allocation.phase != Phase::planned || but_of.contains(allocation.task.job)) continue;
     for (auto& group : record.groups) {
-      if (group.job != b.task.job) continue;
-      std::erase(group.tasks, std::pair(b.task.index, b.attempt));
+      if (group.job != allocation.task.job) continue;
+      std::erase(group.tasks, std::pair(allocation.task.index, allocation.attempt));
     }
   }
   std::erase_if(record.groups, [](const auto& group) { return group.tasks.empty(); });
@@ -99,40 +99,42 @@
 }
 
 // Adds the machine's record to the transaction; false when it does not fit into it any more.
-bool AllocationStore::add_machine_record(MachineBatch& batch, Cluster& cluster, Machine& h) const {
+bool AllocationStore::add_machine_record(MachineBatch& batch, Cluster& cluster,
+                                         Machine& machine) const {
   // A record that another version stored large has to shrink first, as what is allocated there
   // ends. What was to be added goes elsewhere. The larger record that stands allocates too much,
   // never too little (safety 1).
-  if (cluster.record_size(h) > store_.limits().value_bytes()) {
-    (void)cluster.drop_planned(h, context_.loop.now());
-    h.dirty = false;
+  if (cluster.record_size(machine) > store_.limits().value_bytes()) {
+    (void)cluster.drop_planned(machine, context_.loop.now());
+    machine.dirty = false;
     return true;
   }
   // Safety 3: an allocation is refused when its job was cancelled or is over.
   std::set<std::string> fresh;
-  for (const Allocation& b : h.allocations) {
-    if (b.phase == Phase::planned && cluster.job(b.task.job)) fresh.insert(b.task.job);
+  for (const Allocation& allocation : machine.allocations) {
+    if (allocation.phase == Phase::planned && cluster.job(allocation.task.job))
+      fresh.insert(allocation.task.job);
   }
   for (const std::string& id : batch.jobs) fresh.erase(id);
   const size_t room = compares_left(batch);
   if (fresh.size() > room && !batch.machines.empty()) return false;
-  MachineWrite write{h.id, h.mod_revision, cluster.record_of(h)};
+  MachineWrite write{machine.id, machine.mod_revision, cluster.record_of(machine)};
   if (fresh.size() > room) {
     // More jobs than one transaction guards: the rest follows with the next one.
     while (fresh.size() > room) fresh.erase(std::prev(fresh.end()));
-    leave_out_new_allocations(write.record, h, fresh);
+    leave_out_new_allocations(write.record, machine, fresh);
   }
   std::string value;
   if (!write.record.groups.empty()) value = wire::write_machine_record(write.record);
   if (value.empty() && write.mod_revision == 0) {
-    h.dirty = h.trailing = false;
+    machine.dirty = machine.trailing = false;
     return true;
   }
   batch.jobs.insert(fresh.begin(), fresh.end());
   batch.bytes += value.size() * 2;
-  batch.txn.compares.push_back({wire::machine_key(h.id), write.mod_revision});
-  batch.txn.writes.push_back({wire::machine_key(h.id), std::move(value), 0});
-  h.storing = true;
+  batch.txn.compares.push_back({wire::machine_key(machine.id), write.mod_revision});
+  batch.txn.writes.push_back({wire::machine_key(machine.id), std::move(value), 0});
+  machine.storing = true;
   batch.machines.push_back(std::move(write));
   return true;
 }
@@ -150,24 +152,25 @@
   std::vector<Machine*> unwritable;  // what stands in their records is being found out
   std::vector<Machine*> too_many_jobs;
   while (!full() && unwritable.size() + too_many_jobs.size() < kMostPassedOver) {
-    Machine* h = cluster.next_dirty_machine();
-    if (!h) break;
-    if (!h->mod_revision_known || h->storing) {
-      unwritable.push_back(h);
-    } else if (!add_machine_record(batch, cluster, *h)) {
-      too_many_jobs.push_back(h);
+    Machine* machine = cluster.next_dirty_machine();
+    if (!machine) break;
+    if (!machine->mod_revision_known || machine->storing) {
+      unwritable.push_back(machine);
+    } else if (!add_machine_record(batch, cluster, *machine)) {
+      too_many_jobs.push_back(machine);
     }
   }
-  for (Machine* h : unwritable) cluster.mark_dirty(*h);
+  for (Machine* machine : unwritable) cluster.mark_dirty(*machine);
   while (!too_many_jobs.empty()) {
     cluster.requeue_dirty_machine(*too_many_jobs.back());
     too_many_jobs.pop_back();
   }
   if (trailing && cluster.dirty_machine_count() == 0) {
-    for (auto& [id, h] : cluster.machines()) {
+    for (auto& [id, machine] : cluster.machines()) {
       if (full()) break;
-      const bool shrank = h->trailing && !h->dirty && h->mod_revision_known && !h->storing;
-      if (shrank && !add_machine_record(batch, cluster, *h)) break;
+      const bool shrank =
+          machine->trailing && !machine->dirty && machine->mod_revision_known && !machine->storing;
+      if (shrank && !add_machine_record(batch, cluster, *machine)) break;
     }
   }
   for (const auto& id : batch.jobs) {
@@ -179,28 +182,30 @@
 // What the transaction's result says of the records and jobs that it was about. Adds the jobs whose
 // record was not what the leader took it for to `recheck`.
 Effects AllocationStore::apply_machines_result(Cluster& cluster, const MachineBatch& batch,
-                                               const kv::TransactionResult& r,
+                                               const kv::TransactionResult& result,
                                                std::vector<std::string>& recheck) {
   Effects effects;
   for (const auto& w : batch.machines) {
-    Machine* h = cluster.find_machine(w.id);
-    if (!h) {
-      if (r.applied && !w.record.groups.empty()) {
-        garbage_.emplace_back(wire::machine_key(w.id), r.revision);
+    Machine* machine = cluster.find_machine(w.id);
+    if (!machine) {
+      if (result.applied && !w.record.groups.empty()) {
+        garbage_.emplace_back(wire::machine_key(w.id), result.revision);
       }
       continue;
     }
-    h->storing = false;
-    if (r.applied) {
-      cluster.machine_stored(*h, w.record, w.record.groups.empty() ? 0 : r.revision, effects);
-    } else if (r.outcome == Outcome::unknown || r.compare_failed(wire::machine_key(w.id))) {
-      h->mod_revision_known = false;
+    machine->storing = false;
+    if (result.applied) {
+      cluster.machine_stored(*machine, w.record, w.record.groups.empty() ? 0 : result.revision,
+                             effects);
+    } else if (result.outcome == Outcome::unknown ||
+               result.compare_failed(wire::machine_key(w.id))) {
+      machine->mod_revision_known = false;
       mod_revisions_unknown_ = true;
     }
-    if (!r.applied && h->dirty) cluster.mark_dirty(*h);
+    if (!result.applied && machine->dirty) cluster.mark_dirty(*machine);
   }
   for (const auto& id : batch.jobs) {
-    if (!r.compare_failed(wire::job_key(id))) continue;
+    if (!result.compare_failed(wire::job_key(id))) continue;
     effects |= cluster.drop_unsent(id, context_.loop.now());
     recheck.push_back(id);
   }
@@ -213,8 +218,8 @@
     co_await refresh_machines(term);
     if (!context_.in_term(term)) co_return false;
   }
-  const size_t waiting =
-      context_.leader_state.with([](LeaderState& p) { return p.cluster.dirty_machine_count(); });
+  const size_t waiting = context_.leader_state.with(
+      [](LeaderState& leader) { return leader.cluster.dirty_machine_count(); });
   if (waiting == 0 && !trailing) co_return false;
   // Records that only shrank are rewritten with what is left over: an entry too many costs a new
   // leader a moment, an allocation that waits costs a machine.
@@ -222,26 +227,27 @@
   co_await await_budget(term, static_cast<double>(std::min(waiting, max_ops())));
   if (!context_.in_term(term)) co_return false;
   MachineBatch batch = context_.leader_state.with(
-      [&](LeaderState& p) { return collect_machines(p.cluster, trailing); });
+      [&](LeaderState& leader) { return collect_machines(leader.cluster, trailing); });
   if (batch.machines.empty()) co_return false;
-  const kv::TransactionResult r = co_await store_.commit(std::move(batch.txn), kCommitTime);
+  const kv::TransactionResult result = co_await store_.commit(std::move(batch.txn), kCommitTime);
   if (!context_.in_term(term)) co_return false;
   std::vector<std::string> recheck;
-  const Effects effects = context_.leader_state.with(
-      [&](LeaderState& p) { return apply_machines_result(p.cluster, batch, r, recheck); });
-  if (r.compare_failed(wire::kEpochKey)) {
+  const Effects effects = context_.leader_state.with([&](LeaderState& leader) {
+    return apply_machines_result(leader.cluster, batch, result, recheck);
+  });
+  if (result.compare_failed(wire::kEpochKey)) {
     hooks_.deposed("a transaction met a later epoch");
     co_return false;
   }
   context_.follow_up(effects);
   for (auto& id : recheck) co_await recheck_job(term, id);
-  if (r.outcome != Outcome::ok) co_await context_.loop.sleep(kRetry);
+  if (result.outcome != Outcome::ok) co_await context_.loop.sleep(kRetry);
   co_return true;
 }
 
 Task<bool> AllocationStore::delete_some_records(uint64_t term) {
-  auto dead =
-      context_.leader_state.with([](LeaderState& p) { return p.cluster.drain_dead_records(); });
+  auto dead = context_.leader_state.with(
+      [](LeaderState& leader) { return leader.cluster.drain_dead_records(); });
   for (auto& d : dead) garbage_.push_back(std::move(d));
   if (garbage_.empty() || store_.write_level() < store_.write_burst() * kSlackLevel)
     co_return false;
@@ -257,16 +263,16 @@
     txn.writes.push_back({batch.back().first, "", 0});
   }
   const Instant sent = context_.loop.boot_now();
-  kv::TransactionResult r = co_await store_.commit(std::move(txn), kCommitTime);
+  kv::TransactionResult result = co_await store_.commit(std::move(txn), kCommitTime);
   if (!context_.in_term(term)) co_return false;
-  hooks_.cleanup_result(r, sent);
-  if (r.compare_failed(wire::kEpochKey)) {
+  hooks_.cleanup_result(result, sent);
+  if (result.compare_failed(wire::kEpochKey)) {
     hooks_.deposed("a transaction met a later epoch");
     co_return false;
   }
-  if (r.applied) co_return !garbage_.empty();
+  if (result.applied) co_return !garbage_.empty();
   for (auto& [key, mod_revision] : batch) {
-    if (!r.compare_failed(key)) {
+    if (!result.compare_failed(key)) {
       garbage_.emplace_back(key, mod_revision);
       continue;
     }
--- a/src/dunlinknot/cluster/allocation_store_progress.cpp
+++ b/src/dunlinknot/cluster/allocation_store_progress.cpp
@@ -24,29 +24,30 @@
   }
 }
 
-void AllocationStore::add_end(ProgressBatch& batch, const Job& j) const {
-  const std::string& id = j.spec().id;
+void AllocationStore::add_end(ProgressBatch& batch, const Job& job) const {
+  const std::string& id = job.spec().id;
   batch.jobs.insert(id);
-  batch.txn.compares.push_back({wire::job_key(id), j.mod_revision});
+  batch.txn.compares.push_back({wire::job_key(id), job.mod_revision});
   batch.txn.compares.push_back({wire::final_key(id), 0});
-  batch.txn.writes.push_back({wire::final_key(id), wire::write_final({false, j.spec().tasks}), 0});
+  batch.txn.writes.push_back(
+      {wire::final_key(id), wire::write_final({false, job.spec().tasks}), 0});
   batch.txn.writes.push_back({wire::job_key(id), "", 0});
-  batch.finished.push_back({id, j.spec().tasks});
+  batch.finished.push_back({id, job.spec().tasks});
 }
 
-void AllocationStore::add_chunks(ProgressBatch& batch, const Job& j) const {
-  const std::string& id = j.spec().id;
+void AllocationStore::add_chunks(ProgressBatch& batch, const Job& job) const {
+  const std::string& id = job.spec().id;
   batch.jobs.insert(id);
-  batch.txn.compares.push_back({wire::job_key(id), j.mod_revision});
-  for (const uint32_t n : j.dirty_chunks()) {
+  batch.txn.compares.push_back({wire::job_key(id), job.mod_revision});
+  for (const uint32_t n : job.dirty_chunks()) {
     if (batch.txn.writes.size() >= max_ops()) return;
-    const auto stored = j.chunk_mod_revisions.find(n);
-    const uint64_t mod_revision = stored == j.chunk_mod_revisions.end() ? 0 : stored->second;
+    const auto stored = job.chunk_mod_revisions.find(n);
+    const uint64_t mod_revision = stored == job.chunk_mod_revisions.end() ? 0 : stored->second;
     const std::string key = wire::done_key(id, n);
     batch.txn.compares.push_back({key, mod_revision});
     batch.txn.writes.push_back(
-        {key, wire::write_done_chunk(j.done_bits(), n, j.storable_in_chunk()), 0});
-    batch.chunks.push_back({id, n, j.done_bits()});
+        {key, wire::write_done_chunk(job.done_bits(), n, job.storable_in_chunk()), 0});
+    batch.chunks.push_back({id, n, job.done_bits()});
   }
 }
 
@@ -59,18 +60,18 @@
   batch.txn.compares.push_back(epoch_compare());
   std::vector<const Job*> open;
   size_t before_cursor = 0;
-  for (const auto& [id, j] : cluster.jobs()) {
-    if (j->all_done()) {
-      if (batch.txn.writes.size() + kWritesOfEnd <= max_ops()) add_end(batch, *j);
-    } else if (partial && !j->dirty_chunks().empty()) {
-      open.push_back(j.get());
+  for (const auto& [id, job] : cluster.jobs()) {
+    if (job->all_done()) {
+      if (batch.txn.writes.size() + kWritesOfEnd <= max_ops()) add_end(batch, *job);
+    } else if (partial && !job->dirty_chunks().empty()) {
+      open.push_back(job.get());
       if (id <= last_partial_job_) ++before_cursor;
     }
   }
   std::rotate(open.begin(), open.begin() + static_cast<ptrdiff_t>(before_cursor), open.end());
-  for (const Job* j : open) {
+  for (const Job* job : open) {
     if (batch.txn.writes.size() >= max_ops()) break;
-    add_chunks(batch, *j);
+    add_chunks(batch, *job);
   }
   return batch;
 }
@@ -78,13 +79,13 @@
 // The batch is durable.
 void AllocationStore::progress_stored(const ProgressBatch& batch, uint64_t revision) {
   Effects effects;
-  context_.leader_state.with([&](LeaderState& p) {
+  context_.leader_state.with([&](LeaderState& leader) {
     for (const auto& c : batch.chunks) {
-      if (Job* j = p.cluster.job(c.job)) j->chunk_stored(c.chunk, c.bits, revision);
+      if (Job* job = leader.cluster.job(c.job)) job->chunk_stored(c.chunk, c.bits, revision);
     }
     for (const auto& f : batch.finished) {
-      effects |= p.cluster.close_job(f.job, false, context_.loop.now());
-      p.nominations.job_closed(f.job);
+      effects |= leader.cluster.close_job(f.job, false, context_.loop.now());
+      leader.nominations.job_closed(f.job);
     }
   });
   for (const auto& f : batch.finished) hooks_.finished(f.job, f.tasks);
@@ -94,30 +95,30 @@
 // Unknown, or a mod revision was not what we thought: reads back what stands. False when the term
 // ended.
 Task<bool> AllocationStore::reread_progress(uint64_t term, const ProgressBatch& batch,
-                                            const kv::TransactionResult& r) {
+                                            const kv::TransactionResult& result) {
   for (const auto& c : batch.chunks) {
     const std::string key = wire::done_key(c.job, c.chunk);
-    if (r.outcome == Outcome::ok && !r.compare_failed(key)) continue;
+    if (result.outcome == Outcome::ok && !result.compare_failed(key)) continue;
     kv::GetResult got = co_await store_.get(key, kCommitTime);
     if (!context_.in_term(term)) co_return false;
     if (got.outcome != Outcome::ok) continue;
-    context_.leader_state.with([&](LeaderState& p) {
-      Job* j = p.cluster.job(c.job);
-      if (!j) return;
+    context_.leader_state.with([&](LeaderState& leader) {
+      Job* job = leader.cluster.job(c.job);
+      if (!job) return;
       if (!got.found) {
-        j->chunk_mod_revisions.erase(c.chunk);
+        job->chunk_mod_revisions.erase(c.chunk);
         return;
       }
-      std::vector<bool> bits(j->spec().tasks);
+      std::vector<bool> bits(job->spec().tasks);
       if (wire::read_done_chunk(got.item.value, c.chunk, bits)) {
-        j->load_chunk(c.chunk, bits, got.item.mod_revision);
-        j->chunk_stored(c.chunk, bits, got.item.mod_revision);
+        job->load_chunk(c.chunk, bits, got.item.mod_revision);
+        job->chunk_stored(c.chunk, bits, got.item.mod_revision);
       }
     });
   }
   for (const auto& id : batch.jobs) {
-    if (r.outcome == Outcome::unknown || r.compare_failed(wire::job_key(id)) ||
-        r.compare_failed(wire::final_key(id))) {
+    if (result.outcome == Outcome::unknown || result.compare_failed(wire::job_key(id)) ||
+        result.compare_failed(wire::final_key(id))) {
       co_await recheck_job(term, id);
       if (!context_.in_term(term)) co_return false;
     }
@@ -142,7 +143,7 @@
   // workers keep what they completed. On a large cluster one write a task would eat the budget.
   const bool partial = context_.loop.now() >= next_partial_;
   ProgressBatch batch = context_.leader_state.with(
-      [&](LeaderState& p) { return collect_progress(p.cluster, partial); });
+      [&](LeaderState& leader) { return collect_progress(leader.cluster, partial); });
   if (batch.txn.writes.empty()) {
     if (partial) next_partial_ = context_.loop.now() + to_nanos(kPartialPause);
     co_return false;
@@ -152,21 +153,21 @@
     co_await await_budget(term, static_cast<double>(batch.txn.writes.size()));
   }
   if (!context_.in_term(term)) co_return false;
-  const kv::TransactionResult r = co_await store_.commit(std::move(batch.txn), kCommitTime);
+  const kv::TransactionResult result = co_await store_.commit(std::move(batch.txn), kCommitTime);
   if (!context_.in_term(term)) co_return false;
-  if (r.compare_failed(wire::kEpochKey)) {
+  if (result.compare_failed(wire::kEpochKey)) {
     hooks_.deposed("a transaction met a later epoch");
     co_return false;
   }
-  if (r.applied) {
-    progress_stored(batch, r.revision);
+  if (result.applied) {
+    progress_stored(batch, result.revision);
     co_return true;
   }
-  if (r.outcome == Outcome::refused) {
+  if (result.outcome == Outcome::refused) {
     co_await context_.loop.sleep(kRetry);
     co_return true;
   }
-  if (!co_await reread_progress(term, batch, r)) co_return false;
+  if (!co_await reread_progress(term, batch, result)) co_return false;
   co_await context_.loop.sleep(kRereadPause);
   co_return true;
 }
--- a/src/dunlinknot/cluster/allocations.cpp
+++ b/src/dunlinknot/cluster/allocations.cpp
@@ -9,26 +9,28 @@
 
 namespace dunlinknot::cluster {
 
-void Cluster::add_allocation(Machine& h, Allocation b) {
-  if (b.queued) {
-    ++h.queued_tasks;
+void Cluster::add_allocation(Machine& machine, Allocation allocation) {
+  if (allocation.queued) {
+    ++machine.queued_tasks;
   } else {
-    h.used += b.need;
-    if (b.team >= 0) usage_[static_cast<size_t>(b.team)].used += b.need;
+    machine.used += allocation.need;
+    if (allocation.team >= 0) usage_[static_cast<size_t>(allocation.team)].used += allocation.need;
   }
-  b.record_group_size = wire::machine_group_size(b.task.job, b.team_name, b.need);
-  if (Job* j = job(b.task.job)) count_for_job(*j, b);
-  auto& holders = holders_[b.task.job];
-  if (std::find(holders.begin(), holders.end(), &h) == holders.end()) holders.push_back(&h);
-  h.allocations.push_back(std::move(b));
+  allocation.record_group_size =
+      wire::machine_group_size(allocation.task.job, allocation.team_name, allocation.need);
+  if (Job* open_job = job(allocation.task.job)) count_for_job(*open_job, allocation);
+  auto& holders = holders_[allocation.task.job];
+  if (std::find(holders.begin(), holders.end(), &machine) == holders.end())
+    holders.push_back(&machine);
+  machine.allocations.push_back(std::move(allocation));
 }
 
-void Cluster::count_for_job(Job& j, const Allocation& b) {
-  if (b.task.index >= j.spec().tasks) return;
-  j.add_allocation(b.task.index);
-  if (b.queued) ++j.queued_tasks;
-  if (b.state == TaskState::running) ++j.running;
-  if (b.gang) j.gang_attempt = std::max(j.gang_attempt, b.attempt);
+void Cluster::count_for_job(Job& job, const Allocation& allocation) {
+  if (allocation.task.index >= job.spec().tasks) return;
+  job.add_allocation(allocation.task.index);
+  if (allocation.queued) ++job.queued_tasks;
+  if (allocation.state == TaskState::running) ++job.running;
+  if (allocation.gang) job.gang_attempt = std::max(job.gang_attempt, allocation.attempt);
 }
 
 const std::vector<Machine*>& Cluster::holders(const std::string& job) const {
@@ -37,36 +39,38 @@
   return it == holders_.end() ? none : it->second;
 }
 
-Effects Cluster::end_allocation(Machine& h, size_t i, Instant now, bool gang_goes_on) {
+Effects Cluster::end_allocation(Machine& machine, size_t i, Instant now, bool gang_goes_on) {
   Effects effects;
-  const Allocation b = std::move(h.allocations[i]);
-  h.allocations.erase(h.allocations.begin() + static_cast<ptrdiff_t>(i));
-  if (b.queued) {
-    --h.queued_tasks;
+  const Allocation claim = std::move(machine.allocations[i]);
+  machine.allocations.erase(machine.allocations.begin() + static_cast<ptrdiff_t>(i));
+  if (claim.queued) {
+    --machine.queued_tasks;
   } else {
-    h.used -= b.need;
-    if (b.team >= 0) usage_[static_cast<size_t>(b.team)].used -= b.need;
+    machine.used -= claim.need;
+    if (claim.team >= 0) usage_[static_cast<size_t>(claim.team)].used -= claim.need;
   }
-  if (h.allocations.empty()) {
-    h.used = Resources{};
-    h.idle_since = now;
+  if (machine.allocations.empty()) {
+    machine.used = Resources{};
+    machine.idle_since = now;
   }
-  if (!find_where(h.allocations, [&](const Allocation& o) { return o.task.job == b.task.job; })) {
-    const auto holders = holders_.find(b.task.job);
-    std::erase(holders->second, &h);
+  if (!find_where(machine.allocations, [&](const Allocation& allocation) {
+        return allocation.task.job == claim.task.job;
+      })) {
+    const auto holders = holders_.find(claim.task.job);
+    std::erase(holders->second, &machine);
     if (holders->second.empty()) holders_.erase(holders);
   }
-  h.trailing = true;
+  machine.trailing = true;
   effects.schedule = true;
-  Job* j = job(b.task.job);
-  if (!j || b.task.index >= j->spec().tasks) return effects;
-  if (b.queued) --j->queued_tasks;
-  if (b.state == TaskState::running && j->running > 0) --j->running;
-  if (b.service) count_restart(b, h);
-  j->remove_allocation(b.task.index);
-  if (!j->is_done(b.task.index)) j->waiting_since = now;
-  if (b.gang && !gang_goes_on && !j->is_done(b.task.index)) {
-    break_gang(b.task.job, b.attempt, now, effects);
+  Job* open_job = job(claim.task.job);
+  if (!open_job || claim.task.index >= open_job->spec().tasks) return effects;
+  if (claim.queued) --open_job->queued_tasks;
+  if (claim.state == TaskState::running && open_job->running > 0) --open_job->running;
+  if (claim.service) count_restart(claim, machine);
+  open_job->remove_allocation(claim.task.index);
+  if (!open_job->is_done(claim.task.index)) open_job->waiting_since = now;
+  if (claim.gang && !gang_goes_on && !open_job->is_done(claim.task.index)) {
+    break_gang(claim.task.job, claim.attempt, now, effects);
   }
   return effects;
 }
@@ -74,15 +78,15 @@
 // A gang that lost a task will not go on: the rest is stopped at once rather than left to find out,
 // so that the next attempt need not wait for it. A gang told to save is left to its saving.
 void Cluster::break_gang(const std::string& id, uint64_t attempt, Instant now, Effects& effects) {
-  for (Machine* h : std::vector(holders(id))) {
-    for (size_t i = h->allocations.size(); i-- > 0;) {
-      if (i >= h->allocations.size()) continue;
-      Allocation& b = h->allocations[i];
-      if (b.task.job != id || b.attempt != attempt) continue;
-      if (b.unsent()) {
-        effects |= end_allocation(*h, i, now, true);
-      } else if (!b.stopping()) {
-        stop(*h, b, StopReason::gang_broken, Seconds(0), now);
+  for (Machine* machine : std::vector(holders(id))) {
+    for (size_t i = machine->allocations.size(); i-- > 0;) {
+      if (i >= machine->allocations.size()) continue;
+      Allocation& allocation = machine->allocations[i];
+      if (allocation.task.job != id || allocation.attempt != attempt) continue;
+      if (allocation.unsent()) {
+        effects |= end_allocation(*machine, i, now, true);
+      } else if (!allocation.stopping()) {
+        stop(*machine, allocation, StopReason::gang_broken, Seconds(0), now);
         effects.stops = true;
       }
     }
@@ -90,84 +94,89 @@
 }
 
 template <class Predicate>
-PlacementConstraints Cluster::count_allocations(const Job& j, Predicate&& which) const {
-  PlacementConstraints constraints(j.spec());
+PlacementConstraints Cluster::count_allocations(const Job& job, Predicate&& which) const {
+  PlacementConstraints constraints(job.spec());
   if (!constraints.zone_bound()) return constraints;
-  for (const Machine* h : holders(j.spec().id)) {
-    const auto counts = [&](const Allocation& b) { return b.task.job == j.spec().id && which(b); };
-    const auto tasks = std::count_if(h->allocations.begin(), h->allocations.end(), counts);
-    constraints.add(h->zone, static_cast<uint32_t>(tasks));
+  for (const Machine* machine : holders(job.spec().id)) {
+    const auto counts = [&](const Allocation& allocation) {
+      return allocation.task.job == job.spec().id && which(allocation);
+    };
+    const auto tasks =
+        std::count_if(machine->allocations.begin(), machine->allocations.end(), counts);
+    constraints.add(machine->zone, static_cast<uint32_t>(tasks));
   }
   return constraints;
 }
 
-PlacementConstraints Cluster::constraints_of(const Job& j) const {
-  return count_allocations(j, [](const Allocation&) { return true; });
+PlacementConstraints Cluster::constraints_of(const Job& job) const {
+  return count_allocations(job, [](const Allocation&) { return true; });
 }
 
-PlacementConstraints Cluster::constraints_of_sent(const Job& j) const {
-  return count_allocations(j, [](const Allocation& b) { return !b.unsent(); });
+PlacementConstraints Cluster::constraints_of_sent(const Job& job) const {
+  return count_allocations(job, [](const Allocation& allocation) { return !allocation.unsent(); });
 }
 
 // Safety 4: a job's allocations never break its constraints, so neither do its tasks, which are
 // only where it has allocations.
-bool Cluster::may_allocate(const Machine& h, Job& j, uint32_t index) {
-  const bool allowed =
-      pool_allowed(j.spec(), h.type, h.zone, h.spot) && constraints_of(j).tasks_allowed(h.zone) > 0;
+bool Cluster::may_allocate(const Machine& machine, Job& job, uint32_t index) {
+  const bool allowed = pool_allowed(job.spec(), machine.type, machine.zone, machine.spot) &&
+                       constraints_of(job).tasks_allowed(machine.zone) > 0;
   if (allowed) return true;
-  j.requeue(index);
+  job.requeue(index);
   ++refused_allocations_;
   spdlog::error("an allocation of {} on machine {} ({} in {}) violates its placement constraints",
-                TaskRef{j.spec().id, index}.text(), h.id, h.type, h.zone);
+                TaskRef{job.spec().id, index}.text(), machine.id, machine.type, machine.zone);
   return false;
 }
 
-Allocation* Cluster::allocate(Machine& h, Job& j, uint32_t index, uint64_t attempt, Instant now) {
-  if (!may_allocate(h, j, index)) return nullptr;
-  add_allocation(h, make_allocation(h, j, index, attempt, now));
-  return &h.allocations.back();
+Allocation* Cluster::allocate(Machine& machine, Job& job, uint32_t index, uint64_t attempt,
+                              Instant now) {
+  if (!may_allocate(machine, job, index)) return nullptr;
+  add_allocation(machine, make_allocation(machine, job, index, attempt, now));
+  return &machine.allocations.back();
 }
 
-Allocation* Cluster::queue_on(Machine& h, Job& j, uint32_t index, uint64_t attempt,
+Allocation* Cluster::queue_on(Machine& machine, Job& job, uint32_t index, uint64_t attempt,
                               QueuePosition queue_position, Instant now) {
-  if (!may_allocate(h, j, index)) return nullptr;
-  Allocation b = make_allocation(h, j, index, attempt, now);
-  b.queued = true;
-  b.queue_position = queue_position;
-  add_allocation(h, std::move(b));
-  return &h.allocations.back();
+  if (!may_allocate(machine, job, index)) return nullptr;
+  Allocation allocation = make_allocation(machine, job, index, attempt, now);
+  allocation.queued = true;
+  allocation.queue_position = queue_position;
+  add_allocation(machine, std::move(allocation));
+  return &machine.allocations.back();
 }
 
-Allocation Cluster::make_allocation(Machine& h, const Job& j, uint32_t index, uint64_t attempt,
-                                    Instant now) {
-  Allocation b;
-  b.task = TaskRef{j.spec().id, index};
-  b.attempt = attempt;
-  b.team = j.team();
-  b.team_name = j.spec().team;
-  b.need = j.spec().need;
-  b.image = j.spec().image;
-  b.estimate = j.spec().estimate;
-  b.gang = j.spec().gang;
-  b.service = j.spec().service;
-  b.priority = j.spec().priority;
-  b.placed_at = now;
-  note_image(h, j);
-  mark_dirty(h, b.gang || b.service);
-  return b;
+Allocation Cluster::make_allocation(Machine& machine, const Job& job, uint32_t index,
+                                    uint64_t attempt, Instant now) {
+  Allocation allocation;
+  allocation.task = TaskRef{job.spec().id, index};
+  allocation.attempt = attempt;
+  allocation.team = job.team();
+  allocation.team_name = job.spec().team;
+  allocation.need = job.spec().need;
+  allocation.image = job.spec().image;
+  allocation.estimate = job.spec().estimate;
+  allocation.gang = job.spec().gang;
+  allocation.service = job.spec().service;
+  allocation.priority = job.spec().priority;
+  allocation.placed_at = now;
+  note_image(machine, job);
+  mark_dirty(machine, allocation.gang || allocation.service);
+  return allocation;
 }
 
 bool Cluster::withdraw_queued(const std::string& id, Instant now) {
   Machine* most = nullptr;
-  for (Machine* h : holders(id)) {
-    const bool any = find_where(h->allocations,
-                                [&](const Allocation& b) { return b.queued && b.task.job == id; });
-    if (any && (!most || h->queued_tasks > most->queued_tasks)) most = h;
+  for (Machine* machine : holders(id)) {
+    const bool any = find_where(machine->allocations, [&](const Allocation& allocation) {
+      return allocation.queued && allocation.task.job == id;
+    });
+    if (any && (!most || machine->queued_tasks > most->queued_tasks)) most = machine;
   }
   if (!most) return false;
   for (size_t i = most->allocations.size(); i-- > 0;) {
-    const Allocation& b = most->allocations[i];
-    if (!b.queued || b.task.job != id) continue;
+    const Allocation& allocation = most->allocations[i];
+    if (!allocation.queued || allocation.task.job != id) continue;
     (void)end_allocation(*most, i, now);
     return true;
   }
@@ -176,13 +185,13 @@
 
 void Cluster::set_held(const std::map<std::string, Resources>& by_machine,
                        std::vector<Resources> by_team) {
-  for (Machine* h : held_machines_) h->held = Resources{};
+  for (Machine* machine : held_machines_) machine->held = Resources{};
   held_machines_.clear();
   for (const auto& [id, room] : by_machine) {
-    Machine* h = find_machine(id);
-    if (!h) continue;
-    h->held = room;
-    held_machines_.push_back(h);
+    Machine* machine = find_machine(id);
+    if (!machine) continue;
+    machine->held = room;
+    held_machines_.push_back(machine);
   }
   saved_ = std::move(by_team);
 }
@@ -190,75 +199,81 @@
 // The room that a task leaves is taken at once by one that waits for it on the machine: its
 // allocation stands already, so its `run` goes out with the answer to the very heartbeat that told
 // of the room.
-void Cluster::start_queued(Machine& h, Instant now) {
-  if (h.queued_tasks == 0) return;
+void Cluster::start_queued(Machine& machine, Instant now) {
+  if (machine.queued_tasks == 0) return;
   std::vector<Allocation*> waiting;
-  for (Allocation& b : h.allocations) {
-    if (b.queued && b.phase == Phase::durable) waiting.push_back(&b);
+  for (Allocation& allocation : machine.allocations) {
+    if (allocation.queued && allocation.phase == Phase::durable) waiting.push_back(&allocation);
   }
   std::stable_sort(waiting.begin(), waiting.end(), [](const Allocation* a, const Allocation* b) {
     return a->queue_position.before(b->queue_position);
   });
-  for (Allocation* b : waiting) {
-    Job* j = job(b->task.job);
-    if (!j || j->is_done(b->task.index) || now < j->not_before) continue;
+  for (Allocation* allocation : waiting) {
+    Job* open_job = job(allocation->task.job);
+    if (!open_job || open_job->is_done(allocation->task.index) || now < open_job->not_before)
+      continue;
     // Work without accelerators leaves beside each free one what its next task will need.
-    Resources room = h.free() - h.held;
-    if (b->need.gpus <= 0 && h.free().gpus > 0) room -= resources_per_gpu_ * h.free().gpus;
-    if (!b->need.fits_in(room)) continue;
-    if (b->team >= 0) {
+    Resources room = machine.free() - machine.held;
+    if (allocation->need.gpus <= 0 && machine.free().gpus > 0)
+      room -= resources_per_gpu_ * machine.free().gpus;
+    if (!allocation->need.fits_in(room)) continue;
+    if (allocation->team >= 0) {
       // Safety 4: its team's limit counts it from here on.
-      const auto t = static_cast<size_t>(b->team);
-      Resources used = usage_[t].used + b->need;
+      const auto t = static_cast<size_t>(allocation->team);
+      Resources used = usage_[t].used + allocation->need;
       if (t < saved_.size()) used += saved_[t];
       const auto over = [](double most, double in_use, double need) {
         return most > 0 && need > 0 && in_use > most + Resources::kSlack;
       };
       const auto& team = platform_.teams[t];
-      if (over(team.cpus_max, used.cpus, b->need.cpus)) continue;
-      if (over(team.gpus_max, used.gpus, b->need.gpus)) continue;
-      usage_[t].used += b->need;
+      if (over(team.cpus_max, used.cpus, allocation->need.cpus)) continue;
+      if (over(team.gpus_max, used.gpus, allocation->need.gpus)) continue;
+      usage_[t].used += allocation->need;
     }
-    b->queued = false;
-    --h.queued_tasks;
-    --j->queued_tasks;
-    h.used += b->need;
+    allocation->queued = false;
+    --machine.queued_tasks;
+    --open_job->queued_tasks;
+    machine.used += allocation->need;
   }
 }
 
-void Cluster::note_image(Machine& h, const Job& j) {
-  const std::string& image = j.spec().image;
-  std::erase_if(h.images, [&](const auto& i) { return i.name == image; });
-  h.images.push_back({image, j.spec().image_gb});
+void Cluster::note_image(Machine& machine, const Job& job) {
+  const std::string& image = job.spec().image;
+  std::erase_if(machine.images, [&](const auto& i) { return i.name == image; });
+  machine.images.push_back({image, job.spec().image_gb});
   double total = 0;
-  for (const auto& i : h.images) total += i.gb;
-  while (h.images.size() > 1 && total > h.cache_gb) {
-    total -= h.images.front().gb;
-    h.images.erase(h.images.begin());
+  for (const auto& i : machine.images) total += i.gb;
+  while (machine.images.size() > 1 && total > machine.cache_gb) {
+    total -= machine.images.front().gb;
+    machine.images.erase(machine.images.begin());
   }
 }
 
-void Cluster::stop(Machine& h, Allocation& b, StopReason reason, Seconds grace, Instant now) {
-  if (b.stopping() && b.grace <= grace) return;  // never milder than it was told before
-  b.stop = reason;
-  b.grace = grace;
-  b.stop_at = now;
-  if (std::find(stop_machines_.begin(), stop_machines_.end(), h.id) == stop_machines_.end()) {
-    stop_machines_.push_back(h.id);
+void Cluster::stop(Machine& machine, Allocation& allocation, StopReason reason, Seconds grace,
+                   Instant now) {
+  if (allocation.stopping() && allocation.grace <= grace)
+    return;  // never milder than it was told before
+  allocation.stop = reason;
+  allocation.grace = grace;
+  allocation.stop_at = now;
+  if (std::find(stop_machines_.begin(), stop_machines_.end(), machine.id) == stop_machines_.end()) {
+    stop_machines_.push_back(machine.id);
   }
 }
 
-Effects Cluster::preempt(Machine& h, const TaskRef& task, uint64_t attempt, Instant now) {
+Effects Cluster::preempt(Machine& machine, const TaskRef& task, uint64_t attempt, Instant now) {
   Effects effects;
-  Allocation* b = h.find(task, attempt);
-  if (!b || b->stopping()) return effects;
-  if (b->unsent()) {
+  Allocation* allocation = machine.find(task, attempt);
+  if (!allocation || allocation->stopping()) return effects;
+  if (allocation->unsent()) {
     // No worker will ever report it, so nothing would end it once it counted as being stopped.
-    return end_allocation(h, static_cast<size_t>(b - h.allocations.data()), now);
+    return end_allocation(machine, static_cast<size_t>(allocation - machine.allocations.data()),
+                          now);
   }
-  const Job* j = job(task.job);
-  const bool saves = j && j->spec().checkpoint > Seconds(0);
-  stop(h, *b, StopReason::preempted, saves ? j->spec().save + Seconds(1) : Seconds(0), now);
+  const Job* open_job = job(task.job);
+  const bool saves = open_job && open_job->spec().checkpoint > Seconds(0);
+  stop(machine, *allocation, StopReason::preempted,
+       saves ? open_job->spec().save + Seconds(1) : Seconds(0), now);
   effects.stops = true;
   return effects;
 }
@@ -266,26 +281,28 @@
 template <class Predicate>
 Effects Cluster::end_unsent(const std::string& id, Instant now, Predicate&& which) {
   Effects effects;
-  for (Machine* h : std::vector(holders(id))) {
-    for (size_t i = h->allocations.size(); i-- > 0;) {
-      if (i >= h->allocations.size()) continue;  // the end of one may end others
-      const Allocation& b = h->allocations[i];
-      if (b.task.job == id && b.unsent() && which(*h, b)) effects |= end_allocation(*h, i, now);
+  for (Machine* machine : std::vector(holders(id))) {
+    for (size_t i = machine->allocations.size(); i-- > 0;) {
+      if (i >= machine->allocations.size()) continue;  // the end of one may end others
+      const Allocation& allocation = machine->allocations[i];
+      if (allocation.task.job == id && allocation.unsent() && which(*machine, allocation))
+        effects |= end_allocation(*machine, i, now);
     }
   }
   return effects;
 }
 
 Effects Cluster::drop_unsent(const std::string& id, Instant now) {
-  return end_unsent(id, now,
-                    [](const Machine&, const Allocation& b) { return b.phase == Phase::planned; });
+  return end_unsent(id, now, [](const Machine&, const Allocation& allocation) {
+    return allocation.phase == Phase::planned;
+  });
 }
 
-Effects Cluster::drop_planned(Machine& h, Instant now) {
+Effects Cluster::drop_planned(Machine& machine, Instant now) {
   Effects effects;
-  for (size_t i = h.allocations.size(); i-- > 0;) {
-    if (i >= h.allocations.size()) continue;  // the end of one may end others
-    if (h.allocations[i].phase == Phase::planned) effects |= end_allocation(h, i, now);
+  for (size_t i = machine.allocations.size(); i-- > 0;) {
+    if (i >= machine.allocations.size()) continue;  // the end of one may end others
+    if (machine.allocations[i].phase == Phase::planned) effects |= end_allocation(machine, i, now);
   }
   return effects;
 }
@@ -293,23 +310,23 @@
 // An orphan task is on its machine, whatever was planned meanwhile. What was not sent and may not
 // stand beside it is undone before it can start, to be planned anew. A gang is broken as a whole:
 // none of its attempts may start until the orphan, which is being stopped, is gone.
-Effects Cluster::make_way_for(const Job& j, const TaskRef& orphan, Instant now) {
-  const std::string& id = j.spec().id;
-  if (j.spec().gang) {
+Effects Cluster::make_way_for(const Job& job, const TaskRef& orphan, Instant now) {
+  const std::string& id = job.spec().id;
+  if (job.spec().gang) {
     Effects effects;
     std::set<uint64_t> attempts;
-    for (const Machine* h : holders(id)) {
-      for (const Allocation& b : h->allocations) {
-        if (b.task.job == id) attempts.insert(b.attempt);
+    for (const Machine* machine : holders(id)) {
+      for (const Allocation& allocation : machine->allocations) {
+        if (allocation.task.job == id) attempts.insert(allocation.attempt);
       }
     }
     for (const uint64_t attempt : attempts) break_gang(id, attempt, now, effects);
     return effects;
   }
-  PlacementConstraints constraints = constraints_of_sent(j);
-  return end_unsent(id, now, [&](const Machine& h, const Allocation& b) {
-    if (b.task == orphan || constraints.tasks_allowed(h.zone) == 0) return true;
-    constraints.add(h.zone, 1);
+  PlacementConstraints constraints = constraints_of_sent(job);
+  return end_unsent(id, now, [&](const Machine& machine, const Allocation& allocation) {
+    if (allocation.task == orphan || constraints.tasks_allowed(machine.zone) == 0) return true;
+    constraints.add(machine.zone, 1);
     return false;
   });
 }
@@ -317,12 +334,13 @@
 std::vector<StopCall> Cluster::drain_stop_calls() {
   std::vector<StopCall> calls;
   for (const auto& id : stop_machines_) {
-    Machine* h = find_machine(id);
-    if (!h || h->address.empty() || !h->has_heartbeat || h->lost) continue;
-    StopCall call{h->id, h->address, h->incarnation, {}};
-    for (const Allocation& b : h->allocations) {
-      if (b.stopping() && !b.unsent()) {
-        call.commands.push_back({Command::Op::stop, b.task, b.attempt, b.grace});
+    Machine* machine = find_machine(id);
+    if (!machine || machine->address.empty() || !machine->has_heartbeat || machine->lost) continue;
+    StopCall call{machine->id, machine->address, machine->incarnation, {}};
+    for (const Allocation& allocation : machine->allocations) {
+      if (allocation.stopping() && !allocation.unsent()) {
+        call.commands.push_back(
+            {Command::Op::stop, allocation.task, allocation.attempt, allocation.grace});
       }
     }
     if (!call.commands.empty()) calls.push_back(std::move(call));
@@ -332,10 +350,10 @@
 }
 
 void Cluster::stop_gang(const std::string& id, uint64_t attempt, Seconds grace, Instant now) {
-  for (Machine* h : holders(id)) {
-    for (Allocation& b : h->allocations) {
-      if (b.task.job == id && b.attempt == attempt && !b.stopping()) {
-        stop(*h, b, StopReason::interruption, grace, now);
+  for (Machine* machine : holders(id)) {
+    for (Allocation& allocation : machine->allocations) {
+      if (allocation.task.job == id && allocation.attempt == attempt && !allocation.stopping()) {
+        stop(*machine, allocation, StopReason::interruption, grace, now);
       }
     }
   }
@@ -343,7 +361,7 @@
 
 size_t Cluster::allocation_count() const {
   size_t n = 0;
-  for (const auto& [id, h] : machines_) n += h->allocations.size();
+  for (const auto& [id, machine] : machines_) n += machine->allocations.size();
   return n;
 }
 
--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -30,13 +30,14 @@
 }
 
 Allocation* Machine::find(const TaskRef& task, uint64_t attempt) {
-  return find_where(allocations,
-                    [&](const Allocation& b) { return b.attempt == attempt && b.task == task; });
+  return find_where(allocations, [&](const Allocation& allocation) {
+    return allocation.attempt == attempt && allocation.task == task;
+  });
 }
 
-Cluster::Cluster(const settings::Platform& platform, const settings::Operator& op)
+Cluster::Cluster(const settings::Platform& platform, const settings::Operator& operator_settings)
     : platform_(platform),
-      op_(op),
+      op_(operator_settings),
       former_leader_window_(leadership::former_leader_renewal_window(platform)),
       lease_(leadership::worker_lease_bound(platform)),
       storable_in_chunk_(wire::storable_chunk_tasks(smallest_value(platform))),
@@ -100,14 +101,14 @@
     within = within ? std::min(*within, o.within) : o.within;
   }
   if (within) {
-    DemandForecast& e = forecasts_[record.spec.job_class];
-    e.sample = record.spec;
-    e.within = *within;
-    e.images[record.spec.image] = record.submitted;
-    e.arrivals.emplace_back(record.submitted, record.spec.tasks);
+    DemandForecast& forecast = forecasts_[record.spec.job_class];
+    forecast.sample = record.spec;
+    forecast.within = *within;
+    forecast.images[record.spec.image] = record.submitted;
+    forecast.arrivals.emplace_back(record.submitted, record.spec.tasks);
     const WallTime old = record.submitted - kRecent;
-    std::erase_if(e.arrivals, [&](const auto& a) { return a.first < old; });
-    std::erase_if(e.images, [&](const auto& i) { return i.second < old; });
+    std::erase_if(forecast.arrivals, [&](const auto& a) { return a.first < old; });
+    std::erase_if(forecast.images, [&](const auto& i) { return i.second < old; });
   }
   auto& loaded = jobs_[id] = std::make_unique<Job>(std::move(record.spec), record.submitted,
                                                    mod_revision, team, now, storable_in_chunk_);
@@ -116,47 +117,48 @@
 
 // Allocations of a job that became known after them, such as an orphan's: its tasks are not free to
 // be placed again.
-void Cluster::count_earlier_allocations(Job& j) {
-  for (const Machine* h : holders(j.spec().id)) {
-    for (const Allocation& b : h->allocations) {
-      if (b.task.job == j.spec().id) count_for_job(j, b);
+void Cluster::count_earlier_allocations(Job& job) {
+  for (const Machine* machine : holders(job.spec().id)) {
+    for (const Allocation& allocation : machine->allocations) {
+      if (allocation.task.job == job.spec().id) count_for_job(job, allocation);
     }
   }
 }
 
 void Cluster::load_done(const std::string& id, uint32_t chunk, wire::View value,
                         uint64_t mod_revision) {
-  Job* j = job(id);
-  if (!j) return;
-  std::vector<bool> bits(j->spec().tasks);
-  if (wire::read_done_chunk(value, chunk, bits)) j->load_chunk(chunk, bits, mod_revision);
+  Job* open_job = job(id);
+  if (!open_job) return;
+  std::vector<bool> bits(open_job->spec().tasks);
+  if (wire::read_done_chunk(value, chunk, bits)) open_job->load_chunk(chunk, bits, mod_revision);
 }
 
 // Safety 1: a new leader allocates everything that any former leader allocated. What of it really
 // runs is for the workers to say, under our fencing token.
 void Cluster::load_machine(const std::string& id, const wire::MachineRecord& record,
                            uint64_t mod_revision, Instant now) {
-  Machine& h = register_machine(id, record.type, record.zone, record.spot, now);
-  h.address = record.address;
-  h.mod_revision = mod_revision;
-  h.stored.clear();
+  Machine& machine = register_machine(id, record.type, record.zone, record.spot, now);
+  machine.address = record.address;
+  machine.mod_revision = mod_revision;
+  machine.stored.clear();
   for (const auto& g : record.groups) {
-    const Job* j = job(g.job);
+    const Job* open_job = job(g.job);
     for (const auto& [index, attempt] : g.tasks) {
-      Allocation b;
-      b.task = TaskRef{g.job, index};
-      b.attempt = attempt;
-      b.team_name = g.team;
-      b.team = team_index(g.team);
-      b.need = g.need;
-      b.gang = g.gang;
-      if (j) b.image = j->spec().image, b.estimate = j->spec().estimate;
-      b.service = j && j->spec().service;
-      b.priority = j ? j->spec().priority : Priority::low;
-      b.phase = Phase::inherited;
-      b.placed_at = now;
-      h.stored.emplace_back(b.task, attempt);
-      add_allocation(h, std::move(b));
+      Allocation allocation;
+      allocation.task = TaskRef{g.job, index};
+      allocation.attempt = attempt;
+      allocation.team_name = g.team;
+      allocation.team = team_index(g.team);
+      allocation.need = g.need;
+      allocation.gang = g.gang;
+      if (open_job)
+        allocation.image = open_job->spec().image, allocation.estimate = open_job->spec().estimate;
+      allocation.service = open_job && open_job->spec().service;
+      allocation.priority = open_job ? open_job->spec().priority : Priority::low;
+      allocation.phase = Phase::inherited;
+      allocation.placed_at = now;
+      machine.stored.emplace_back(allocation.task, attempt);
+      add_allocation(machine, std::move(allocation));
     }
   }
 }
@@ -183,14 +185,14 @@
   // Safety 3: nothing of a closed job starts, and all of a cancelled one is stopped everywhere.
   // Allocations whose `run` never went out under us are simply undone; the others stay allocated
   // until they are gone.
-  for (Machine* h : std::vector(holders(id))) {
-    for (size_t i = h->allocations.size(); i-- > 0;) {
-      Allocation& b = h->allocations[i];
-      if (b.task.job != id) continue;
-      if (b.unsent()) {
-        effects |= end_allocation(*h, i, now);
+  for (Machine* machine : std::vector(holders(id))) {
+    for (size_t i = machine->allocations.size(); i-- > 0;) {
+      Allocation& allocation = machine->allocations[i];
+      if (allocation.task.job != id) continue;
+      if (allocation.unsent()) {
+        effects |= end_allocation(*machine, i, now);
       } else if (cancelled) {
-        stop(*h, b, StopReason::cancelled, Seconds(0), now);
+        stop(*machine, allocation, StopReason::cancelled, Seconds(0), now);
         effects.stops = true;
       }
     }
@@ -200,17 +202,18 @@
 
 void Cluster::set_catalog(std::vector<MachineType> types) {
   catalog_ = std::move(types);
-  for (auto& [id, h] : machines_) {
-    if (const MachineType* t = type(h->type)) {
-      h->size = t->size;
-      h->cache_gb = t->cache_gb;
-      h->fetch_gb_per_s = t->fetch_gb_per_s;
+  for (auto& [id, machine] : machines_) {
+    if (const MachineType* machine_type = type(machine->type)) {
+      machine->size = machine_type->size;
+      machine->cache_gb = machine_type->cache_gb;
+      machine->fetch_gb_per_s = machine_type->fetch_gb_per_s;
     }
   }
 }
 
 const MachineType* Cluster::type(std::string_view name) const {
-  return find_where(catalog_, [&](const MachineType& t) { return t.name == name; });
+  return find_where(catalog_,
+                    [&](const MachineType& machine_type) { return machine_type.name == name; });
 }
 
 Machine* Cluster::find_machine(const std::string& id) {
@@ -230,17 +233,17 @@
   slot->known_since = now;
   slot->idle_since = now;
   slot->terminating = terminating_.contains(id);
-  if (const MachineType* t = type(type_name)) {
-    slot->size = t->size;
-    slot->cache_gb = t->cache_gb;
-    slot->fetch_gb_per_s = t->fetch_gb_per_s;
+  if (const MachineType* machine_type = type(type_name)) {
+    slot->size = machine_type->size;
+    slot->cache_gb = machine_type->cache_gb;
+    slot->fetch_gb_per_s = machine_type->fetch_gb_per_s;
   }
   return *slot;
 }
 
 void Cluster::mark_terminating(const std::string& id) {
   terminating_.insert(id);
-  if (Machine* h = find_machine(id)) h->terminating = true;
+  if (Machine* machine = find_machine(id)) machine->terminating = true;
 }
 
 Effects Cluster::remove_machine(const std::string& id, Instant now) {
@@ -250,11 +253,12 @@
     removed_[id] = now;
     return effects;
   }
-  Machine& h = *it->second;
-  while (!h.allocations.empty()) effects |= end_allocation(h, h.allocations.size() - 1, now);
-  if (h.mod_revision != 0 || !h.mod_revision_known)
-    dead_records_.emplace_back(wire::machine_key(id), h.mod_revision);
-  std::erase(held_machines_, &h);  // found on reading: it was written to after it was gone
+  Machine& machine = *it->second;
+  while (!machine.allocations.empty())
+    effects |= end_allocation(machine, machine.allocations.size() - 1, now);
+  if (machine.mod_revision != 0 || !machine.mod_revision_known)
+    dead_records_.emplace_back(wire::machine_key(id), machine.mod_revision);
+  std::erase(held_machines_, &machine);  // found on reading: it was written to after it was gone
   machines_.erase(it);
   std::erase_if(removed_, [&](const auto& g) { return now - g.second > kRememberGone; });
   removed_[id] = now;
@@ -262,27 +266,30 @@
   return effects;
 }
 
-Instant Cluster::lease_counted_from(const Machine& h) const {
+Instant Cluster::lease_counted_from(const Machine& machine) const {
   // Safety 1: a worker that never bore our fencing token may still be answered by the leader before
   // us, until that one's window is over.
-  return h.fenced ? h.last_answered
-                  : std::max(h.last_answered, term_since_ + former_leader_window_);
+  return machine.fenced ? machine.last_answered
+                        : std::max(machine.last_answered, term_since_ + former_leader_window_);
 }
 
-Instant Cluster::lease_expiry(const Machine& h) const {
-  return lease_counted_from(h) + lease_;
+Instant Cluster::lease_expiry(const Machine& machine) const {
+  return lease_counted_from(machine) + lease_;
 }
 
 Effects Cluster::expire(Instant now) {
   Effects effects;
-  for (auto& [id, h] : machines_) {
-    if (h->lost) continue;
-    if (!h->has_heartbeat && h->allocations.empty()) continue;  // nothing of ours was ever there
-    if (now < lease_expiry(*h)) continue;
-    spdlog::info("machine {}: its lease expired, {} allocations end", h->id, h->allocations.size());
-    h->lost = h->has_heartbeat;
-    h->images.clear();
-    while (!h->allocations.empty()) effects |= end_allocation(*h, h->allocations.size() - 1, now);
+  for (auto& [id, machine] : machines_) {
+    if (machine->lost) continue;
+    if (!machine->has_heartbeat && machine->allocations.empty())
+      continue;  // nothing of ours was ever there
+    if (now < lease_expiry(*machine)) continue;
+    spdlog::info("machine {}: its lease expired, {} allocations end", machine->id,
+                 machine->allocations.size());
+    machine->lost = machine->has_heartbeat;
+    machine->images.clear();
+    while (!machine->allocations.empty())
+      effects |= end_allocation(*machine, machine->allocations.size() - 1, now);
     effects.schedule = true;
   }
   return effects;
@@ -291,31 +298,34 @@
 Effects Cluster::tick(Instant now) {
   Effects effects;
   const Nanos silent = to_nanos(platform_.heartbeat_interval * 2 + Seconds(1));
-  for (auto& [id, h] : machines_) {
+  for (auto& [id, machine] : machines_) {
     // What waits on a machine that nothing is heard of, or that will not get it, goes elsewhere.
     // Found on days of our own with machines that fail their tasks: a drained one gets no `run`, so
     // what was allocated there and not sent yet stayed for good, and its job with it.
-    if (h->interruption_at || h->draining || h->terminating || h->unreachable ||
-        (h->has_heartbeat && now - h->last_heartbeat >= silent)) {
-      for (size_t i = h->allocations.size(); i-- > 0;) {
-        if (i < h->allocations.size() && h->allocations[i].unsent())
-          effects |= end_allocation(*h, i, now);
+    if (machine->interruption_at || machine->draining || machine->terminating ||
+        machine->unreachable ||
+        (machine->has_heartbeat && now - machine->last_heartbeat >= silent)) {
+      for (size_t i = machine->allocations.size(); i-- > 0;) {
+        if (i < machine->allocations.size() && machine->allocations[i].unsent())
+          effects |= end_allocation(*machine, i, now);
       }
     }
-    move_replicas(*h, now);
-    if (!h->interruption_at) continue;
-    for (size_t i = h->allocations.size(); i-- > 0;) {
-      Allocation& b = h->allocations[i];
-      const Job* j = job(b.task.job);
-      if (!j || b.stopping() || j->spec().checkpoint <= Seconds(0)) continue;
-      const Seconds left = to_seconds(*h->interruption_at - now);
-      if (left > j->spec().save + kSaveSlack) continue;
+    move_replicas(*machine, now);
+    if (!machine->interruption_at) continue;
+    for (size_t i = machine->allocations.size(); i-- > 0;) {
+      Allocation& allocation = machine->allocations[i];
+      const Job* open_job = job(allocation.task.job);
+      if (!open_job || allocation.stopping() || open_job->spec().checkpoint <= Seconds(0)) continue;
+      const Seconds left = to_seconds(*machine->interruption_at - now);
+      if (left > open_job->spec().save + kSaveSlack) continue;
       // Saved before the machine goes. A gang saves as a whole or not at all: all its tasks are
       // told in the same moment, well inside gang_peer_s of one another.
-      if (b.gang) {
-        stop_gang(b.task.job, b.attempt, j->spec().save + platform_.gang_peer, now);
+      if (allocation.gang) {
+        stop_gang(allocation.task.job, allocation.attempt,
+                  open_job->spec().save + platform_.gang_peer, now);
       } else {
-        stop(*h, b, StopReason::interruption, j->spec().save + Seconds(1), now);
+        stop(*machine, allocation, StopReason::interruption, open_job->spec().save + Seconds(1),
+             now);
       }
     }
   }
@@ -328,21 +338,22 @@
 // the report of it are sure to get there and back. One that runs on a drained machine stays: a
 // machine that fails what it starts does no harm to what runs (cellarline-qld-next, day `troubles`:
 // stopping them there cost more served time than the loss of machines).
-void Cluster::move_replicas(Machine& h, Instant now) {
-  if (!h.interruption_at || *h.interruption_at - now > to_nanos(platform_.heartbeat_interval * 2))
+void Cluster::move_replicas(Machine& machine, Instant now) {
+  if (!machine.interruption_at ||
+      *machine.interruption_at - now > to_nanos(platform_.heartbeat_interval * 2))
     return;
-  for (Allocation& b : h.allocations) {
-    if (!b.service || b.stopping() || b.unsent()) continue;
-    stop(h, b, StopReason::interruption, Seconds(0), now);
+  for (Allocation& allocation : machine.allocations) {
+    if (!allocation.service || allocation.stopping() || allocation.unsent()) continue;
+    stop(machine, allocation, StopReason::interruption, Seconds(0), now);
   }
 }
 
 Effects Cluster::release_backed_off(Instant now) {
   Effects effects;
   std::erase_if(backing_off_jobs_, [&](const std::string& id) {
-    Job* j = job(id);
-    if (j && j->release_backed_off(now)) effects.schedule = true;
-    return !j || !j->any_backed_off();
+    Job* open_job = job(id);
+    if (open_job && open_job->release_backed_off(now)) effects.schedule = true;
+    return !open_job || !open_job->any_backed_off();
   });
   return effects;
 }
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -43,7 +43,9 @@
 struct QueuePosition {
   int tier = 0;
   double due = 0;  // seconds of this process's steady clock
-  bool before(const QueuePosition& o) const { return tier != o.tier ? tier > o.tier : due < o.due; }
+  bool before(const QueuePosition& position) const {
+    return tier != position.tier ? tier > position.tier : due < position.due;
+  }
 };
 
 struct Allocation {
@@ -164,9 +166,10 @@
   bool store_done = false;
   bool stops = false;  // stop calls should go out at once
   bool runs = false;   // some machine may be sent a `run`
-  void operator|=(const Effects& o) {
-    schedule |= o.schedule, store_machines |= o.store_machines, store_done |= o.store_done;
-    stops |= o.stops, runs |= o.runs;
+  void operator|=(const Effects& effects) {
+    schedule |= effects.schedule, store_machines |= effects.store_machines,
+        store_done |= effects.store_done;
+    stops |= effects.stops, runs |= effects.runs;
   }
 };
 
@@ -186,7 +189,7 @@
 
 class Cluster {
  public:
-  Cluster(const settings::Platform& platform, const settings::Operator& op);
+  Cluster(const settings::Platform& platform, const settings::Operator& operator_settings);
 
   // --- take-over
   void begin_term(uint64_t epoch, Instant now);
@@ -245,7 +248,7 @@
   // Ends the allocations of workers whose lease is certainly over.
   Effects expire(Instant now);
   // When the lease of this machine's worker is certainly over, as far as is known now.
-  Instant lease_expiry(const Machine& h) const;
+  Instant lease_expiry(const Machine& machine) const;
 
   // --- decisions
   // Where further tasks of the job may go, given all its allocations.
@@ -273,19 +276,19 @@
   const ReplicaRestarts& replica_restarts() const { return replica_restarts_; }
 
   // --- the record of a machine in the key-value store
-  wire::MachineRecord record_of(const Machine& h) const;
+  wire::MachineRecord record_of(const Machine& machine) const;
   // The machines whose records want writing: those with allocations of services and gangs first,
   // then first come first served.
-  void mark_dirty(Machine& h, bool urgent = false);
+  void mark_dirty(Machine& machine, bool urgent = false);
   // Takes the next one out of the queue; null when there is none.
   Machine* next_dirty_machine();
   // Puts one that was taken out back to the front.
-  void requeue_dirty_machine(Machine& h);
+  void requeue_dirty_machine(Machine& machine);
   size_t dirty_machine_count() const { return urgent_machines_.size() + dirty_machines_.size(); }
-  void machine_stored(Machine& h, const wire::MachineRecord& as_written, uint64_t mod_revision,
-                      Effects& effects);
+  void machine_stored(Machine& machine, const wire::MachineRecord& as_written,
+                      uint64_t mod_revision, Effects& effects);
   // An upper bound of its record's size in JSON.
-  size_t record_size(const Machine& h) const;
+  size_t record_size(const Machine& machine) const;
   // Allocations are planned up to this size; what is above it is for orphans.
   size_t record_limit() const { return record_limit_; }
   // What a job adds to a record at most: once, and with each of its tasks.
@@ -293,10 +296,10 @@
     size_t group = 0;
     size_t task = 0;
   };
-  RecordCost record_cost(const Job& j) const;
+  RecordCost record_cost(const Job& job) const;
 
   // Undoes the allocations on the machine that are not written down yet.
-  Effects drop_planned(Machine& h, Instant now);
+  Effects drop_planned(Machine& machine, Instant now);
 
   // The machines that hold allocations of a job, open or closed, in no particular order.
   const std::vector<Machine*>& holders(const std::string& job) const;
@@ -311,47 +314,47 @@
  private:
   // Counts those of the job's allocations of which `which` is true.
   template <class Predicate>
-  PlacementConstraints count_allocations(const Job& j, Predicate&& which) const;
-  PlacementConstraints constraints_of_sent(const Job& j) const;
-  bool may_allocate(const Machine& h, Job& j, uint32_t index);
-  Allocation make_allocation(Machine& h, const Job& j, uint32_t index, uint64_t attempt,
+  PlacementConstraints count_allocations(const Job& job, Predicate&& which) const;
+  PlacementConstraints constraints_of_sent(const Job& job) const;
+  bool may_allocate(const Machine& machine, Job& job, uint32_t index);
+  Allocation make_allocation(Machine& machine, const Job& job, uint32_t index, uint64_t attempt,
                              Instant now);
-  void add_allocation(Machine& h, Allocation b);
-  static void count_for_job(Job& j, const Allocation& b);
-  void count_earlier_allocations(Job& j);
+  void add_allocation(Machine& machine, Allocation allocation);
+  static void count_for_job(Job& job, const Allocation& allocation);
+  void count_earlier_allocations(Job& job);
   // Ends allocation i of h. Returns what follows from it.
-  Effects end_allocation(Machine& h, size_t i, Instant now, bool gang_goes_on = false);
+  Effects end_allocation(Machine& machine, size_t i, Instant now, bool gang_goes_on = false);
   // Ends the job's unsent allocations of which `which` is true.
   template <class Predicate>
   Effects end_unsent(const std::string& job, Instant now, Predicate&& which);
-  Effects on_exit(Machine& h, const TaskStatus& r, Instant now);
-  void apply_running(Allocation& allocation, Job* j, const Machine& h, Instant now);
-  void back_off_replica(Job& j, uint32_t index, bool soon, Instant now);
+  Effects on_exit(Machine& machine, const TaskStatus& status, Instant now);
+  void apply_running(Allocation& allocation, Job* job, const Machine& machine, Instant now);
+  void back_off_replica(Job& job, uint32_t index, bool soon, Instant now);
   Effects release_backed_off(Instant now);
-  void count_restart(const Allocation& b, const Machine& h);
-  void move_replicas(Machine& h, Instant now);
+  void count_restart(const Allocation& allocation, const Machine& machine);
+  void move_replicas(Machine& machine, Instant now);
   void break_gang(const std::string& job, uint64_t attempt, Instant now, Effects& effects);
   void stop_gang(const std::string& job, uint64_t attempt, Seconds grace, Instant now);
-  void on_error(Machine& h, Job* job, Instant now);
-  void add_suspicion(Machine& h, Instant now);
-  void clear_suspicion(Machine& h, Instant now) const;
-  void start_queued(Machine& h, Instant now);
-  bool sendable(const Allocation& b) const;
-  bool fresh(Machine& h, const Heartbeat& b) const;
-  void apply_worker_status(Machine& h, const Heartbeat& b, Instant now, bool complete,
+  void on_error(Machine& machine, Job* job, Instant now);
+  void add_suspicion(Machine& machine, Instant now);
+  void clear_suspicion(Machine& machine, Instant now) const;
+  void start_queued(Machine& machine, Instant now);
+  bool sendable(const Allocation& allocation) const;
+  bool fresh(Machine& machine, const Heartbeat& heartbeat) const;
+  void apply_worker_status(Machine& machine, const Heartbeat& heartbeat, Instant now, bool complete,
                            Effects& effects);
-  void apply_machine_state(Machine& h, const Heartbeat& b, Instant now, bool complete,
+  void apply_machine_state(Machine& machine, const Heartbeat& heartbeat, Instant now, bool complete,
                            Effects& effects);
-  Effects end_allocations_before(Machine& h, uint64_t incarnation, Instant now);
-  Allocation& allocate_orphan(Machine& h, const TaskStatus& task, const Job* j, Instant now,
+  Effects end_allocations_before(Machine& machine, uint64_t incarnation, Instant now);
+  Allocation& allocate_orphan(Machine& machine, const TaskStatus& task, const Job* job, Instant now,
                               Effects& effects);
-  bool may_adopt(const Machine& h, const Job& j, uint32_t index) const;
-  Effects make_way_for(const Job& j, const TaskRef& orphan, Instant now);
-  bool apply_task(Machine& h, const TaskStatus& t, Instant now, Effects& effects);
-  bool end_unlisted(Machine& h, const Heartbeat& b, Instant now, Effects& effects);
-  void note_image(Machine& h, const Job& job);
+  bool may_adopt(const Machine& machine, const Job& job, uint32_t index) const;
+  Effects make_way_for(const Job& job, const TaskRef& orphan, Instant now);
+  bool apply_task(Machine& machine, const TaskStatus& status, Instant now, Effects& effects);
+  bool end_unlisted(Machine& machine, const Heartbeat& heartbeat, Instant now, Effects& effects);
+  void note_image(Machine& machine, const Job& job);
   int team_index(std::string_view name) const;
-  Instant lease_counted_from(const Machine& h) const;
+  Instant lease_counted_from(const Machine& machine) const;
 
   const settings::Platform& platform_;
   const settings::Operator& op_;
--- a/src/dunlinknot/cluster/leader_context.hpp
+++ b/src/dunlinknot/cluster/leader_context.hpp
@@ -9,17 +9,18 @@
 namespace dunlinknot::cluster {
 
 struct LeaderState {
-  LeaderState(const settings::Platform& p, const settings::Operator& o) : cluster(p, o) {}
+  LeaderState(const settings::Platform& platform, const settings::Operator& o)
+      : cluster(platform, o) {}
   Cluster cluster;
   preemption::Nominations nominations;
 };
 
 struct LeaderContext {
-  LeaderContext(EventLoop& l, const settings::Platform& p, const settings::Operator& o)
+  LeaderContext(EventLoop& l, const settings::Platform& settings, const settings::Operator& o)
       : loop(l),
-        platform(p),
+        platform(settings),
         op(o),
-        leader_state(p, o),
+        leader_state(settings, o),
         schedule(l),
         store_machines(l),
         store_done(l),
@@ -40,12 +41,12 @@
   uint64_t epoch_mod_revision = 0;
   bool in_term(uint64_t r) const { return term == r && epoch != 0; }
 
-  void follow_up(const Effects& n) {
-    if (n.schedule) schedule.notify();
-    if (n.store_machines) store_machines.notify();
-    if (n.store_done) store_done.notify();
-    if (n.stops) stops.notify();
-    if (n.runs) runs.notify();
+  void follow_up(const Effects& effects) {
+    if (effects.schedule) schedule.notify();
+    if (effects.store_machines) store_machines.notify();
+    if (effects.store_done) store_done.notify();
+    if (effects.stops) stops.notify();
+    if (effects.runs) runs.notify();
   }
 };
 
--- a/src/dunlinknot/http/client.cpp
+++ b/src/dunlinknot/http/client.cpp
@@ -33,11 +33,11 @@
     reply.too_large = parser.error_status() == kBodyTooLarge;
     co_return reply;
   }
-  Message m = parser.take();
-  reusable = m.keep_alive && parser.idle();
+  Message message = parser.take();
+  reusable = message.keep_alive && parser.idle();
   reply.outcome = Outcome::ok;
-  reply.status = m.status;
-  reply.body = std::move(m.body);
+  reply.status = message.status;
+  reply.body = std::move(message.body);
   co_return reply;
 }
 
--- a/src/dunlinknot/http/message.cpp
+++ b/src/dunlinknot/http/message.cpp
@@ -252,15 +252,19 @@
   return out;
 }
 
-std::string render_response(const Response& r, bool keep_alive) {
+std::string render_response(const Response& response, bool keep_alive) {
   std::string out;
-  out.reserve(160 + r.body.size());
-  out.append("HTTP/1.1 ").append(std::to_string(r.status)).append(" ").append(reason(r.status));
+  out.reserve(160 + response.body.size());
+  out.append("HTTP/1.1 ")
+      .append(std::to_string(response.status))
+      .append(" ")
+      .append(reason(response.status));
   out.append("\r\nContent-Type: application/msgpack\r\nContent-Length: ")
-      .append(std::to_string(r.body.size()));
-  if (r.retry_after_s > 0) out.append("\r\nRetry-After: ").append(std::to_string(r.retry_after_s));
+      .append(std::to_string(response.body.size()));
+  if (response.retry_after_s > 0)
+    out.append("\r\nRetry-After: ").append(std::to_string(response.retry_after_s));
   if (!keep_alive) out.append("\r\nConnection: close");
-  out.append("\r\n\r\n").append(r.body);
+  out.append("\r\n\r\n").append(response.body);
   return out;
 }
 
--- a/src/dunlinknot/http/message.hpp
+++ b/src/dunlinknot/http/message.hpp
@@ -75,6 +75,6 @@
 
 std::string render_request(std::string_view method, std::string_view target, std::string_view host,
                            std::string_view body);
-std::string render_response(const Response& r, bool keep_alive);
+std::string render_response(const Response& response, bool keep_alive);
 
 }  // namespace dunlinknot::http
--- a/src/dunlinknot/http/server.cpp
+++ b/src/dunlinknot/http/server.cpp
@@ -11,13 +11,13 @@
 
 Task<void> Server::serve() {
   for (;;) {
-    Socket s = co_await listener_.accept();
+    Socket socket = co_await listener_.accept();
     if (connections_ >= options_.max_connections) {
       ++turned_away_;
-      loop_.spawn(turn_away(std::move(s)));
+      loop_.spawn(turn_away(std::move(socket)));
     } else {
       ++connections_;
-      loop_.spawn(connection(std::move(s)));
+      loop_.spawn(connection(std::move(socket)));
     }
   }
 }
--- a/src/dunlinknot/http/socket.cpp
+++ b/src/dunlinknot/http/socket.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-sockaddr_in address_of(Endpoint e) {
+sockaddr_in address_of(Endpoint endpoint) {
   sockaddr_in a{};
   a.sin_family = AF_INET;
-  a.sin_addr.s_addr = e.ip;
-  a.sin_port = htons(e.port);
+  a.sin_addr.s_addr = endpoint.ip;
+  a.sin_port = htons(endpoint.port);
   return a;
 }
 
@@ -30,13 +30,14 @@
   if (colon == std::string_view::npos) return std::nullopt;
   const std::string host(text.substr(0, colon));
   const std::string_view port = text.substr(colon + 1);
-  Endpoint e;
+  Endpoint endpoint;
   in_addr ip{};
   if (::inet_pton(AF_INET, host.c_str(), &ip) != 1) return std::nullopt;
-  e.ip = ip.s_addr;
-  const auto r = std::from_chars(port.data(), port.data() + port.size(), e.port);
-  if (r.ec != std::errc{} || r.ptr != port.data() + port.size() || e.port == 0) return std::nullopt;
-  return e;
+  endpoint.ip = ip.s_addr;
+  const auto r = std::from_chars(port.data(), port.data() + port.size(), endpoint.port);
+  if (r.ec != std::errc{} || r.ptr != port.data() + port.size() || endpoint.port == 0)
+    return std::nullopt;
+  return endpoint;
 }
 
 std::string Endpoint::text() const {
@@ -50,13 +51,14 @@
   loop.watch_fd(fd);
 }
 
-Socket::Socket(Socket&& o) noexcept : loop_(o.loop_), fd_(std::exchange(o.fd_, -1)) {}
+Socket::Socket(Socket&& socket) noexcept
+    : loop_(socket.loop_), fd_(std::exchange(socket.fd_, -1)) {}
 
-Socket& Socket::operator=(Socket&& o) noexcept {
-  if (this != &o) {
+Socket& Socket::operator=(Socket&& socket) noexcept {
+  if (this != &socket) {
     close();
-    loop_ = o.loop_;
-    fd_ = std::exchange(o.fd_, -1);
+    loop_ = socket.loop_;
+    fd_ = std::exchange(socket.fd_, -1);
   }
   return *this;
 }
@@ -73,15 +75,15 @@
   if (fd < 0) co_return Socket{};
   const int one = 1;
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-  Socket s(loop, fd);
+  Socket socket(loop, fd);
   const sockaddr_in addr = address_of(to);
-  if (::connect(fd, reinterpret_cast<const sockaddr*>(&addr), sizeof addr) == 0) co_return s;
+  if (::connect(fd, reinterpret_cast<const sockaddr*>(&addr), sizeof addr) == 0) co_return socket;
   if (errno != EINPROGRESS) co_return Socket{};
   if (!co_await loop.writable(fd, deadline)) co_return Socket{};
   int err = 0;
   socklen_t len = sizeof err;
   if (::getsockopt(fd, SOL_SOCKET, SO_ERROR, &err, &len) != 0 || err != 0) co_return Socket{};
-  co_return s;
+  co_return socket;
 }
 
 Task<ssize_t> Socket::read_some(char* into, size_t room, Instant deadline) {
--- a/src/dunlinknot/http/socket.hpp
+++ b/src/dunlinknot/http/socket.hpp
@@ -22,8 +22,8 @@
  public:
   Socket() = default;
   Socket(EventLoop& loop, int fd);
-  Socket(Socket&& o) noexcept;
-  Socket& operator=(Socket&& o) noexcept;
+  Socket(Socket&& socket) noexcept;
+  Socket& operator=(Socket&& socket) noexcept;
   ~Socket() { close(); }
   void close();
   bool open() const { return fd_ >= 0; }
--- a/src/dunlinknot/jobs/request_handler.cpp
+++ b/src/dunlinknot/jobs/request_handler.cpp
@@ -28,9 +28,9 @@
 
 }  // namespace
 
-bool FinalCache::put(const std::string& id, wire::FinalRecord r) {
+bool FinalCache::put(const std::string& id, wire::FinalRecord record) {
   if (most_ == 0) return true;
-  if (!records_.emplace(id, r).second) return false;
+  if (!records_.emplace(id, record).second) return false;
   order_.push_back(id);
   if (order_.size() > most_) {
     records_.erase(order_.front());
@@ -44,11 +44,11 @@
   return it == records_.end() ? nullptr : &it->second;
 }
 
-void ProgressBoard::replace(wire::peer::Progress p) {
-  if (p.epoch < epoch_) return;
-  epoch_ = p.epoch;
+void ProgressBoard::replace(wire::peer::Progress progress) {
+  if (progress.epoch < epoch_) return;
+  epoch_ = progress.epoch;
   jobs_.clear();
-  for (auto& e : p.entries) jobs_[std::move(e.id)] = {e.done, e.running};
+  for (auto& e : progress.entries) jobs_[std::move(e.id)] = {e.done, e.running};
 }
 
 std::pair<uint32_t, uint32_t> ProgressBoard::of(const std::string& id) const {
@@ -57,39 +57,40 @@
 }
 
 RequestHandler::RequestHandler(EventLoop& loop, kv::Client& store,
-                               const settings::Platform& platform, const settings::Operator& op,
-                               uint32_t seed, std::function<void(const std::string&)> cancelled)
+                               const settings::Platform& platform,
+                               const settings::Operator& operator_settings, uint32_t seed,
+                               std::function<void(const std::string&)> cancelled)
     : loop_(loop),
       store_(store),
       platform_(platform),
-      op_(op),
+      op_(operator_settings),
       cancelled_(std::move(cancelled)),
-      finals_(op.final_cache),
+      finals_(operator_settings.final_cache),
       random_(seed) {}
 
 // Refused at once, with a time to come back that spreads the retries.
 Response RequestHandler::later(int least_s) {
   ++refused_;
-  Response r;
-  r.status = 503;
-  r.retry_after_s = std::uniform_int_distribution<int>(least_s, least_s + 2)(random_);
-  r.body = wire::write_error("try again later");
-  return r;
+  Response response;
+  response.status = 503;
+  response.retry_after_s = std::uniform_int_distribution<int>(least_s, least_s + 2)(random_);
+  response.body = wire::write_error("try again later");
+  return response;
 }
 
 Response RequestHandler::refuse(int status, std::string_view why) const {
-  Response r;
-  r.status = status;
-  r.body = wire::write_error(why);
-  return r;
+  Response response;
+  response.status = status;
+  response.body = wire::write_error(why);
+  return response;
 }
 
 std::set<std::string> RequestHandler::zones_with_fitting_types(const JobSpec& spec) const {
   std::set<std::string> zones;
-  for (const MachineType& t : catalog_) {
-    if (!spec.need.fits_in(t.size)) continue;
-    for (const auto& zone : t.zones) {
-      if (cluster::pool_allowed(spec, t.name, zone, false)) zones.insert(zone);
+  for (const MachineType& machine_type : catalog_) {
+    if (!spec.need.fits_in(machine_type.size)) continue;
+    for (const auto& zone : machine_type.zones) {
+      if (cluster::pool_allowed(spec, machine_type.name, zone, false)) zones.insert(zone);
     }
   }
   return zones;
@@ -167,21 +168,22 @@
 }
 
 Response RequestHandler::standing_of(const std::string& id, const Lookup& found, bool with_counts) {
-  JobStanding s;
-  s.id = id;
+  JobStanding standing;
+  standing.id = id;
   if (found.known == Known::final) {
-    s.state = found.final.cancelled ? JobStanding::State::cancelled : JobStanding::State::done;
-    s.done = found.final.cancelled ? 0 : found.final.tasks;
+    standing.state =
+        found.final.cancelled ? JobStanding::State::cancelled : JobStanding::State::done;
+    standing.done = found.final.cancelled ? 0 : found.final.tasks;
   } else {
     const auto [done, running] = progress_.of(id);
-    s.done = done;
-    s.running = running;
-    s.state = running > 0 ? JobStanding::State::running : JobStanding::State::queued;
+    standing.done = done;
+    standing.running = running;
+    standing.state = running > 0 ? JobStanding::State::running : JobStanding::State::queued;
   }
-  Response r;
-  r.status = 200;
-  r.body = wire::write_standing(s, with_counts);
-  return r;
+  Response response;
+  response.status = 200;
+  response.body = wire::write_standing(standing, with_counts);
+  return response;
 }
 
 // Whether the key-value store takes the value, also once its limits are lowered.
@@ -234,15 +236,16 @@
     txn.compares.push_back({wire::final_key(*id), 0});
     txn.writes.push_back({wire::job_key(*id), record, 0});
     const Nanos within = std::min<Nanos>(kTryTime, deadline - loop_.now());
-    kv::TransactionResult r = co_await store_.commit(std::move(txn), within, kv::Importance::user);
-    if (r.outcome == Outcome::refused) co_return later();
-    if (r.outcome != Outcome::ok) continue;  // the same again: the guards make that harmless
-    if (r.applied) {
+    kv::TransactionResult result =
+        co_await store_.commit(std::move(txn), within, kv::Importance::user);
+    if (result.outcome == Outcome::refused) co_return later();
+    if (result.outcome != Outcome::ok) continue;  // the same again: the guards make that harmless
+    if (result.applied) {
       ++accepted_;
-      Response ok;
-      ok.status = 201;
-      ok.body = wire::write_standing({*id, JobStanding::State::queued, 0, 0}, false);
-      co_return ok;
+      Response response;
+      response.status = 201;
+      response.body = wire::write_standing({*id, JobStanding::State::queued, 0, 0}, false);
+      co_return response;
     }
     const Lookup found = co_await look_up(*id, deadline);
     if (found.known == Known::open || found.known == Known::final) {
@@ -281,9 +284,11 @@
     txn.writes.push_back({wire::final_key(id), wire::write_final({true, found.tasks}), 0});
     txn.writes.push_back({wire::job_key(id), "", 0});
     const Nanos within = std::min<Nanos>(kTryTime, deadline - loop_.now());
-    kv::TransactionResult r = co_await store_.commit(std::move(txn), within, kv::Importance::user);
-    if (r.outcome == Outcome::refused) break;
-    if (r.outcome == Outcome::ok && r.applied) learn_final(id, {true, found.tasks}, r.revision);
+    kv::TransactionResult result =
+        co_await store_.commit(std::move(txn), within, kv::Importance::user);
+    if (result.outcome == Outcome::refused) break;
+    if (result.outcome == Outcome::ok && result.applied)
+      learn_final(id, {true, found.tasks}, result.revision);
     // Applied, overtaken or unknown: what stands now is the answer.
   }
   co_return later();
--- a/src/dunlinknot/jobs/request_handler.hpp
+++ b/src/dunlinknot/jobs/request_handler.hpp
@@ -19,7 +19,7 @@
 class FinalCache {
  public:
   explicit FinalCache(size_t most) : most_(most) {}
-  bool put(const std::string& id, wire::FinalRecord r);  // whether it is news
+  bool put(const std::string& id, wire::FinalRecord record);  // whether it is news
   const wire::FinalRecord* find(const std::string& id) const;
 
  private:
@@ -31,7 +31,7 @@
 // How far open jobs are, for display, as the leader last told.
 class ProgressBoard {
  public:
-  void replace(wire::peer::Progress p);
+  void replace(wire::peer::Progress progress);
   std::pair<uint32_t, uint32_t> of(const std::string& id) const;  // done, running
 
  private:
@@ -42,7 +42,7 @@
 class RequestHandler {
  public:
   RequestHandler(EventLoop& loop, kv::Client& store, const settings::Platform& platform,
-                 const settings::Operator& op, uint32_t seed,
+                 const settings::Operator& operator_settings, uint32_t seed,
                  std::function<void(const std::string& id)> cancelled);
 
   Task<http::Response> submit(std::string body);
--- a/src/dunlinknot/kv/client.cpp
+++ b/src/dunlinknot/kv/client.cpp
@@ -22,11 +22,12 @@
   return std::make_shared<Document>(std::move(*d));
 }
 
-std::optional<KeyValue> read_item(View v) {
-  const auto key = v["key"].text();
-  const auto mod_revision = v["stamp"].count();
+std::optional<KeyValue> read_item(View value) {
+  const auto key = value["key"].text();
+  const auto mod_revision = value["stamp"].count();
   if (!key || !mod_revision) return std::nullopt;
-  return KeyValue{std::string(*key), v["v"], *mod_revision, v["tenancy"].count().value_or(0)};
+  return KeyValue{std::string(*key), value["v"], *mod_revision,
+                  value["tenancy"].count().value_or(0)};
 }
 
 // A reply that should not have come as it did tells nothing about what was done.
@@ -100,14 +101,14 @@
     if (writes > 0) writes_.force(sent, writes);
     if (user) user_writes_.force(sent, writes);
   }
-  http::Call c;
-  c.to = at_;
-  c.method = std::move(method);
-  c.target = std::move(target);
-  c.body = std::move(body);
-  c.deadline = sent + within;
-  c.max_body = max_body;
-  http::Reply reply = co_await transport_.exchange(std::move(c));
+  http::Call call;
+  call.to = at_;
+  call.method = std::move(method);
+  call.target = std::move(target);
+  call.body = std::move(body);
+  call.deadline = sent + within;
+  call.max_body = max_body;
+  http::Reply reply = co_await transport_.exchange(std::move(call));
   if (reply.outcome == Outcome::ok) {
     if (reply.status == 429 || reply.status == 503) {
       reply.outcome = Outcome::refused;
@@ -123,23 +124,23 @@
 
 Task<GetResult> Client::get(std::string key, Nanos within, Importance how) {
   GetResult out;
-  http::Reply r = co_await call("GET", "/keys/" + key, "", within, size_t{64} * 1024, 0, how);
-  out.outcome = r.outcome;
-  if (r.outcome != Outcome::ok) co_return out;
-  out.document = parse(r.body);
-  if (out.document && r.status == 200) {
+  http::Reply reply = co_await call("GET", "/keys/" + key, "", within, size_t{64} * 1024, 0, how);
+  out.outcome = reply.outcome;
+  if (reply.outcome != Outcome::ok) co_return out;
+  out.document = parse(reply.body);
+  if (out.document && reply.status == 200) {
     if (auto item = read_item(out.document->root())) {
       out.found = true;
       out.item = std::move(*item);
       co_return out;
     }
-  } else if (out.document && r.status == 404) {
+  } else if (out.document && reply.status == 404) {
     if (const auto rev = out.document->root()["ledgerRev"].count()) {
       out.revision = *rev;
       co_return out;
     }
   }
-  log_odd("a read", r.status);
+  log_odd("a read", reply.status);
   out.outcome = Outcome::unknown;
   co_return out;
 }
@@ -149,14 +150,14 @@
   std::string target = "/keys?starts=" + prefix;
   if (!after.empty()) target += "&since=" + after;
   target += "&most=500";
-  http::Reply r = co_await call("GET", target, "", within, kListBody, 0, Importance::essential);
-  out.outcome = r.outcome;
-  if (r.outcome != Outcome::ok) co_return out;
-  out.document = parse(r.body);
+  http::Reply reply = co_await call("GET", target, "", within, kListBody, 0, Importance::essential);
+  out.outcome = reply.outcome;
+  if (reply.outcome != Outcome::ok) co_return out;
+  out.document = parse(reply.body);
   const View root = out.document ? out.document->root() : View();
   const auto rev = root["ledgerRev"].count();
-  if (r.status != 200 || !rev || !root["rows"].is_list()) {
-    log_odd("a listing", r.status);
+  if (reply.status != 200 || !rev || !root["rows"].is_list()) {
+    log_odd("a listing", reply.status);
     out.outcome = Outcome::unknown;
     co_return out;
   }
@@ -166,7 +167,7 @@
   for (size_t i = 0; i < rows.size(); ++i) {
     auto item = read_item(rows.at(i));
     if (!item) {
-      log_odd("a listing", r.status);
+      log_odd("a listing", reply.status);
       out.outcome = Outcome::unknown;
       co_return out;
     }
@@ -177,36 +178,36 @@
 
 Task<TransactionResult> Client::commit(Transaction txn, Nanos within, Importance how) {
   TransactionResult out;
-  Writer w;
-  w.map(2).key("guards").list(txn.compares.size());
+  Writer writer;
+  writer.map(2).key("guards").list(txn.compares.size());
   for (const auto& g : txn.compares)
-    w.map(2).key("key").text(g.key).key("stamp").count(g.mod_revision);
-  w.key("writes").list(txn.writes.size());
+    writer.map(2).key("key").text(g.key).key("stamp").count(g.mod_revision);
+  writer.key("writes").list(txn.writes.size());
   for (const auto& op : txn.writes) {
     if (op.value.empty()) {
-      w.map(1).key("delete").text(op.key);
+      writer.map(1).key("delete").text(op.key);
     } else {
-      w.map(op.lease ? 3 : 2).key("put").text(op.key).key("v").raw(op.value);
-      if (op.lease) w.key("tenancy").count(op.lease);
+      writer.map(op.lease ? 3 : 2).key("put").text(op.key).key("v").raw(op.value);
+      if (op.lease) writer.key("tenancy").count(op.lease);
     }
   }
-  http::Reply r = co_await call("POST", "/multi", w.take(), within, size_t{64} * 1024,
-                                static_cast<double>(txn.writes.size()), how);
-  out.outcome = r.outcome;
-  if (r.outcome != Outcome::ok) co_return out;
-  const auto doc = parse(r.body);
+  http::Reply reply = co_await call("POST", "/multi", writer.take(), within, size_t{64} * 1024,
+                                    static_cast<double>(txn.writes.size()), how);
+  out.outcome = reply.outcome;
+  if (reply.outcome != Outcome::ok) co_return out;
+  const auto doc = parse(reply.body);
   const View root = doc ? doc->root() : View();
   const auto rev = root["ledgerRev"].count();
-  if (r.status == 200 && rev) {
+  if (reply.status == 200 && rev) {
     out.applied = true;
     out.revision = *rev;
-  } else if (r.status == 409 && root["failed"].is_list()) {
+  } else if (reply.status == 409 && root["failed"].is_list()) {
     out.revision = rev.value_or(0);
     const View failed = root["failed"];
     for (size_t i = 0; i < failed.size(); ++i) {
       if (const auto k = failed.at(i).text()) out.failed.emplace_back(*k);
     }
-  } else if (r.status == 400) {
+  } else if (reply.status == 400) {
     const std::string error(root["error"].text().value_or("?"));
     out.lease_expired = error == "no such lease";
     if (!out.lease_expired) {
@@ -215,7 +216,7 @@
     }
     out.outcome = Outcome::refused;
   } else {
-    log_odd("a transaction", r.status);
+    log_odd("a transaction", reply.status);
     out.outcome = Outcome::unknown;
   }
   co_return out;
@@ -223,16 +224,16 @@
 
 Task<LeaseResult> Client::grant_lease(Millis ttl, Nanos within) {
   LeaseResult out;
-  Writer w;
-  w.map(1).key("ttlMs").count(static_cast<uint64_t>(ttl.count()));
-  http::Reply r =
-      co_await call("POST", "/leases", w.take(), within, 4096, 0, Importance::essential);
-  out.outcome = r.outcome;
-  if (r.outcome != Outcome::ok) co_return out;
-  const auto doc = parse(r.body);
+  Writer writer;
+  writer.map(1).key("ttlMs").count(static_cast<uint64_t>(ttl.count()));
+  http::Reply reply =
+      co_await call("POST", "/leases", writer.take(), within, 4096, 0, Importance::essential);
+  out.outcome = reply.outcome;
+  if (reply.outcome != Outcome::ok) co_return out;
+  const auto doc = parse(reply.body);
   const auto id = doc ? doc->root()["tenancy"].count() : std::nullopt;
-  if (r.status != 200 || !id) {
-    log_odd("a lease request", r.status);
+  if (reply.status != 200 || !id) {
+    log_odd("a lease request", reply.status);
     out.outcome = Outcome::unknown;
     co_return out;
   }
@@ -243,12 +244,12 @@
 Task<LeaseResult> Client::renew_lease(uint64_t lease, Nanos within) {
   LeaseResult out;
   out.lease = lease;
-  http::Reply r = co_await call("POST", "/leases/" + std::to_string(lease) + "/extend", "", within,
-                                4096, 0, Importance::essential);
-  out.outcome = r.outcome;
-  if (r.outcome == Outcome::ok) out.expired = r.status == 404;
-  if (r.outcome == Outcome::ok && r.status != 200 && r.status != 404) {
-    log_odd("a renewal", r.status);
+  http::Reply reply = co_await call("POST", "/leases/" + std::to_string(lease) + "/extend", "",
+                                    within, 4096, 0, Importance::essential);
+  out.outcome = reply.outcome;
+  if (reply.outcome == Outcome::ok) out.expired = reply.status == 404;
+  if (reply.outcome == Outcome::ok && reply.status != 200 && reply.status != 404) {
+    log_odd("a renewal", reply.status);
     out.outcome = Outcome::unknown;
   }
   co_return out;
@@ -256,9 +257,9 @@
 
 Task<LeaseResult> Client::revoke_lease(uint64_t lease, Nanos within) {
   LeaseResult out;
-  http::Reply r = co_await call("DELETE", "/leases/" + std::to_string(lease), "", within, 4096, 0,
-                                Importance::essential);
-  out.outcome = r.outcome;
+  http::Reply reply = co_await call("DELETE", "/leases/" + std::to_string(lease), "", within, 4096,
+                                    0, Importance::essential);
+  out.outcome = reply.outcome;
   co_return out;
 }
 
@@ -267,9 +268,10 @@
   const std::string target = "/changes?starts=" + prefix + "&since=" + std::to_string(since) +
                              "&blockMs=" + std::to_string(block.count());
   const Nanos within = block + std::chrono::seconds(3);
-  http::Reply r = co_await call("GET", target, "", within, kWatchBody, 0, Importance::essential);
-  out.outcome = r.outcome;
-  if (r.too_large) {
+  http::Reply reply =
+      co_await call("GET", target, "", within, kWatchBody, 0, Importance::essential);
+  out.outcome = reply.outcome;
+  if (reply.too_large) {
     // Asking again would bring the same answer and more. What stands is listed page by page
     // instead, as when the service no longer has the changes.
     spdlog::info("key-value store: the changes of {} since {} are too many for one answer", prefix,
@@ -278,35 +280,35 @@
     out.too_old = true;
     co_return out;
   }
-  if (r.outcome != Outcome::ok) co_return out;
-  if (r.status == 410) {
+  if (reply.outcome != Outcome::ok) co_return out;
+  if (reply.status == 410) {
     out.too_old = true;
     co_return out;
   }
-  out.document = parse(r.body);
+  out.document = parse(reply.body);
   const View root = out.document ? out.document->root() : View();
   const auto rev = root["ledgerRev"].count();
-  if (r.status != 200 || !rev) {
-    log_odd("a watch", r.status);
+  if (reply.status != 200 || !rev) {
+    log_odd("a watch", reply.status);
     out.outcome = Outcome::unknown;
     co_return out;
   }
   out.revision = *rev;
   const View changes = root["news"];
   for (size_t i = 0; i < changes.size(); ++i) {
-    const View n = changes.at(i);
-    Change c;
-    if (const auto put = n["put"].text()) {
-      c.key = *put;
-    } else if (const auto removed = n["delete"].text()) {
-      c.key = *removed;
-      c.deleted = true;
+    const View value = changes.at(i);
+    Change change;
+    if (const auto put = value["put"].text()) {
+      change.key = *put;
+    } else if (const auto removed = value["delete"].text()) {
+      change.key = *removed;
+      change.deleted = true;
     } else {
       continue;
     }
-    c.value = n["v"];
-    c.mod_revision = n["stamp"].count().value_or(0);
-    out.changes.push_back(std::move(c));
+    change.value = value["v"];
+    change.mod_revision = value["stamp"].count().value_or(0);
+    out.changes.push_back(std::move(change));
   }
   co_return out;
 }
--- a/src/dunlinknot/leadership/elector.cpp
+++ b/src/dunlinknot/leadership/elector.cpp
@@ -19,17 +19,17 @@
 
 }  // namespace
 
-Nanos renewal_window(const settings::Platform& p) {
-  const Seconds left = p.cancel - p.lease * kDrift - kMargin * 2;
+Nanos renewal_window(const settings::Platform& platform) {
+  const Seconds left = platform.cancel - platform.lease * kDrift - kMargin * 2;
   return to_nanos(std::max(Seconds(0), left / kDrift));
 }
 
-Nanos former_leader_renewal_window(const settings::Platform& p) {
-  return to_nanos(to_seconds(renewal_window(p)) * kDrift);
+Nanos former_leader_renewal_window(const settings::Platform& platform) {
+  return to_nanos(to_seconds(renewal_window(platform)) * kDrift);
 }
 
-Nanos worker_lease_bound(const settings::Platform& p) {
-  return to_nanos(p.lease * kDrift + kMargin / 2);
+Nanos worker_lease_bound(const settings::Platform& platform) {
+  return to_nanos(platform.lease * kDrift + kMargin / 2);
 }
 
 Elector::Elector(EventLoop& loop, kv::Client& store, const settings::Platform& platform, Nanos ttl,
@@ -146,18 +146,18 @@
     const Millis block =
         vacant ? std::clamp(to_millis(not_before_ - loop_.now()), Millis(50), kWatchBlock)
                : kWatchBlock;
-    kv::WatchResult w = co_await store_.watch(std::string(wire::kLeaderKey), revision_, block);
-    if (w.outcome != http::Outcome::ok) {
+    kv::WatchResult watch = co_await store_.watch(std::string(wire::kLeaderKey), revision_, block);
+    if (watch.outcome != http::Outcome::ok) {
       fresh = false;
       co_await loop_.sleep(kRetry);
       continue;
     }
-    if (w.too_old) {
+    if (watch.too_old) {
       fresh = false;
       continue;
     }
-    revision_ = std::max(revision_, w.revision);
-    for (const auto& c : w.changes) {
+    revision_ = std::max(revision_, watch.revision);
+    for (const auto& c : watch.changes) {
       if (c.key != wire::kLeaderKey) continue;
       leader_is_previous_process_ = false;
       if (c.deleted) {
@@ -196,12 +196,12 @@
       {std::string(wire::kLeaderKey), wire::write_leader({platform_.node, mine}), lease_});
   txn.writes.push_back({std::string(wire::kEpochKey), wire::write_epoch(mine), 0});
   const Instant asked = loop_.now();
-  kv::TransactionResult r = co_await store_.commit(txn, kCallTime, kv::Importance::essential);
-  if (r.applied) {
-    become_leader(mine, r.revision, asked);
+  kv::TransactionResult result = co_await store_.commit(txn, kCallTime, kv::Importance::essential);
+  if (result.applied) {
+    become_leader(mine, result.revision, asked);
     co_return;
   }
-  if (r.outcome != http::Outcome::unknown) co_return;
+  if (result.outcome != http::Outcome::unknown) co_return;
   // Nobody knows whether it went through: read back before anything else is tried. The lease bound
   // to the key tells our own attempt from any other.
   for (int i = 0; i < 20; ++i) {
@@ -223,10 +223,10 @@
   const Nanos pace = ttl_ / 4;
   while (leading_) {
     const Instant started = loop_.now();
-    kv::LeaseResult r = co_await store_.renew_lease(lease_, kCallTime);
+    kv::LeaseResult lease = co_await store_.renew_lease(lease_, kCallTime);
     if (!leading_) break;
-    if (r.outcome == http::Outcome::ok && !r.expired) lease_proven_at_ = started;
-    if (r.outcome == http::Outcome::ok && r.expired) {
+    if (lease.outcome == http::Outcome::ok && !lease.expired) lease_proven_at_ = started;
+    if (lease.outcome == http::Outcome::ok && lease.expired) {
       // The lease ran out while the service did not serve us. If nobody took over meanwhile, the
       // same epoch goes on under a new lease; the guard on `epoch` decides that.
       kv::LeaseResult again = co_await store_.grant_lease(to_millis(ttl_), kCallTime);
@@ -238,16 +238,17 @@
         txn.writes.push_back({std::string(wire::kLeaderKey),
                               wire::write_leader({platform_.node, term_.epoch}), again.lease});
         const Instant asked = loop_.now();
-        kv::TransactionResult t = co_await store_.commit(txn, kCallTime, kv::Importance::essential);
+        kv::TransactionResult result =
+            co_await store_.commit(txn, kCallTime, kv::Importance::essential);
         if (!leading_) break;
-        if (t.applied) {
+        if (result.applied) {
           lease_ = again.lease;
           lease_proven_at_ = asked;
           spdlog::info("leadership: epoch {} goes on under a new lease", term_.epoch);
-        } else if (t.outcome == http::Outcome::ok) {
+        } else if (result.outcome == http::Outcome::ok) {
           step_down("another node took over while the key-value store did not serve us");
           break;
-        } else if (t.outcome == http::Outcome::unknown) {
+        } else if (result.outcome == http::Outcome::unknown) {
           kv::GetResult got = co_await store_.get(std::string(wire::kLeaderKey), kCallTime,
                                                   kv::Importance::essential);
           if (!leading_) break;
@@ -257,7 +258,8 @@
         }
       }
     }
-    const Nanos wait = r.outcome == http::Outcome::ok ? pace : std::min<Nanos>(pace, Millis(300));
+    const Nanos wait =
+        lease.outcome == http::Outcome::ok ? pace : std::min<Nanos>(pace, Millis(300));
     (void)co_await changed_.wait_until(std::max(started + wait, loop_.now() + Millis(20)));
   }
   if (resigning_) (void)co_await store_.revoke_lease(lease_, kCallTime);
--- a/src/dunlinknot/leadership/elector.hpp
+++ b/src/dunlinknot/leadership/elector.hpp
@@ -20,12 +20,12 @@
 
 // How long after its last evidence (see Elector::evidence) a leader may go on renewing the workers'
 // leases: a cancellation it cannot hear of must still be over on every machine within cancel_s.
-Nanos renewal_window(const settings::Platform& p);
+Nanos renewal_window(const settings::Platform& platform);
 // The same window as another node has to wait for it, the two clocks drifting apart: no leader
 // renews a lease later than this after its successor's election.
-Nanos former_leader_renewal_window(const settings::Platform& p);
+Nanos former_leader_renewal_window(const settings::Platform& platform);
 // The time after which a worker that was last answered at `t` has certainly killed its tasks.
-Nanos worker_lease_bound(const settings::Platform& p);
+Nanos worker_lease_bound(const settings::Platform& platform);
 
 class Elector {
  public:
--- a/src/dunlinknot/leadership/peers.cpp
+++ b/src/dunlinknot/leadership/peers.cpp
@@ -50,13 +50,13 @@
   return until;
 }
 
-void Peers::apply_status(const Status& s, Instant sent) {
-  const auto it = links_.find(s.node);
+void Peers::apply_status(const Status& status, Instant sent) {
+  const auto it = links_.find(status.node);
   if (it == links_.end()) return;
-  it->second.last = s;
+  it->second.last = status;
   it->second.received_at = loop_.now();
   it->second.confirmed_to = sent;
-  hooks_.status_received(s);
+  hooks_.status_received(status);
 }
 
 void Peers::announce_cancellation(const std::string& job) {
@@ -116,8 +116,8 @@
 
 Task<void> Peers::listen() {
   for (;;) {
-    http::Socket s = co_await listener_->accept();
-    if (served_ < kMaxServed) loop_.spawn(serve(std::move(s)));
+    http::Socket socket = co_await listener_->accept();
+    if (served_ < kMaxServed) loop_.spawn(serve(std::move(socket)));
   }
 }
 
--- a/src/dunlinknot/leadership/peers.hpp
+++ b/src/dunlinknot/leadership/peers.hpp
@@ -35,7 +35,7 @@
   // lost and it may come late.
   void announce_cancellation(const std::string& job);
   // A peer's answer to our status, which was sent at `sent`.
-  void apply_status(const wire::peer::Status& s, Instant sent);
+  void apply_status(const wire::peer::Status& status, Instant sent);
   // Some peer said within the last seconds that the key-value store serves it.
   bool any_peer_reaches_store() const;
   // Some peer said within the last seconds that workers reach it.
--- a/src/dunlinknot/node/cluster_summary.cpp
+++ b/src/dunlinknot/node/cluster_summary.cpp
@@ -10,22 +10,22 @@
 using cluster::Machine;
 using cluster::Phase;
 
-bool is_up(const Machine& h) {
-  return h.has_heartbeat && !h.lost;
+bool is_up(const Machine& machine) {
+  return machine.has_heartbeat && !machine.lost;
 }
 
-void add_allocation(ClusterTotals& totals, const Allocation& b) {
-  if (b.queued) {
+void add_allocation(ClusterTotals& totals, const Allocation& allocation) {
+  if (allocation.queued) {
     ++totals.queued;
     return;
   }
-  totals.planned += b.phase == Phase::planned ? 1 : 0;
-  totals.durable += b.phase == Phase::durable ? 1 : 0;
-  totals.sent += b.phase == Phase::sent ? 1 : 0;
-  const bool seen = b.phase == Phase::seen;
-  if (seen && b.state == TaskState::fetching) {
+  totals.planned += allocation.phase == Phase::planned ? 1 : 0;
+  totals.durable += allocation.phase == Phase::durable ? 1 : 0;
+  totals.sent += allocation.phase == Phase::sent ? 1 : 0;
+  const bool seen = allocation.phase == Phase::seen;
+  if (seen && allocation.state == TaskState::fetching) {
     ++totals.fetching;
-  } else if (seen && b.state == TaskState::running) {
+  } else if (seen && allocation.state == TaskState::running) {
     ++totals.running;
   } else {
     ++totals.in_transition;
@@ -38,47 +38,50 @@
   ClusterTotals totals;
   totals.machines = cluster.machines().size();
   totals.records_to_write = cluster.dirty_machine_count();
-  for (const auto& [id, h] : cluster.machines()) {
-    if (!is_up(*h)) continue;
+  for (const auto& [id, machine] : cluster.machines()) {
+    if (!is_up(*machine)) continue;
     ++totals.machines_up;
-    totals.size += h->size;
-    totals.used += h->used;
-    for (const Allocation& b : h->allocations) add_allocation(totals, b);
+    totals.size += machine->size;
+    totals.used += machine->used;
+    for (const Allocation& allocation : machine->allocations) add_allocation(totals, allocation);
   }
-  for (const auto& [id, j] : cluster.jobs()) {
-    totals.waiting += j->pending();
-    if (!j->spec().service) continue;
-    totals.replicas_wanted += j->spec().tasks;
-    totals.replicas_running += j->running;
+  for (const auto& [id, job] : cluster.jobs()) {
+    totals.waiting += job->pending();
+    if (!job->spec().service) continue;
+    totals.replicas_wanted += job->spec().tasks;
+    totals.replicas_running += job->running;
   }
   return totals;
 }
 
 std::map<std::string, MachineTypeTotals> totals_by_type(const cluster::Cluster& cluster) {
   std::map<std::string, MachineTypeTotals> types;
-  for (const auto& [id, h] : cluster.machines()) {
-    if (!is_up(*h)) continue;
-    MachineTypeTotals& t = types[h->type];
-    ++t.machines;
-    t.size += h->size;
-    t.used += h->used;
-    for (const Allocation& b : h->allocations) {
-      if (!b.queued && b.need.gpus <= 0) (b.gang ? t.gangs : t.arrays) += b.need;
+  for (const auto& [id, machine] : cluster.machines()) {
+    if (!is_up(*machine)) continue;
+    MachineTypeTotals& totals = types[machine->type];
+    ++totals.machines;
+    totals.size += machine->size;
+    totals.used += machine->used;
+    for (const Allocation& allocation : machine->allocations) {
+      if (!allocation.queued && allocation.need.gpus <= 0)
+        (allocation.gang ? totals.gangs : totals.arrays) += allocation.need;
     }
   }
   return types;
 }
 
-void log_totals(const ClusterTotals& t) {
-  spdlog::debug("allocations: {} planned, {} durable, {} sent; {} records to write", t.planned,
-                t.durable, t.sent, t.records_to_write);
+void log_totals(const ClusterTotals& totals) {
+  spdlog::debug("allocations: {} planned, {} durable, {} sent; {} records to write", totals.planned,
+                totals.durable, totals.sent, totals.records_to_write);
   spdlog::info(
       "cluster: {} of {} machines up, {:.0f} of {:.0f} cpus and {:.0f} of {:.0f} gpus allocated; "
       "tasks: {} running, {} fetching, {} starting or stopping, {} queued on machines, {} waiting",
-      t.machines_up, t.machines, t.used.cpus, t.size.cpus, t.used.gpus, t.size.gpus, t.running,
-      t.fetching, t.in_transition, t.queued, t.waiting);
-  if (t.replicas_wanted > 0) {
-    spdlog::info("services: {} of {} replicas running", t.replicas_running, t.replicas_wanted);
+      totals.machines_up, totals.machines, totals.used.cpus, totals.size.cpus, totals.used.gpus,
+      totals.size.gpus, totals.running, totals.fetching, totals.in_transition, totals.queued,
+      totals.waiting);
+  if (totals.replicas_wanted > 0) {
+    spdlog::info("services: {} of {} replicas running", totals.replicas_running,
+                 totals.replicas_wanted);
   }
 }
 
@@ -92,11 +95,11 @@
   }
 }
 
-void log_restarts(const cluster::ReplicaRestarts& r) {
-  if (r.machine_lost + r.moved + r.preempted + r.ended == 0) return;
+void log_restarts(const cluster::ReplicaRestarts& restarts) {
+  if (restarts.machine_lost + restarts.moved + restarts.preempted + restarts.ended == 0) return;
   spdlog::info(
       "replicas run again since the failover: {} machine lost, {} moved, {} preempted, {} ended",
-      r.machine_lost, r.moved, r.preempted, r.ended);
+      restarts.machine_lost, restarts.moved, restarts.preempted, restarts.ended);
 }
 
 }  // namespace dunlinknot::node
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -31,37 +31,42 @@
 // Calls on the users' behalf, one socket each at most; links with the other controllers, both ways;
 // the rest is for stops, the cloud and the allocation store. On a large quota all else is for
 // workers and users: a leader holds a connection of every machine.
-size_t server_connections(const settings::Platform& platform, const settings::Operator& op) {
-  const size_t own = op.max_submissions + op.max_polls + 2 * platform.peers.size() + kOtherCalls;
+size_t server_connections(const settings::Platform& platform,
+                          const settings::Operator& operator_settings) {
+  const size_t own = operator_settings.max_submissions + operator_settings.max_polls +
+                     2 * platform.peers.size() + kOtherCalls;
   const size_t most = platform.max_connections;
   return std::max(most * 3 / 4, most > own ? most - own : 0);
 }
 
-Daemon::Daemon(EventLoop& loop, const settings::Platform& platform, const settings::Operator& op,
-               http::Transport& transport, uint32_t seed)
+Daemon::Daemon(EventLoop& loop, const settings::Platform& platform,
+               const settings::Operator& operator_settings, http::Transport& transport,
+               uint32_t seed)
     : loop_(loop),
       platform_(platform),
-      op_(op),
+      op_(operator_settings),
       began_(loop.now()),
       store_(loop, transport, platform.key_value_store,
              kv::Limits(platform.store_limits, platform.next_store_limits), kBudgetShare),
       cloud_(loop, transport, platform.cloud, platform.cloud_rps),
-      context_(loop, platform, op),
-      elector_(loop, store_, platform, to_nanos(op.leader_ttl),
-               {[this](const leadership::Term& r) { elected(r); },
+      context_(loop, platform, operator_settings),
+      elector_(loop, store_, platform, to_nanos(operator_settings.leader_ttl),
+               {[this](const leadership::Term& term) { elected(term); },
                 [this](uint64_t epoch, std::string_view) { deposed(epoch); }}),
       peers_(loop, platform,
              {[this] { return status(); },
-              [this](const wire::peer::Status& s) {
+              [this](const wire::peer::Status& status) {
                 elector_.observe_epoch(
-                    s.epoch, s.leader.empty() ? std::nullopt : std::optional(s.leader), s.node);
+                    status.epoch,
+                    status.leader.empty() ? std::nullopt : std::optional(status.leader),
+                    status.node);
               },
               [this] { return progress(); },
-              [this](const wire::peer::Progress& p) {
-                if (!elector_.leading()) jobs_.progress().replace(p);
+              [this](const wire::peer::Progress& progress) {
+                if (!elector_.leading()) jobs_.progress().replace(progress);
               },
               [this](const std::string& id) { on_peer_cancellation(id); }}),
-      jobs_(loop, store_, platform, op, seed,
+      jobs_(loop, store_, platform, operator_settings, seed,
             [this](const std::string& id) { on_user_cancellation(id); }),
       workers_(
           context_, elector_, [this] { return may_renew(); }, transport),
@@ -77,14 +82,16 @@
                          [this](const kv::TransactionResult& result, Instant sent) {
                            apply_cleanup_result(result, sent);
                          }}),
-      roles_(op.roles ? std::make_unique<roles::SingletonRoles>(context_, store_) : nullptr),
+      roles_(operator_settings.roles ? std::make_unique<roles::SingletonRoles>(context_, store_)
+                                     : nullptr),
       autoscaler_(context_, cloud_, roles_.get()) {}
 
 void Daemon::start() {
   http::ServerOptions options;
   options.max_connections = server_connections(platform_, op_);
   server_ = std::make_unique<http::Server>(
-      loop_, platform_.listen, options, [this](http::Request r) { return handle(std::move(r)); });
+      loop_, platform_.listen, options,
+      [this](http::Request request) { return handle(std::move(request)); });
   loop_.spawn(server_->serve());
   peers_.start();
   start_parts();
@@ -148,18 +155,19 @@
 
 wire::peer::Status Daemon::status() const {
   const Instant now = loop_.now();
-  wire::peer::Status s;
-  s.node = platform_.node;
-  s.epoch = elector_.known_epoch();
-  s.leader = elector_.known_leader().value_or("");
-  s.up = to_millis(now - began_);
-  s.store_known = store_.ever_served();
-  if (s.store_known) s.store_silent = to_millis(now - store_.last_served());
-  s.heartbeats_known = workers_.ever_received();
-  if (s.heartbeats_known) s.heartbeats_silent = to_millis(now - workers_.last_heartbeat());
-  s.leading = elector_.leading();
-  s.cancel_revision = jobs_.cancel_revision();
-  return s;
+  wire::peer::Status status;
+  status.node = platform_.node;
+  status.epoch = elector_.known_epoch();
+  status.leader = elector_.known_leader().value_or("");
+  status.up = to_millis(now - began_);
+  status.store_known = store_.ever_served();
+  if (status.store_known) status.store_silent = to_millis(now - store_.last_served());
+  status.heartbeats_known = workers_.ever_received();
+  if (status.heartbeats_known)
+    status.heartbeats_silent = to_millis(now - workers_.last_heartbeat());
+  status.leading = elector_.leading();
+  status.cancel_revision = jobs_.cancel_revision();
+  return status;
 }
 
 // Safety 2. While the key-value store is away for all, nobody can confirm a cancellation; that all
@@ -187,17 +195,17 @@
 }
 
 wire::peer::Progress Daemon::progress() {
-  wire::peer::Progress p;
-  if (!elector_.leading() || !context_.loaded) return p;
-  p.epoch = context_.epoch;
+  wire::peer::Progress progress;
+  if (!elector_.leading() || !context_.loaded) return progress;
+  progress.epoch = context_.epoch;
   context_.leader_state.with([&](LeaderState& pic) {
-    for (const auto& [id, j] : pic.cluster.jobs()) {
-      if (p.entries.size() >= wire::peer::kMaxEntries) break;
-      if (j->done_count() > 0 || j->running > 0)
-        p.entries.push_back({id, j->done_count(), j->running});
+    for (const auto& [id, job] : pic.cluster.jobs()) {
+      if (progress.entries.size() >= wire::peer::kMaxEntries) break;
+      if (job->done_count() > 0 || job->running > 0)
+        progress.entries.push_back({id, job->done_count(), job->running});
     }
   });
-  return p;
+  return progress;
 }
 
 // Every node needs the machine types to tell a job that can run from one that never can. They come
@@ -216,8 +224,8 @@
   }
   jobs_.set_catalog(catalog_);
   if (elector_.leading()) {
-    context_.leader_state.with([&](LeaderState& p) {
-      if (p.cluster.catalog().empty()) p.cluster.set_catalog(catalog_);
+    context_.leader_state.with([&](LeaderState& leader) {
+      if (leader.cluster.catalog().empty()) leader.cluster.set_catalog(catalog_);
     });
     context_.schedule.notify();
   }
@@ -237,8 +245,9 @@
       txn.compares.push_back({std::string(wire::kEpochKey), context_.epoch_mod_revision});
       txn.compares.push_back({std::string(wire::kCatalogKey), 0});
       txn.writes.push_back({std::string(wire::kCatalogKey), value, 0});
-      kv::TransactionResult r = co_await store_.commit(std::move(txn), std::chrono::seconds(1));
-      if (r.outcome == Outcome::ok) co_return;
+      kv::TransactionResult result =
+          co_await store_.commit(std::move(txn), std::chrono::seconds(1));
+      if (result.outcome == Outcome::ok) co_return;
     }
     co_await loop_.sleep(std::chrono::seconds(5));
   }
@@ -249,10 +258,10 @@
   context_.epoch = term.epoch;
   context_.epoch_mod_revision = term.epoch_mod_revision;
   context_.loaded = false;
-  context_.leader_state.with([&](LeaderState& p) {
-    p.cluster.begin_term(term.epoch, loop_.now());
-    p.cluster.set_catalog(catalog_);
-    p.nominations.clear();
+  context_.leader_state.with([&](LeaderState& leader) {
+    leader.cluster.begin_term(term.epoch, loop_.now());
+    leader.cluster.set_catalog(catalog_);
+    leader.nominations.clear();
   });
   autoscaler_.begin_term();
   loop_.spawn(fail_over(context_.term));
@@ -290,9 +299,9 @@
   const bool roles_acquired = co_await autoscaler_.acquire_roles(term);
   if (!roles_acquired) co_return;
   context_.loaded = true;
-  const auto [jobs, machines, allocations] = context_.leader_state.with([](LeaderState& p) {
-    return std::tuple(p.cluster.jobs().size(), p.cluster.machines().size(),
-                      p.cluster.allocation_count());
+  const auto [jobs, machines, allocations] = context_.leader_state.with([](LeaderState& leader) {
+    return std::tuple(leader.cluster.jobs().size(), leader.cluster.machines().size(),
+                      leader.cluster.allocation_count());
   });
   spdlog::info(
       "failover to epoch {} done in {} ms: {} open jobs, {} machines with allocations, {} "
@@ -318,10 +327,10 @@
     const Instant now = loop_.now();
     if (now >= next_tick) {
       next_tick = now + kTick;
-      Effects effects = context_.leader_state.with([&](LeaderState& p) {
-        Effects n = p.cluster.expire(now);
-        n |= p.cluster.tick(now);
-        return n;
+      Effects effects = context_.leader_state.with([&](LeaderState& leader) {
+        Effects combined = leader.cluster.expire(now);
+        combined |= leader.cluster.tick(now);
+        return combined;
       });
       context_.follow_up(effects);
       // Cut off from the workers while they reach our peers: another node can serve them. That they
@@ -344,13 +353,13 @@
 
 void Daemon::run_scheduling_cycle(Instant now) {
   Effects effects;
-  const scheduler::Plan plan = context_.leader_state.with([&](LeaderState& p) {
-    p.nominations.settle(p.cluster);
+  const scheduler::Plan plan = context_.leader_state.with([&](LeaderState& leader) {
+    leader.nominations.settle(leader.cluster);
     scheduler::CloudCapacity cloud_capacity = autoscaler_.cloud_capacity(now);
-    cloud_capacity.machines = p.cluster.machines().size();
-    scheduler::Plan decided = scheduler::plan(p.cluster, p.nominations, cloud_capacity, platform_,
-                                              op_, loop_.wall(), now);
-    effects = scheduler::apply(decided, p, now);
+    cloud_capacity.machines = leader.cluster.machines().size();
+    scheduler::Plan decided = scheduler::plan(leader.cluster, leader.nominations, cloud_capacity,
+                                              platform_, op_, loop_.wall(), now);
+    effects = scheduler::apply(decided, leader, now);
     return decided;
   });
   preemptions_ += plan.preemptions.size();
@@ -364,14 +373,14 @@
 void Daemon::log_waiting(const scheduler::Plan& plan, Instant now) {
   if (!spdlog::should_log(spdlog::level::debug) || now < next_waiting_log_) return;
   next_waiting_log_ = now + kWaitingLogEvery;
-  context_.leader_state.with([&](LeaderState& p) {
+  context_.leader_state.with([&](LeaderState& leader) {
     for (const auto& [id, cause] : plan.waiting_jobs) {
-      const Job* j = p.cluster.job(id);
-      if (!j) continue;
-      const std::chrono::duration<double> waited = loop_.wall() - j->submitted();
+      const Job* job = leader.cluster.job(id);
+      if (!job) continue;
+      const std::chrono::duration<double> waited = loop_.wall() - job->submitted();
       if (waited < kLongWait) continue;
-      spdlog::debug("job {} of {} waits for {:.0f} s: {}", id, j->spec().job_class, waited.count(),
-                    scheduler::text(cause));
+      spdlog::debug("job {} of {} waits for {:.0f} s: {}", id, job->spec().job_class,
+                    waited.count(), scheduler::text(cause));
     }
   });
 }
@@ -381,10 +390,10 @@
   ClusterTotals totals;
   std::map<std::string, MachineTypeTotals> types;
   cluster::ReplicaRestarts restarts;
-  context_.leader_state.with([&](LeaderState& p) {
-    totals = total(p.cluster);
-    if (by_type) types = totals_by_type(p.cluster);
-    restarts = p.cluster.replica_restarts();
+  context_.leader_state.with([&](LeaderState& leader) {
+    totals = total(leader.cluster);
+    if (by_type) types = totals_by_type(leader.cluster);
+    restarts = leader.cluster.replica_restarts();
   });
   log_totals_by_type(types);
   log_totals(totals);
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -15,12 +15,13 @@
 namespace dunlinknot::node {
 
 // How many connections the server may hold, so that the calls of this node find sockets too.
-size_t server_connections(const settings::Platform& platform, const settings::Operator& op);
+size_t server_connections(const settings::Platform& platform,
+                          const settings::Operator& operator_settings);
 
 class Daemon {
  public:
-  Daemon(EventLoop& loop, const settings::Platform& platform, const settings::Operator& op,
-         http::Transport& transport, uint32_t seed);
+  Daemon(EventLoop& loop, const settings::Platform& platform,
+         const settings::Operator& operator_settings, http::Transport& transport, uint32_t seed);
   // Opens the listening sockets (throws when that fails) and starts all parts.
   void start();
   // The parts alone, without any socket of their own.
--- a/src/dunlinknot/preemption/fit.hpp
+++ b/src/dunlinknot/preemption/fit.hpp
@@ -26,7 +26,7 @@
   // What is promised to preemptors here.
   Resources held() const {
     Resources sum;
-    for (const Hold& h : holds_) sum += h.room;
+    for (const Hold& hold : holds_) sum += hold.room;
     return sum;
   }
   void take(const Resources& need) { free_ -= need; }
@@ -74,6 +74,6 @@
                                   uint64_t except, const Eligibility& who, Instant now);
 
 // What stopping this allocation would throw away.
-double lost_work(const cluster::Allocation& b, const cluster::Job* job, Instant now);
+double lost_work(const cluster::Allocation& allocation, const cluster::Job* job, Instant now);
 
 }  // namespace dunlinknot::preemption
--- a/src/dunlinknot/preemption/nominations.cpp
+++ b/src/dunlinknot/preemption/nominations.cpp
@@ -75,7 +75,9 @@
       it = victims_.erase(it);
       continue;
     }
-    std::erase_if(it->second, [&](const Victim& v) { return !h->second->find(v.task, v.attempt); });
+    std::erase_if(it->second, [&](const Victim& victim) {
+      return !h->second->find(victim.task, victim.attempt);
+    });
     it = it->second.empty() ? victims_.erase(it) : std::next(it);
   }
 }
--- a/src/dunlinknot/roles/role_records.cpp
+++ b/src/dunlinknot/roles/role_records.cpp
@@ -53,10 +53,10 @@
 }
 
 std::string write_holder(const RoleHolderRecord& record) {
-  Writer w;
-  w.map(3).key("v").count(kRecordVersion).key("token").count(record.fencing_token);
-  w.key("node").text(record.node);
-  return w.take();
+  Writer writer;
+  writer.map(3).key("v").count(kRecordVersion).key("token").count(record.fencing_token);
+  writer.key("node").text(record.node);
+  return writer.take();
 }
 
 Read<RoleHolderRecord> read_holder(View value) {
@@ -67,9 +67,9 @@
 }
 
 std::string write_fencing_token(uint64_t fencing_token) {
-  Writer w;
-  w.map(2).key("v").count(kRecordVersion).key("token").count(fencing_token);
-  return w.take();
+  Writer writer;
+  writer.map(2).key("v").count(kRecordVersion).key("token").count(fencing_token);
+  return writer.take();
 }
 
 Read<uint64_t> read_fencing_token(View value) {
@@ -78,12 +78,12 @@
 }
 
 std::string write_scale_out_intent(const ScaleOutIntent& intent) {
-  Writer w;
-  w.map(8).key("v").count(kRecordVersion).key("token").count(intent.fencing_token);
-  w.key("request").text(intent.request).key("type").text(intent.type);
-  w.key("zone").text(intent.zone).key("spot").flag(intent.spot);
-  w.key("count").count(intent.count).key("job").text(intent.job);
-  return w.take();
+  Writer writer;
+  writer.map(8).key("v").count(kRecordVersion).key("token").count(intent.fencing_token);
+  writer.key("request").text(intent.request).key("type").text(intent.type);
+  writer.key("zone").text(intent.zone).key("spot").flag(intent.spot);
+  writer.key("count").count(intent.count).key("job").text(intent.job);
+  return writer.take();
 }
 
 Read<ScaleOutIntent> read_scale_out_intent(std::string_view key, View value) {
@@ -109,10 +109,10 @@
 }
 
 std::string write_scale_in_intent(const ScaleInIntent& intent) {
-  Writer w;
-  w.map(4).key("v").count(kRecordVersion).key("token").count(intent.fencing_token);
-  w.key("machine").text(intent.machine).key("reason").text(intent.reason);
-  return w.take();
+  Writer writer;
+  writer.map(4).key("v").count(kRecordVersion).key("token").count(intent.fencing_token);
+  writer.key("machine").text(intent.machine).key("reason").text(intent.reason);
+  return writer.take();
 }
 
 Read<ScaleInIntent> read_scale_in_intent(std::string_view key, View value) {
--- a/src/dunlinknot/runtime/event_loop.cpp
+++ b/src/dunlinknot/runtime/event_loop.cpp
@@ -63,26 +63,26 @@
   run_detached(*this, std::move(task));
 }
 
-void EventLoop::arm(Waiter& w) {
-  if (w.deadline != Instant::max()) {
-    w.timed = true;
-    timers_.emplace(w.deadline, &w);
+void EventLoop::arm(Waiter& waiter) {
+  if (waiter.deadline != Instant::max()) {
+    waiter.timed = true;
+    timers_.emplace(waiter.deadline, &waiter);
   }
 }
 
-void EventLoop::disarm(Waiter& w) {
-  if (w.timed) {
-    timers_.erase({w.deadline, &w});
-    w.timed = false;
+void EventLoop::disarm(Waiter& waiter) {
+  if (waiter.timed) {
+    timers_.erase({waiter.deadline, &waiter});
+    waiter.timed = false;
   }
 }
 
-void EventLoop::wake(Waiter& w, bool timed_out) {
-  disarm(w);
-  if (w.slot) *w.slot = nullptr;
-  w.slot = nullptr;
-  w.timed_out = timed_out;
-  ready_.push_back(w.handle);
+void EventLoop::wake(Waiter& waiter, bool timed_out) {
+  disarm(waiter);
+  if (waiter.slot) *waiter.slot = nullptr;
+  waiter.slot = nullptr;
+  waiter.timed_out = timed_out;
+  ready_.push_back(waiter.handle);
 }
 
 void EventLoop::Sleep::await_suspend(std::coroutine_handle<> h) {
@@ -111,9 +111,9 @@
   if (abandoned_) return;  // closing the socket takes it off epoll as well
   // Found by the handover run under the address sanitizer: a socket that outlived abandon().
   if (static_cast<size_t>(fd) >= fds_.size()) return;
-  FdSlots& s = fds_[static_cast<size_t>(fd)];
-  if (s.reader) wake(*s.reader, true);
-  if (s.writer) wake(*s.writer, true);
+  FdSlots& slots = fds_[static_cast<size_t>(fd)];
+  if (slots.reader) wake(*slots.reader, true);
+  if (slots.writer) wake(*slots.writer, true);
   ::epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, nullptr);
 }
 
@@ -145,10 +145,11 @@
   std::array<epoll_event, 64> events;
   const int n = ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeout);
   for (int i = 0; i < n; ++i) {
-    FdSlots& s = fds_[static_cast<size_t>(events[static_cast<size_t>(i)].data.fd)];
+    FdSlots& slots = fds_[static_cast<size_t>(events[static_cast<size_t>(i)].data.fd)];
     const auto flags = events[static_cast<size_t>(i)].events;
-    if (s.reader && (flags & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR))) wake(*s.reader, false);
-    if (s.writer && (flags & (EPOLLOUT | EPOLLHUP | EPOLLERR))) wake(*s.writer, false);
+    if (slots.reader && (flags & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)))
+      wake(*slots.reader, false);
+    if (slots.writer && (flags & (EPOLLOUT | EPOLLHUP | EPOLLERR))) wake(*slots.writer, false);
   }
 }
 
--- a/src/dunlinknot/runtime/event_loop.hpp
+++ b/src/dunlinknot/runtime/event_loop.hpp
@@ -81,9 +81,9 @@
   Instant next_timer() const;
   void fire_due();
 
-  void arm(Waiter& w);
-  void disarm(Waiter& w);
-  void wake(Waiter& w, bool timed_out);
+  void arm(Waiter& waiter);
+  void disarm(Waiter& waiter);
+  void wake(Waiter& waiter, bool timed_out);
 
  private:
   struct FdSlots {
--- a/src/dunlinknot/scheduler/headroom.cpp
+++ b/src/dunlinknot/scheduler/headroom.cpp
@@ -12,12 +12,12 @@
 
 }  // namespace
 
-SchedulingCycle::Headroom SchedulingCycle::headroom(const cluster::DemandForecast& e) const {
+SchedulingCycle::Headroom SchedulingCycle::headroom(const cluster::DemandForecast& forecast) const {
   double tasks = 0;
   double of_late = 0;
   double squares = 0;  // a few large jobs vary more than many small ones
   WallTime first = wall_;
-  for (const auto& [at, n] : e.arrivals) {
+  for (const auto& [at, n] : forecast.arrivals) {
     if (wall_ - at > kHeadroomMemory) continue;
     tasks += n;
     if (wall_ - at <= kRecentArrivals) of_late += n;
@@ -36,61 +36,65 @@
           static_cast<uint32_t>(std::ceil(std::min(coming, of_late) * kMeanShare))};
 }
 
-void SchedulingCycle::keep_headroom(const std::string& name, const cluster::DemandForecast& e) {
+void SchedulingCycle::keep_headroom(const std::string& name,
+                                    const cluster::DemandForecast& forecast) {
   // A class that has the time to wait for new machines needs no idle ones.
-  if (e.within > kRoomTakes) return;
-  const Headroom h = headroom(e);
+  if (forecast.within > kRoomTakes) return;
+  const Headroom h = headroom(forecast);
   uint32_t left = h.wanted;
   if (left == 0) return;
   uint32_t kept = 0;
   uint32_t there = 0;  // tasks of its kind on borrowed machines
-  const JobSpec& spec = e.sample;
+  const JobSpec& spec = forecast.sample;
   std::vector<std::pair<double, CandidateMachine*>> order;
-  for (CandidateMachine& s : candidates_) {
-    const MachineType* t = s.pool->type;
-    if (!t || !offer_allowed(spec, s.pool->offer) || !spec.need.fits_in(t->size)) continue;
-    if (s.machine && would_borrow(spec, t)) {
-      for (const Allocation& b : s.machine->allocations)
-        there += b.gang && b.need.gpus <= 0 ? 1 : 0;
+  for (CandidateMachine& candidate : candidates_) {
+    const MachineType* machine_type = candidate.pool->type;
+    if (!machine_type || !offer_allowed(spec, candidate.pool->offer) ||
+        !spec.need.fits_in(machine_type->size))
+      continue;
+    if (candidate.machine && would_borrow(spec, machine_type)) {
+      for (const Allocation& allocation : candidate.machine->allocations)
+        there += allocation.gang && allocation.need.gpus <= 0 ? 1 : 0;
     }
     // What is free now first; machines with accelerators last; those with its images before
     // others.
     double rank = 0;
-    if (s.coming) rank += 30;
-    if (!spec.need.fits_in(s.room.free())) rank += 20;
-    if (would_borrow(spec, t))
-      rank += 25 * t->size.gpus;  // each strands what is left of its accelerators
-    for (const auto& [image, at] : e.images) {
-      if (!(s.machine && s.machine->has_image(image))) rank += 10;
+    if (candidate.coming) rank += 30;
+    if (!spec.need.fits_in(candidate.room.free())) rank += 20;
+    if (would_borrow(spec, machine_type))
+      rank += 25 * machine_type->size.gpus;  // each strands what is left of its accelerators
+    for (const auto& [image, at] : forecast.images) {
+      if (!(candidate.machine && candidate.machine->has_image(image))) rank += 10;
     }
-    order.emplace_back(rank, &s);
+    order.emplace_back(rank, &candidate);
   }
   std::stable_sort(order.begin(), order.end(),
                    [](const auto& a, const auto& b) { return a.first < b.first; });
-  for (auto& [rank, s] : order) {
+  for (auto& [rank, candidate] : order) {
     if (left == 0) break;
-    if (!s->kept_for.empty()) continue;
+    if (!candidate->kept_for.empty()) continue;
     // Machines with accelerators are dear to hold free: no more of them than the mean asks for,
     // and where a task would strand several, not for a rush that is over.
-    if (const MachineType* t = s->pool->type; would_borrow(spec, t)) {
-      const uint32_t most = may_borrow(spec, t, Borrowing::cheap) ? h.mean : h.steady;
+    if (const MachineType* machine_type = candidate->pool->type; would_borrow(spec, machine_type)) {
+      const uint32_t most = may_borrow(spec, machine_type, Borrowing::cheap) ? h.mean : h.steady;
       left = std::min(left, most > kept + there ? most - kept - there : 0);
     }
     // What it may hold once shorter work there is done: all but what its own kind holds.
-    Resources room = s->pool->type->size;
-    if (s->machine) {
-      for (const Allocation& b : s->machine->allocations) {
-        if (b.gang || b.service || b.priority > spec.priority) room -= b.need;
+    Resources room = candidate->pool->type->size;
+    if (candidate->machine) {
+      for (const Allocation& allocation : candidate->machine->allocations) {
+        if (allocation.gang || allocation.service || allocation.priority > spec.priority)
+          room -= allocation.need;
       }
     }
     const uint32_t n = preemption::tasks_in(room, spec.need, left);
     if (n == 0) continue;
-    s->kept = spec.need * n;
-    s->kept_for = name;
-    s->kept_priority = spec.priority;
+    candidate->kept = spec.need * n;
+    candidate->kept_for = name;
+    candidate->kept_priority = spec.priority;
     left -= n;
     kept += n;
-    if (s->machine) plan_.wanted.push_back(s->machine->id);
+    if (candidate->machine) plan_.wanted.push_back(candidate->machine->id);
   }
 }
 
--- a/src/dunlinknot/scheduler/preemption.cpp
+++ b/src/dunlinknot/scheduler/preemption.cpp
@@ -9,10 +9,10 @@
 
 }  // namespace
 
-void SchedulingCycle::preempt(const Waiting& w, const std::vector<uint64_t>& own, uint32_t open,
-                              PlacementConstraints& promised) {
-  const Job& j = *w.job;
-  if (j.failing) return;  // safety 6
+void SchedulingCycle::preempt(const Waiting& waiting, const std::vector<uint64_t>& own,
+                              uint32_t open, PlacementConstraints& promised) {
+  const Job& job = *waiting.job;
+  if (job.failing) return;  // safety 6
   uint32_t tries = open;
   // A nominated task is eligible again once no victim is allocated on its machine.
   std::vector<uint64_t> again;
@@ -22,26 +22,27 @@
   if (tries == 0 && again.empty()) return;
   // With machines to be launched, a task whose room was lost is launched for like any other: it
   // does not wait on a nomination that is neither used nor renewed.
-  const bool can_scale_out = !ranked_offers(j.spec(), promised).empty() && !machine_limit_reached();
+  const bool can_scale_out =
+      !ranked_offers(job.spec(), promised).empty() && !machine_limit_reached();
   for (const uint64_t id : again) {
-    if (!can_scale_out && nominate_for(w, id, promised)) continue;
+    if (!can_scale_out && nominate_for(waiting, id, promised)) continue;
     clear_nomination(id);
     promised.remove(zone_of(id), 1);
   }
   if (can_scale_out) return;
   while (tries-- > 0 && plan_.preemptions.size() < kMaxPreemptionsPerCycle) {
-    if (!nominate_for(w, 0, promised)) break;
+    if (!nominate_for(waiting, 0, promised)) break;
   }
 }
 
-bool SchedulingCycle::nominate_for(const Waiting& w, uint64_t renews,
+bool SchedulingCycle::nominate_for(const Waiting& waiting, uint64_t renews,
                                    PlacementConstraints& promised) {
   if (plan_.preemptions.size() >= kMaxPreemptionsPerCycle) return renews != 0;
-  const Job& j = *w.job;
-  const JobSpec& spec = j.spec();
+  const Job& job = *waiting.job;
+  const JobSpec& spec = job.spec();
   std::vector<Resources> beyond;
-  preemption::Eligibility who{spec.priority, j.team(), w.guaranteed, nullptr, &guaranteed_};
-  if (w.guaranteed) {
+  preemption::Eligibility who{spec.priority, job.team(), waiting.guaranteed, nullptr, &guaranteed_};
+  if (waiting.guaranteed) {
     for (size_t t = 0; t < usage_.size(); ++t) {
       const auto& team = cluster_.teams()[t];
       Resources over = usage_[t] - given_up_[t];
@@ -58,8 +59,8 @@
   CandidateMachine* best_candidate = nullptr;
   // What nobody could be preempted for a moment ago, nobody can be preempted for now: jobs of one
   // shape are alike in this.
-  const Shape shape{j.team(),
-                    w.guaranteed,
+  const Shape shape{job.team(),
+                    waiting.guaranteed,
                     spec.spot,
                     spec.priority,
                     spec.need.cpus,
@@ -68,15 +69,16 @@
                     spec.types,
                     promised.zone_bound() ? spec.id : spec.zone.value_or("")};
   if (renews == 0 && hopeless_.contains(shape)) return false;
-  for (CandidateMachine& s : candidates_) {
-    if (s.coming || !spec.need.fits_in(s.machine->size)) continue;
-    if (preempted_on_.contains(s.machine->id) || !may_go(j, s)) continue;
-    if (beside.tasks_allowed(s.zone()) == 0) continue;
-    auto c = preemption::simulate(s.room, nominations_, cluster_, spec.need, renews, who, now_);
+  for (CandidateMachine& candidate : candidates_) {
+    if (candidate.coming || !spec.need.fits_in(candidate.machine->size)) continue;
+    if (preempted_on_.contains(candidate.machine->id) || !may_go(job, candidate)) continue;
+    if (beside.tasks_allowed(candidate.zone()) == 0) continue;
+    auto c =
+        preemption::simulate(candidate.room, nominations_, cluster_, spec.need, renews, who, now_);
     if (!c) continue;
-    if (!best || better(*c, s, *best, *best_candidate, spec)) {
+    if (!best || better(*c, candidate, *best, *best_candidate, spec)) {
       best = std::move(c);
-      best_candidate = &s;
+      best_candidate = &candidate;
     }
   }
   if (!best) {
@@ -87,36 +89,37 @@
   plan_.preemptions.push_back({spec.id, best_candidate->machine->id, spec.need, spec.priority,
                                best->victims, best->lost_seconds, renews});
   if (renews) {
-    if (CandidateMachine* s = find_candidate(nominations_.all().at(renews).machine))
-      s->room.end_hold(renews);
+    if (CandidateMachine* candidate = find_candidate(nominations_.all().at(renews).machine))
+      candidate->room.end_hold(renews);
   }
   for (const size_t i : best->victim_indices) {
-    const Allocation& b = best_candidate->machine->allocations[i];
-    if (!b.stopping()) {
-      best_candidate->room.add_victims(b.need);
+    const Allocation& allocation = best_candidate->machine->allocations[i];
+    if (!allocation.stopping()) {
+      best_candidate->room.add_victims(allocation.need);
       // Its team's limit still counts the victim until it is gone (safety 4).
-      if (b.team >= 0) given_up_[static_cast<size_t>(b.team)] += b.need;
+      if (allocation.team >= 0) given_up_[static_cast<size_t>(allocation.team)] += allocation.need;
     }
   }
   best_candidate->room.add_hold(std::numeric_limits<uint64_t>::max(), spec.need, spec.priority);
-  usage_[static_cast<size_t>(j.team())] += spec.need;
+  usage_[static_cast<size_t>(job.team())] += spec.need;
   beside.add(best_candidate->zone(), 1);
   promised = std::move(beside);
   return true;
 }
 
 bool SchedulingCycle::better(const preemption::Candidate& a, const CandidateMachine& sa,
-                             const preemption::Candidate& b, const CandidateMachine& sb,
+                             const preemption::Candidate& b, const CandidateMachine& on_machine,
                              const JobSpec& spec) const {
   if (a.highest != b.highest) return a.highest < b.highest;
-  const auto cost = [&](const preemption::Candidate& c, const CandidateMachine& s) {
-    const MachineType* t = s.pool->type;
-    const double fetch = s.machine->has_image(spec.image) || !t || t->fetch_gb_per_s <= 0
+  const auto cost = [&](const preemption::Candidate& c, const CandidateMachine& candidate) {
+    const MachineType* machine_type = candidate.pool->type;
+    const double fetch = candidate.machine->has_image(spec.image) || !machine_type ||
+                                 machine_type->fetch_gb_per_s <= 0
                              ? 0
-                             : spec.image_gb / t->fetch_gb_per_s;
+                             : spec.image_gb / machine_type->fetch_gb_per_s;
     return c.lost_seconds + fetch * std::max(spec.need.cpus, spec.need.gpus * 8);
   };
-  const double ca = cost(a, sa), cb = cost(b, sb);
+  const double ca = cost(a, sa), cb = cost(b, on_machine);
   if (ca != cb) return ca < cb;
   return a.victims.size() < b.victims.size();
 }
--- a/src/dunlinknot/scheduler/scheduler.cpp
+++ b/src/dunlinknot/scheduler/scheduler.cpp
@@ -24,8 +24,10 @@
 
 Plan plan(const Cluster& cluster, const preemption::Nominations& nominations,
           const CloudCapacity& cloud_capacity, const settings::Platform& platform,
-          const settings::Operator& op, WallTime wall, Instant now) {
-  return SchedulingCycle(cluster, nominations, cloud_capacity, platform, op, wall, now).run();
+          const settings::Operator& operator_settings, WallTime wall, Instant now) {
+  return SchedulingCycle(cluster, nominations, cloud_capacity, platform, operator_settings, wall,
+                         now)
+      .run();
 }
 
 }  // namespace dunlinknot::scheduler
--- a/src/dunlinknot/scheduler/scheduler.hpp
+++ b/src/dunlinknot/scheduler/scheduler.hpp
@@ -96,7 +96,7 @@
 
 Plan plan(const cluster::Cluster& cluster, const preemption::Nominations& nominations,
           const CloudCapacity& cloud_capacity, const settings::Platform& platform,
-          const settings::Operator& op, WallTime wall, Instant now);
+          const settings::Operator& operator_settings, WallTime wall, Instant now);
 
 // The jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
 std::set<std::string> within_guarantee(const cluster::Cluster& cluster);
--- a/src/dunlinknot/settings/settings.cpp
+++ b/src/dunlinknot/settings/settings.cpp
@@ -115,25 +115,25 @@
   return Seconds(in.number(table, key, at + key, least, 86'400));
 }
 
-void read_addresses(const TomlReader& in, Platform& p) {
+void read_addresses(const TomlReader& in, Platform& platform) {
   const toml::table& root = in.root();
-  p.node = in.text(root, "node", "node");
-  p.zone = in.text(root, "zone", "zone");
-  p.listen = in.endpoint(root, "listen", "listen");
-  p.back = in.endpoint(root, "back", "back");
+  platform.node = in.text(root, "node", "node");
+  platform.zone = in.text(root, "zone", "zone");
+  platform.listen = in.endpoint(root, "listen", "listen");
+  platform.back = in.endpoint(root, "back", "back");
   in.each(root, "seeds", "seeds", [&](const toml::table& t, const std::string& at) {
     Peer peer;
     peer.node = in.text(t, "node", at + "node");
     peer.zone = in.text(t, "zone", at + "zone");
     peer.address = in.endpoint(t, "addr", at + "addr");
-    if (peer.node != p.node) p.peers.push_back(std::move(peer));
+    if (peer.node != platform.node) platform.peers.push_back(std::move(peer));
   });
   const toml::table& services = in.table(root, "services", "services");
-  p.cloud = in.endpoint(services, "cloud", "services.cloud");
-  p.key_value_store = in.endpoint(services, "state", "services.state");
+  platform.cloud = in.endpoint(services, "cloud", "services.cloud");
+  platform.key_value_store = in.endpoint(services, "state", "services.state");
 }
 
-void read_zones(const TomlReader& in, const toml::table& params, Platform& p) {
+void read_zones(const TomlReader& in, const toml::table& params, Platform& platform) {
   const toml::node& zones = in.need(params, "zones", "params.zones");
   if (!zones.is_array() || zones.as_array()->empty()) {
     in.fail("params.zones", "must be a list of zone names", &zones);
@@ -141,7 +141,7 @@
   for (const toml::node& z : *zones.as_array()) {
     const auto v = z.value_exact<std::string>();
     if (!v) in.fail("params.zones", "must be a list of zone names", &z);
-    p.zones.push_back(*v);
+    platform.zones.push_back(*v);
   }
 }
 
@@ -157,36 +157,36 @@
   return team;
 }
 
-void read_teams(const TomlReader& in, const toml::table& params, Platform& p) {
+void read_teams(const TomlReader& in, const toml::table& params, Platform& platform) {
   in.each(params, "teams", "params.teams", [&](const toml::table& t, const std::string& at) {
     Team team = read_team(in, t, at);
-    for (const Team& other : p.teams) {
+    for (const Team& other : platform.teams) {
       if (other.name == team.name) in.fail(at + "name", "names a team a second time", &t);
     }
-    p.teams.push_back(std::move(team));
+    platform.teams.push_back(std::move(team));
   });
-  if (p.teams.empty()) in.fail("params.teams", "is missing");
+  if (platform.teams.empty()) in.fail("params.teams", "is missing");
 }
 
 Objective read_objective(const TomlReader& in, const toml::table& t, const std::string& at) {
-  Objective o;
-  o.kind = in.text(t, "kind", at + "kind");
-  if (t.contains("class")) o.job_class = in.text(t, "class", at + "class");
-  o.within = Seconds(optional_number(in, t, "within_s", at, 0));
-  o.share = optional_number(in, t, "share", at, 0);
-  o.times = optional_number(in, t, "times", at, 1);
-  return o;
+  Objective objective;
+  objective.kind = in.text(t, "kind", at + "kind");
+  if (t.contains("class")) objective.job_class = in.text(t, "class", at + "class");
+  objective.within = Seconds(optional_number(in, t, "within_s", at, 0));
+  objective.share = optional_number(in, t, "share", at, 0);
+  objective.times = optional_number(in, t, "times", at, 1);
+  return objective;
 }
 
-void read_workers(const TomlReader& in, const toml::table& params, Platform& p) {
+void read_workers(const TomlReader& in, const toml::table& params, Platform& platform) {
   const toml::table& workers = in.table(params, "workers", "params.workers");
   const std::string at = "params.workers.";
-  p.heartbeat_interval = duration(in, workers, "report_s", at, 0.01);
-  p.lease = duration(in, workers, "lease_s", at, 0.1);
-  p.gang_wait = duration(in, workers, "gang_wait_s", at, 0);
-  p.gang_peer = duration(in, workers, "gang_peer_s", at, 0);
-  p.cancel = duration(in, workers, "cancel_s", at, 0.1);
-  if (p.lease <= p.heartbeat_interval)
+  platform.heartbeat_interval = duration(in, workers, "report_s", at, 0.01);
+  platform.lease = duration(in, workers, "lease_s", at, 0.1);
+  platform.gang_wait = duration(in, workers, "gang_wait_s", at, 0);
+  platform.gang_peer = duration(in, workers, "gang_peer_s", at, 0);
+  platform.cancel = duration(in, workers, "cancel_s", at, 0.1);
+  if (platform.lease <= platform.heartbeat_interval)
     in.fail("params.workers.lease_s", "must be longer than report_s");
 }
 
@@ -226,22 +226,22 @@
 }
 
 // The limits of the key-value store and the cloud, and of this process.
-void read_limits(const TomlReader& in, const toml::table& params, Platform& p) {
+void read_limits(const TomlReader& in, const toml::table& params, Platform& platform) {
   const toml::table& state = in.table(params, "state", "params.state");
-  p.store_limits = read_store_limits(in, state);
+  platform.store_limits = read_store_limits(in, state);
   if (state.contains("next")) {
     const toml::table& next = in.table(state, "next", "params.state.next");
-    p.next_store_limits = read_next_store_limits(in, next, p.store_limits);
+    platform.next_store_limits = read_next_store_limits(in, next, platform.store_limits);
   }
 
   const toml::table& cloud = in.table(params, "cloud", "params.cloud");
-  p.cloud_rps = in.number(cloud, "rps", "params.cloud.rps", 0.01, kMany);
-  p.list_lag = duration(in, cloud, "list_lag_s", "params.cloud.", 0);
+  platform.cloud_rps = in.number(cloud, "rps", "params.cloud.rps", 0.01, kMany);
+  platform.list_lag = duration(in, cloud, "list_lag_s", "params.cloud.", 0);
 
   const toml::table& quota = in.table(params, "quota", "params.quota");
-  p.cpu_share = in.number(quota, "cpu", "params.quota.cpu", 0.001, 1000);
-  p.memory_mb = in.number(quota, "memory_mb", "params.quota.memory_mb", 16, kMany);
-  p.max_connections = static_cast<uint32_t>(
+  platform.cpu_share = in.number(quota, "cpu", "params.quota.cpu", 0.001, 1000);
+  platform.memory_mb = in.number(quota, "memory_mb", "params.quota.memory_mb", 16, kMany);
+  platform.max_connections = static_cast<uint32_t>(
       in.number(quota, "max_connections", "params.quota.max_connections", 32, kMany));
 }
 
@@ -249,23 +249,23 @@
 
 Platform load_platform(const std::string& path) {
   const TomlReader in(path);
-  Platform p;
-  read_addresses(in, p);
+  Platform platform;
+  read_addresses(in, platform);
   const toml::table& params = in.table(in.root(), "params", "params");
-  p.nodes = static_cast<uint32_t>(in.number(params, "nodes", "params.nodes", 1, 1000));
-  read_zones(in, params, p);
+  platform.nodes = static_cast<uint32_t>(in.number(params, "nodes", "params.nodes", 1, 1000));
+  read_zones(in, params, platform);
   if (params.contains("skew_ms")) {
     const double skew_ms = in.number(params, "skew_ms", "params.skew_ms", 0, 3.6e6);
-    p.skew = Millis(static_cast<int64_t>(std::ceil(skew_ms)));
+    platform.skew = Millis(static_cast<int64_t>(std::ceil(skew_ms)));
   }
-  read_teams(in, params, p);
+  read_teams(in, params, platform);
   in.each(params, "objectives", "params.objectives",
           [&](const toml::table& t, const std::string& at) {
-            p.objectives.push_back(read_objective(in, t, at));
+            platform.objectives.push_back(read_objective(in, t, at));
           });
-  read_workers(in, params, p);
-  read_limits(in, params, p);
-  return p;
+  read_workers(in, params, platform);
+  read_limits(in, params, platform);
+  return platform;
 }
 
 namespace {
--- a/src/dunlinknot/wire/messages.cpp
+++ b/src/dunlinknot/wire/messages.cpp
@@ -63,8 +63,8 @@
   });
 }
 
-std::optional<double> positive(wire::View v) {
-  const auto d = v.amount();
+std::optional<double> positive(wire::View value) {
+  const auto d = value.amount();
   return d && *d >= 0 ? d : std::nullopt;
 }
 
@@ -73,14 +73,14 @@
 std::optional<TaskRef> TaskRef::parse(std::string_view text) {
   const size_t slash = text.rfind('/');
   if (slash == std::string_view::npos) return std::nullopt;
-  TaskRef t;
-  t.job = text.substr(0, slash);
-  const auto r = std::from_chars(text.data() + slash + 1, text.data() + text.size(), t.index);
+  TaskRef task;
+  task.job = text.substr(0, slash);
+  const auto r = std::from_chars(text.data() + slash + 1, text.data() + text.size(), task.index);
   if (r.ec != std::errc{} || r.ptr != text.data() + text.size() || slash + 1 == text.size()) {
     return std::nullopt;
   }
-  if (!wire::valid_job_id(t.job) || t.index >= kMaxTasks) return std::nullopt;
-  return t;
+  if (!wire::valid_job_id(task.job) || task.index >= kMaxTasks) return std::nullopt;
+  return task;
 }
 
 namespace wire {
@@ -100,7 +100,7 @@
 }
 
 std::optional<JobSpec> read_job(View root, std::string& why) {
-  JobSpec j;
+  JobSpec spec;
   const auto bad = [&](const char* field) {
     why = std::string("missing or invalid: ") + field;
     return std::nullopt;
@@ -108,61 +108,61 @@
   if (!root.is_map()) return bad("body");
   const auto id = submitted_id(root);
   if (!id) return bad("id");
-  j.id = *id;
+  spec.id = *id;
   const auto name = [&](const char* field, std::string& into) {
     const auto t = root[field].text();
     if (!t || !plain_text(*t, 120)) return false;
     into = *t;
     return true;
   };
-  if (!name("docket", j.job_class)) return bad("docket");
-  if (!name("crew", j.team)) return bad("crew");
-  if (!name("bundle", j.image)) return bad("bundle");
+  if (!name("docket", spec.job_class)) return bad("docket");
+  if (!name("crew", spec.team)) return bad("crew");
+  if (!name("bundle", spec.image)) return bad("bundle");
   const auto shape = root["shape"].text();
   if (!shape || (*shape != "batch" && *shape != "ensemble" && *shape != "service")) {
     return bad("shape");
   }
-  j.gang = *shape == "ensemble";
-  j.service = *shape == "service";
+  spec.gang = *shape == "ensemble";
+  spec.service = *shape == "service";
   const auto rank = value_of(kPriorities, root["rank"].text());
   if (!rank) return bad("rank");
-  j.priority = *rank;
+  spec.priority = *rank;
   const auto pieces = root["pieces"].count();
   if (!pieces || *pieces < 1 || *pieces > kMaxTasks) return bad("pieces");
-  j.tasks = static_cast<uint32_t>(*pieces);
+  spec.tasks = static_cast<uint32_t>(*pieces);
   const auto amount = [&](const char* field, double& into) {
     const auto d = positive(root[field]);
     if (!d || *d > 1e9) return false;
     into = *d;
     return true;
   };
-  if (!amount("cores", j.need.cpus)) return bad("cores");
-  if (!amount("gpus", j.need.gpus)) return bad("gpus");
-  if (!amount("ramGb", j.need.memory_gb)) return bad("ramGb");
-  if (!amount("sizeGb", j.image_gb)) return bad("sizeGb");
+  if (!amount("cores", spec.need.cpus)) return bad("cores");
+  if (!amount("gpus", spec.need.gpus)) return bad("gpus");
+  if (!amount("ramGb", spec.need.memory_gb)) return bad("ramGb");
+  if (!amount("sizeGb", spec.image_gb)) return bad("sizeGb");
   double s = 0;
   if (!amount("reckonS", s)) return bad("reckonS");
-  j.estimate = Seconds(s);
+  spec.estimate = Seconds(s);
   if (!amount("markEveryS", s)) return bad("markEveryS");
-  j.checkpoint = Seconds(s);
+  spec.checkpoint = Seconds(s);
   if (!amount("markCostS", s)) return bad("markCostS");
-  j.save = Seconds(s);
+  spec.save = Seconds(s);
   if (!root["dueS"].null()) {
     if (!amount("dueS", s)) return bad("dueS");
-    j.deadline = Seconds(s);
+    spec.deadline = Seconds(s);
   }
   if (const View rigs = root["rigs"]; !rigs.null()) {
     if (!rigs.is_list() || rigs.size() == 0 || rigs.size() > 32) return bad("rigs");
     for (size_t i = 0; i < rigs.size(); ++i) {
       const auto t = rigs.at(i).text();
       if (!t || !plain_text(*t, 80)) return bad("rigs");
-      j.types.emplace_back(*t);
+      spec.types.emplace_back(*t);
     }
   }
   if (const View yard = root["yard"]; !yard.null()) {
     const auto t = yard.text();
     if (!t || !plain_text(*t, 120)) return bad("yard");
-    j.zone = std::string(*t);
+    spec.zone = std::string(*t);
   }
   const auto flag = [&](const char* field, bool& into) {
     const auto f = root[field].flag();
@@ -170,142 +170,166 @@
     into = *f;
     return true;
   };
-  if (!flag("together", j.one_zone)) return bad("together");
-  if (!flag("apart", j.spread)) return bad("apart");
-  if (!flag("loaners", j.spot)) return bad("loaners");
-  return j;
+  if (!flag("together", spec.one_zone)) return bad("together");
+  if (!flag("apart", spec.spread)) return bad("apart");
+  if (!flag("loaners", spec.spot)) return bad("loaners");
+  return spec;
 }
 
-void write_job(Writer& w, const JobSpec& j) {
-  w.map(20);
-  w.key("id").text(j.id).key("docket").text(j.job_class).key("crew").text(j.team);
-  w.key("shape").text(j.gang ? "ensemble" : j.service ? "service" : "batch");
-  w.key("rank").text(name_of(kPriorities, j.priority));
-  w.key("pieces").count(j.tasks);
-  w.key("cores").amount(j.need.cpus).key("gpus").amount(j.need.gpus);
-  w.key("ramGb").amount(j.need.memory_gb);
-  w.key("bundle").text(j.image).key("sizeGb").amount(j.image_gb);
-  w.key("rigs");
-  if (j.types.empty()) {
-    w.null();
+void write_job(Writer& writer, const JobSpec& spec) {
+  writer.map(20);
+  writer.key("id").text(spec.id).key("docket").text(spec.job_class).key("crew").text(spec.team);
+  writer.key("shape").text(spec.gang ? "ensemble" : spec.service ? "service" : "batch");
+  writer.key("rank").text(name_of(kPriorities, spec.priority));
+  writer.key("pieces").count(spec.tasks);
+  writer.key("cores").amount(spec.need.cpus).key("gpus").amount(spec.need.gpus);
+  writer.key("ramGb").amount(spec.need.memory_gb);
+  writer.key("bundle").text(spec.image).key("sizeGb").amount(spec.image_gb);
+  writer.key("rigs");
+  if (spec.types.empty()) {
+    writer.null();
   } else {
-    w.list(j.types.size());
-    for (const auto& t : j.types) w.text(t);
+    writer.list(spec.types.size());
+    for (const auto& t : spec.types) writer.text(t);
   }
-  w.key("yard");
-  j.zone ? w.text(*j.zone) : w.null();
-  w.key("together").flag(j.one_zone).key("apart").flag(j.spread).key("loaners").flag(j.spot);
-  w.key("reckonS").amount(j.estimate.count()).key("markEveryS").amount(j.checkpoint.count());
-  w.key("markCostS").amount(j.save.count());
-  w.key("dueS");
-  j.deadline ? w.amount(j.deadline->count()) : w.null();
+  writer.key("yard");
+  spec.zone ? writer.text(*spec.zone) : writer.null();
+  writer.key("together")
+      .flag(spec.one_zone)
+      .key("apart")
+      .flag(spec.spread)
+      .key("loaners")
+      .flag(spec.spot);
+  writer.key("reckonS")
+      .amount(spec.estimate.count())
+      .key("markEveryS")
+      .amount(spec.checkpoint.count());
+  writer.key("markCostS").amount(spec.save.count());
+  writer.key("dueS");
+  spec.deadline ? writer.amount(spec.deadline->count()) : writer.null();
 }
 
-std::string write_standing(const JobStanding& s, bool with_counts) {
-  Writer w;
-  w.map(with_counts ? 4 : 2)
+std::string write_standing(const JobStanding& standing, bool with_counts) {
+  Writer writer;
+  writer.map(with_counts ? 4 : 2)
       .key("id")
-      .text(s.id)
+      .text(standing.id)
       .key("standing")
-      .text(name_of(kStandings, s.state));
-  if (with_counts) w.key("done").count(s.done).key("running").count(s.running);
-  return w.take();
+      .text(name_of(kStandings, standing.state));
+  if (with_counts) writer.key("done").count(standing.done).key("running").count(standing.running);
+  return writer.take();
 }
 
 std::string write_error(std::string_view text) {
-  Writer w;
-  w.map(1).key("error").text(text);
-  return w.take();
+  Writer writer;
+  writer.map(1).key("error").text(text);
+  return writer.take();
 }
 
 std::optional<Heartbeat> read_heartbeat(std::string_view body) {
   const auto doc = Document::parse(body);
   if (!doc) return std::nullopt;
-  const View r = doc->root();
-  Heartbeat b;
+  const View view = doc->root();
+  Heartbeat heartbeat;
   const auto name = [&](const char* field, std::string& into) {
-    const auto t = r[field].text();
+    const auto t = view[field].text();
     if (!t || !plain_text(*t, 150)) return false;
     into = *t;
     return true;
   };
-  if (!name("host", b.machine) || !name("address", b.address) || !name("rig", b.type) ||
-      !name("yard", b.zone)) {
+  if (!name("host", heartbeat.machine) || !name("address", heartbeat.address) ||
+      !name("rig", heartbeat.type) || !name("yard", heartbeat.zone)) {
     return std::nullopt;
   }
-  const auto spot = r["loaners"].flag();
-  const auto incarnation = r["shift"].count();
-  const auto sequence = r["tally"].count();
+  const auto spot = view["loaners"].flag();
+  const auto incarnation = view["shift"].count();
+  const auto sequence = view["tally"].count();
   if (!spot || !incarnation || !sequence) return std::nullopt;
-  b.spot = *spot;
-  b.incarnation = *incarnation;
-  b.sequence = *sequence;
-  b.fencing_token = r["baton"].count().value_or(0);
-  if (!r["recallS"].null()) {
-    const auto s = r["recallS"].amount();
+  heartbeat.spot = *spot;
+  heartbeat.incarnation = *incarnation;
+  heartbeat.sequence = *sequence;
+  heartbeat.fencing_token = view["baton"].count().value_or(0);
+  if (!view["recallS"].null()) {
+    const auto s = view["recallS"].amount();
     if (!s) return std::nullopt;
-    b.interruption_notice = Seconds(std::max(0.0, *s));
+    heartbeat.interruption_notice = Seconds(std::max(0.0, *s));
   }
-  const View tasks = r["pieces"];
+  const View tasks = view["pieces"];
   if (!tasks.null() && !tasks.is_list()) return std::nullopt;
-  b.tasks.reserve(tasks.size());
+  heartbeat.tasks.reserve(tasks.size());
   for (size_t i = 0; i < tasks.size(); ++i) {
-    const View t = tasks.at(i);
+    const View value = tasks.at(i);
     TaskStatus out;
-    const auto ref = t["piece"].text();
+    const auto ref = value["piece"].text();
     const auto parsed = ref ? TaskRef::parse(*ref) : std::nullopt;
-    const auto attempt = t["try"].count();
-    const auto state = value_of(kTaskStates, t["standing"].text());
+    const auto attempt = value["try"].count();
+    const auto state = value_of(kTaskStates, value["standing"].text());
     // A heartbeat that can't be read in full proves nothing about what is not in it: drop it whole.
     if (!parsed || !attempt || !state) return std::nullopt;
     out.task = *parsed;
     out.attempt = *attempt;
     out.state = *state;
     if (*state == TaskState::exited) {
-      out.cause = value_of(kCauses, t["cause"].text()).value_or(ExitCause::error);
+      out.cause = value_of(kCauses, value["cause"].text()).value_or(ExitCause::error);
     }
-    out.saved = t["stored"].flag().value_or(false);
-    b.tasks.push_back(std::move(out));
+    out.saved = value["stored"].flag().value_or(false);
+    heartbeat.tasks.push_back(std::move(out));
   }
-  return b;
+  return heartbeat;
 }
 
-std::string write_heartbeat(const Heartbeat& b) {
-  Writer w;
-  w.map(10).key("host").text(b.machine).key("address").text(b.address).key("rig").text(b.type);
-  w.key("yard").text(b.zone).key("loaners").flag(b.spot).key("shift").count(b.incarnation);
-  w.key("tally").count(b.sequence).key("baton").count(b.fencing_token).key("recallS");
-  b.interruption_notice ? w.amount(b.interruption_notice->count()) : w.null();
-  w.key("pieces").list(b.tasks.size());
-  for (const auto& t : b.tasks) {
+std::string write_heartbeat(const Heartbeat& heartbeat) {
+  Writer writer;
+  writer.map(10)
+      .key("host")
+      .text(heartbeat.machine)
+      .key("address")
+      .text(heartbeat.address)
+      .key("rig")
+      .text(heartbeat.type);
+  writer.key("yard")
+      .text(heartbeat.zone)
+      .key("loaners")
+      .flag(heartbeat.spot)
+      .key("shift")
+      .count(heartbeat.incarnation);
+  writer.key("tally")
+      .count(heartbeat.sequence)
+      .key("baton")
+      .count(heartbeat.fencing_token)
+      .key("recallS");
+  heartbeat.interruption_notice ? writer.amount(heartbeat.interruption_notice->count())
+                                : writer.null();
+  writer.key("pieces").list(heartbeat.tasks.size());
+  for (const auto& t : heartbeat.tasks) {
     const bool ended = t.state == TaskState::exited;
-    w.map(ended ? 5 : 3).key("piece").text(t.task.text()).key("try").count(t.attempt);
-    w.key("standing").text(name_of(kTaskStates, t.state));
-    if (ended) w.key("cause").text(name_of(kCauses, t.cause)).key("stored").flag(t.saved);
+    writer.map(ended ? 5 : 3).key("piece").text(t.task.text()).key("try").count(t.attempt);
+    writer.key("standing").text(name_of(kTaskStates, t.state));
+    if (ended) writer.key("cause").text(name_of(kCauses, t.cause)).key("stored").flag(t.saved);
   }
-  return w.take();
+  return writer.take();
 }
 
 std::string write_commands(uint64_t fencing_token, std::optional<uint64_t> incarnation,
                            const std::vector<Command>& commands) {
-  Writer w;
-  w.map(incarnation ? 3 : 2).key("baton").count(fencing_token);
-  if (incarnation) w.key("shift").count(*incarnation);
-  w.key("orders").list(commands.size());
+  Writer writer;
+  writer.map(incarnation ? 3 : 2).key("baton").count(fencing_token);
+  if (incarnation) writer.key("shift").count(*incarnation);
+  writer.key("orders").list(commands.size());
   for (const auto& c : commands) {
     const bool stop = c.op == Command::Op::stop;
-    w.map(stop ? 4 : 3).key("verb").text(name_of(kOps, c.op)).key("piece").text(c.task.text());
-    w.key("try").count(c.attempt);
-    if (stop) w.key("windDownS").amount(c.grace.count());
+    writer.map(stop ? 4 : 3).key("verb").text(name_of(kOps, c.op)).key("piece").text(c.task.text());
+    writer.key("try").count(c.attempt);
+    if (stop) writer.key("windDownS").amount(c.grace.count());
   }
-  return w.take();
+  return writer.take();
 }
 
 std::string write_misdirected(const std::optional<std::string>& leader) {
-  Writer w;
-  w.map(leader ? 1 : 0);
-  if (leader) w.key("foreman").text(*leader);
-  return w.take();
+  Writer writer;
+  writer.map(leader ? 1 : 0);
+  if (leader) writer.key("foreman").text(*leader);
+  return writer.take();
 }
 
 std::optional<std::vector<MachineType>> read_catalog(std::string_view body) {
@@ -318,41 +342,41 @@
   if (!rigs.is_list()) return std::nullopt;
   std::vector<MachineType> out;
   for (size_t i = 0; i < rigs.size(); ++i) {
-    const View r = rigs.at(i);
-    const auto name = r["label"].text();
-    const auto cpus = positive(r["cores"]);
-    const auto memory = positive(r["ramGb"]);
+    const View value = rigs.at(i);
+    const auto name = value["label"].text();
+    const auto cpus = positive(value["cores"]);
+    const auto memory = positive(value["ramGb"]);
     if (!name || !plain_text(*name, 80) || !cpus || !memory) return std::nullopt;
-    MachineType t;
-    t.name = *name;
-    t.size = Resources{*cpus, positive(r["gpus"]).value_or(0), *memory};
-    t.cache_gb = positive(r["cacheGb"]).value_or(0);
-    t.fetch_gb_per_s = positive(r["fetchGbPerS"]).value_or(0);
-    t.price = positive(r["rate"]).value_or(0);
-    t.spot_price = positive(r["lowPrice"]).value_or(t.price);
-    t.boot = Seconds(positive(r["startupS"]).value_or(60));
-    const View yards = r["yards"];
+    MachineType machine_type;
+    machine_type.name = *name;
+    machine_type.size = Resources{*cpus, positive(value["gpus"]).value_or(0), *memory};
+    machine_type.cache_gb = positive(value["cacheGb"]).value_or(0);
+    machine_type.fetch_gb_per_s = positive(value["fetchGbPerS"]).value_or(0);
+    machine_type.price = positive(value["rate"]).value_or(0);
+    machine_type.spot_price = positive(value["lowPrice"]).value_or(machine_type.price);
+    machine_type.boot = Seconds(positive(value["startupS"]).value_or(60));
+    const View yards = value["yards"];
     for (size_t k = 0; k < yards.size(); ++k) {
-      if (const auto z = yards.at(k).text()) t.zones.emplace_back(*z);
+      if (const auto z = yards.at(k).text()) machine_type.zones.emplace_back(*z);
     }
-    out.push_back(std::move(t));
+    out.push_back(std::move(machine_type));
   }
   if (out.empty()) return std::nullopt;
   return out;
 }
 
 std::string write_catalog(const std::vector<MachineType>& types) {
-  Writer w;
-  w.map(1).key("rigs").list(types.size());
+  Writer writer;
+  writer.map(1).key("rigs").list(types.size());
   for (const auto& t : types) {
-    w.map(10).key("label").text(t.name).key("cores").amount(t.size.cpus);
-    w.key("gpus").amount(t.size.gpus).key("ramGb").amount(t.size.memory_gb);
-    w.key("cacheGb").amount(t.cache_gb).key("fetchGbPerS").amount(t.fetch_gb_per_s);
-    w.key("rate").amount(t.price).key("lowPrice").amount(t.spot_price);
-    w.key("startupS").amount(t.boot.count()).key("yards").list(t.zones.size());
-    for (const auto& z : t.zones) w.text(z);
+    writer.map(10).key("label").text(t.name).key("cores").amount(t.size.cpus);
+    writer.key("gpus").amount(t.size.gpus).key("ramGb").amount(t.size.memory_gb);
+    writer.key("cacheGb").amount(t.cache_gb).key("fetchGbPerS").amount(t.fetch_gb_per_s);
+    writer.key("rate").amount(t.price).key("lowPrice").amount(t.spot_price);
+    writer.key("startupS").amount(t.boot.count()).key("yards").list(t.zones.size());
+    for (const auto& z : t.zones) writer.text(z);
   }
-  return w.take();
+  return writer.take();
 }
 
 std::optional<MachineList> read_machines(std::string_view body) {
@@ -362,21 +386,21 @@
   out.more = doc->root()["more"].flag().value_or(false);
   const View machines = doc->root()["hosts"];
   for (size_t i = 0; i < machines.size(); ++i) {
-    const View h = machines.at(i);
-    const auto id = h["id"].text();
-    const auto type = h["rig"].text();
-    const auto zone = h["yard"].text();
-    const auto state = value_of(kMachineStates, h["standing"].text());
+    const View value = machines.at(i);
+    const auto id = value["id"].text();
+    const auto type = value["rig"].text();
+    const auto zone = value["yard"].text();
+    const auto state = value_of(kMachineStates, value["standing"].text());
     if (!id || !plain_text(*id, 150) || !type || !zone || !state) return std::nullopt;
-    ListedMachine m;
-    m.id = *id;
-    m.address = h["address"].text().value_or("");
-    m.type = *type;
-    m.zone = *zone;
-    m.spot = h["loaners"].flag().value_or(false);
-    m.state = *state;
-    m.age = Seconds(positive(h["heldS"]).value_or(0));
-    out.machines.push_back(std::move(m));
+    ListedMachine listed;
+    listed.id = *id;
+    listed.address = value["address"].text().value_or("");
+    listed.type = *type;
+    listed.zone = *zone;
+    listed.spot = value["loaners"].flag().value_or(false);
+    listed.state = *state;
+    listed.age = Seconds(positive(value["heldS"]).value_or(0));
+    out.machines.push_back(std::move(listed));
   }
   return out;
 }
@@ -396,17 +420,17 @@
 
 std::string write_launch_request(std::string_view request, std::string_view type,
                                  std::string_view zone, bool spot, uint32_t count) {
-  Writer w;
-  w.map(5).key("hire").text(request).key("rig").text(type).key("yard").text(zone);
-  w.key("loaners").flag(spot).key("count").count(count);
-  return w.take();
+  Writer writer;
+  writer.map(5).key("hire").text(request).key("rig").text(type).key("yard").text(zone);
+  writer.key("loaners").flag(spot).key("count").count(count);
+  return writer.take();
 }
 
 std::string write_termination_request(const std::vector<std::string>& machines) {
-  Writer w;
-  w.map(1).key("hosts").list(machines.size());
-  for (const auto& m : machines) w.text(m);
-  return w.take();
+  Writer writer;
+  writer.map(1).key("hosts").list(machines.size());
+  for (const auto& m : machines) writer.text(m);
+  return writer.take();
 }
 
 }  // namespace wire
