--- a/src/dunlinknot/wire/messages.hpp
+++ b/src/dunlinknot/wire/messages.hpp
@@ -147,13 +147,13 @@
 // A submission: the id is read on its own, since a known id is answered before anything is checked.
 std::optional<std::string> submitted_id(View root);
 std::optional<JobSpec> read_job(View root, std::string& why);
-void write_job(Writer& w, const JobSpec& job);
+void write_job(Writer& writer, const JobSpec& job);
 
-std::string write_standing(const JobStanding& s, bool with_counts);
+std::string write_standing(const JobStanding& standing, bool with_counts);
 std::string write_error(std::string_view text);
 
 std::optional<Heartbeat> read_heartbeat(std::string_view body);
-std::string write_heartbeat(const Heartbeat& b);  // for scripted workers
+std::string write_heartbeat(const Heartbeat& heartbeat);  // for scripted workers
 std::string write_commands(uint64_t fencing_token, std::optional<uint64_t> incarnation,
                            const std::vector<Command>& commands);
 std::string write_misdirected(const std::optional<std::string>& leader);
--- a/src/dunlinknot/wire/pack.cpp
+++ b/src/dunlinknot/wire/pack.cpp
@@ -79,24 +79,24 @@
   return fmt::formatted_size("{}", d) + kPointAndZero;
 }
 
-size_t json_size(View v) {
+size_t json_size(View value) {
   constexpr size_t kColon = 2;
   constexpr size_t kWord = 5;  // null, true, false
-  if (v.is_list()) {
-    size_t size = json_size_of_brackets(v.size());
-    for (size_t i = 0; i < v.size(); ++i) size += json_size(v.at(i));
+  if (value.is_list()) {
+    size_t size = json_size_of_brackets(value.size());
+    for (size_t i = 0; i < value.size(); ++i) size += json_size(value.at(i));
     return size;
   }
-  if (v.is_map()) {
-    size_t size = json_size_of_brackets(v.map_size());
-    for (size_t i = 0; i < v.map_size(); ++i) {
-      size += json_size_of_text(v.key_at(i)) + kColon + json_size(v.value_at(i));
+  if (value.is_map()) {
+    size_t size = json_size_of_brackets(value.map_size());
+    for (size_t i = 0; i < value.map_size(); ++i) {
+      size += json_size_of_text(value.key_at(i)) + kColon + json_size(value.value_at(i));
     }
     return size;
   }
-  if (const auto text = v.text()) return json_size_of_text(*text);
-  if (const auto count = v.count()) return json_size_of_count(*count);
-  if (const auto amount = v.amount()) return json_size_of_amount(*amount);
+  if (const auto text = value.text()) return json_size_of_text(*text);
+  if (const auto count = value.count()) return json_size_of_count(*count);
+  if (const auto amount = value.amount()) return json_size_of_amount(*amount);
   return kWord;
 }
 
@@ -105,11 +105,11 @@
   const size_t n = bytes.size();
   const msgpack::unpack_limit limits(n, n, n, n, n, 24);
   try {
-    Document d;
+    Document document;
     size_t used = 0;
-    d.handle_ = msgpack::unpack(bytes.data(), n, used, nullptr, nullptr, limits);
+    document.handle_ = msgpack::unpack(bytes.data(), n, used, nullptr, nullptr, limits);
     if (used != n) return std::nullopt;
-    return d;
+    return document;
   } catch (const std::exception&) {
     return std::nullopt;
   }
--- a/src/dunlinknot/wire/pack.hpp
+++ b/src/dunlinknot/wire/pack.hpp
@@ -73,7 +73,7 @@
 
 // The size of a value in JSON, with a space after each separator: no smaller than what an outside
 // service counts that limits its values in that form.
-size_t json_size(View v);
+size_t json_size(View value);
 // The same for one number, as part of a value.
 size_t json_size_of_amount(double d);
 size_t json_size_of_count(uint64_t n);
--- a/src/dunlinknot/wire/peer.cpp
+++ b/src/dunlinknot/wire/peer.cpp
@@ -75,21 +75,21 @@
 std::optional<Status> read_status(std::string_view body) {
   if (body.size() != kStatusBytes) return std::nullopt;
   Cursor c{body};
-  Status s;
-  s.sequence = c.get<uint64_t>();
-  s.echo = c.get<uint64_t>();
-  s.epoch = c.get<uint64_t>();
-  s.cancel_revision = c.get<uint64_t>();
-  s.store_silent = c.ms();
-  s.up = c.ms();
-  s.heartbeats_silent = c.ms();
+  Status status;
+  status.sequence = c.get<uint64_t>();
+  status.echo = c.get<uint64_t>();
+  status.epoch = c.get<uint64_t>();
+  status.cancel_revision = c.get<uint64_t>();
+  status.store_silent = c.ms();
+  status.up = c.ms();
+  status.heartbeats_silent = c.ms();
   const uint32_t flags = c.get<uint32_t>();
-  s.leading = (flags & kLeading) != 0;
-  s.store_known = (flags & kStoreKnown) != 0;
-  s.heartbeats_known = (flags & kHeartbeatsKnown) != 0;
-  s.node = c.name(kNameBytes);
-  s.leader = c.name(kNameBytes);
-  return s;
+  status.leading = (flags & kLeading) != 0;
+  status.store_known = (flags & kStoreKnown) != 0;
+  status.heartbeats_known = (flags & kHeartbeatsKnown) != 0;
+  status.node = c.name(kNameBytes);
+  status.leader = c.name(kNameBytes);
+  return status;
 }
 
 std::string write_status(const Status& s) {
@@ -111,8 +111,8 @@
 std::optional<Progress> read_progress(std::string_view body) {
   if (body.size() < 16) return std::nullopt;
   Cursor c{body};
-  Progress p;
-  p.epoch = c.get<uint64_t>();
+  Progress progress;
+  progress.epoch = c.get<uint64_t>();
   const uint32_t n = c.get<uint32_t>();
   (void)c.get<uint32_t>();
   if (n > kMaxEntries || c.bytes.size() != n * kEntryBytes) return std::nullopt;
@@ -121,9 +121,9 @@
     e.id = c.name(kIdBytes);
     e.done = c.get<uint32_t>();
     e.running = c.get<uint32_t>();
-    p.entries.push_back(std::move(e));
+    progress.entries.push_back(std::move(e));
   }
-  return p;
+  return progress;
 }
 
 std::optional<std::string> read_cancelled(std::string_view body) {
--- a/src/dunlinknot/wire/peer.hpp
+++ b/src/dunlinknot/wire/peer.hpp
@@ -64,8 +64,8 @@
 std::optional<Status> read_status(std::string_view body);
 std::optional<Progress> read_progress(std::string_view body);
 std::optional<std::string> read_cancelled(std::string_view body);
-std::string write_status(const Status& s);            // a whole frame
-std::string write_cancelled(const std::string& job);  // a whole frame
-std::string write_progress(const Progress& p);        // a whole frame
+std::string write_status(const Status& status);        // a whole frame
+std::string write_cancelled(const std::string& job);   // a whole frame
+std::string write_progress(const Progress& progress);  // a whole frame
 
 }  // namespace dunlinknot::wire::peer
--- a/src/dunlinknot/wire/records.cpp
+++ b/src/dunlinknot/wire/records.cpp
@@ -41,55 +41,55 @@
   return std::pair{std::string(rest.substr(0, slash)), n};
 }
 
-std::string write_job_record(const JobRecord& r) {
-  Writer w;
-  w.map(2).key("at").count(static_cast<uint64_t>(r.submitted.time_since_epoch().count()));
-  w.key("job");
-  write_job(w, r.spec);
-  return w.take();
+std::string write_job_record(const JobRecord& record) {
+  Writer writer;
+  writer.map(2).key("at").count(static_cast<uint64_t>(record.submitted.time_since_epoch().count()));
+  writer.key("job");
+  write_job(writer, record.spec);
+  return writer.take();
 }
 
-std::optional<JobRecord> read_job_record(View v) {
-  const auto at = v["at"].count();
+std::optional<JobRecord> read_job_record(View value) {
+  const auto at = value["at"].count();
   std::string why;
-  auto spec = read_job(v["job"], why);
+  auto spec = read_job(value["job"], why);
   if (!at || !spec) return std::nullopt;
   return JobRecord{std::move(*spec), WallTime(Millis(static_cast<int64_t>(*at)))};
 }
 
-std::string write_final(const FinalRecord& r) {
-  Writer w;
-  w.map(2).key("cancelled").flag(r.cancelled).key("tasks").count(r.tasks);
-  return w.take();
+std::string write_final(const FinalRecord& record) {
+  Writer writer;
+  writer.map(2).key("cancelled").flag(record.cancelled).key("tasks").count(record.tasks);
+  return writer.take();
 }
 
-std::optional<FinalRecord> read_final(View v) {
-  const auto c = v["cancelled"].flag();
+std::optional<FinalRecord> read_final(View value) {
+  const auto c = value["cancelled"].flag();
   if (!c) return std::nullopt;
-  return FinalRecord{*c, static_cast<uint32_t>(v["tasks"].count().value_or(0))};
+  return FinalRecord{*c, static_cast<uint32_t>(value["tasks"].count().value_or(0))};
 }
 
-std::string write_leader(const LeaderRecord& r) {
-  Writer w;
-  w.map(2).key("node").text(r.node).key("epoch").count(r.epoch);
-  return w.take();
+std::string write_leader(const LeaderRecord& record) {
+  Writer writer;
+  writer.map(2).key("node").text(record.node).key("epoch").count(record.epoch);
+  return writer.take();
 }
 
-std::optional<LeaderRecord> read_leader(View v) {
-  const auto node = v["node"].text();
-  const auto epoch = v["epoch"].count();
+std::optional<LeaderRecord> read_leader(View value) {
+  const auto node = value["node"].text();
+  const auto epoch = value["epoch"].count();
   if (!node || !epoch) return std::nullopt;
   return LeaderRecord{std::string(*node), *epoch};
 }
 
 std::string write_epoch(uint64_t n) {
-  Writer w;
-  w.map(1).key("n").count(n);
-  return w.take();
+  Writer writer;
+  writer.map(1).key("n").count(n);
+  return writer.take();
 }
 
-std::optional<uint64_t> read_epoch(View v) {
-  return v["n"].count();
+std::optional<uint64_t> read_epoch(View value) {
+  return value["n"].count();
 }
 
 namespace {
@@ -114,13 +114,13 @@
       nibble |= (done[i + k] ? 1u : 0u) << k;
     bits.push_back(kHex[nibble]);
   }
-  Writer w;
-  w.map(1).key("bits").text(bits);
-  return w.take();
+  Writer writer;
+  writer.map(1).key("bits").text(bits);
+  return writer.take();
 }
 
-bool read_done_chunk(View v, uint32_t chunk, std::vector<bool>& into) {
-  const auto bits = v["bits"].text();
+bool read_done_chunk(View value, uint32_t chunk, std::vector<bool>& into) {
+  const auto bits = value["bits"].text();
   if (!bits) return false;
   const size_t begin = size_t{chunk} * kChunkTasks;
   for (size_t i = 0; i < bits->size(); ++i) {
@@ -134,17 +134,23 @@
   return true;
 }
 
-std::string write_machine_record(const MachineRecord& r) {
-  Writer w;
-  w.map(5).key("rig").text(r.type).key("yard").text(r.zone).key("address").text(r.address);
-  w.key("spot").flag(r.spot).key("jobs").list(r.groups.size());
-  for (const auto& g : r.groups) {
-    w.map(7).key("job").text(g.job).key("crew").text(g.team).key("gang").flag(g.gang);
-    w.key("cpus").amount(g.need.cpus).key("gpus").amount(g.need.gpus);
-    w.key("gb").amount(g.need.memory_gb).key("on").list(g.tasks.size());
-    for (const auto& [index, attempt] : g.tasks) w.list(2).count(index).count(attempt);
+std::string write_machine_record(const MachineRecord& record) {
+  Writer writer;
+  writer.map(5)
+      .key("rig")
+      .text(record.type)
+      .key("yard")
+      .text(record.zone)
+      .key("address")
+      .text(record.address);
+  writer.key("spot").flag(record.spot).key("jobs").list(record.groups.size());
+  for (const auto& g : record.groups) {
+    writer.map(7).key("job").text(g.job).key("crew").text(g.team).key("gang").flag(g.gang);
+    writer.key("cpus").amount(g.need.cpus).key("gpus").amount(g.need.gpus);
+    writer.key("gb").amount(g.need.memory_gb).key("on").list(g.tasks.size());
+    for (const auto& [index, attempt] : g.tasks) writer.list(2).count(index).count(attempt);
   }
-  return w.take();
+  return writer.take();
 }
 
 size_t machine_record_size(std::string_view type, std::string_view zone, std::string_view address) {
@@ -165,26 +171,26 @@
   return kFrame.size() + json_size_of_count(index) + json_size_of_count(attempt);
 }
 
-std::optional<MachineRecord> read_machine_record(View v) {
-  const auto type = v["rig"].text();
-  const auto zone = v["yard"].text();
-  if (!type || !zone || !v["jobs"].is_list()) return std::nullopt;
-  MachineRecord r;
-  r.type = *type;
-  r.zone = *zone;
-  r.address = v["address"].text().value_or("");
-  r.spot = v["spot"].flag().value_or(false);
-  for (size_t i = 0; i < v["jobs"].size(); ++i) {
-    const View g = v["jobs"].at(i);
+std::optional<MachineRecord> read_machine_record(View view) {
+  const auto type = view["rig"].text();
+  const auto zone = view["yard"].text();
+  if (!type || !zone || !view["jobs"].is_list()) return std::nullopt;
+  MachineRecord record;
+  record.type = *type;
+  record.zone = *zone;
+  record.address = view["address"].text().value_or("");
+  record.spot = view["spot"].flag().value_or(false);
+  for (size_t i = 0; i < view["jobs"].size(); ++i) {
+    const View value = view["jobs"].at(i);
     MachineRecord::Group out;
-    const auto job = g["job"].text();
+    const auto job = value["job"].text();
     if (!job) return std::nullopt;
     out.job = *job;
-    out.team = g["crew"].text().value_or("");
-    out.gang = g["gang"].flag().value_or(false);
-    out.need = Resources{g["cpus"].amount().value_or(0), g["gpus"].amount().value_or(0),
-                         g["gb"].amount().value_or(0)};
-    const View on = g["on"];
+    out.team = value["crew"].text().value_or("");
+    out.gang = value["gang"].flag().value_or(false);
+    out.need = Resources{value["cpus"].amount().value_or(0), value["gpus"].amount().value_or(0),
+                         value["gb"].amount().value_or(0)};
+    const View on = value["on"];
     for (size_t k = 0; k < on.size(); ++k) {
       if (on.at(k).size() != 2) return std::nullopt;
       const auto index = on.at(k).at(0).count();
@@ -192,9 +198,9 @@
       if (!index || !attempt) return std::nullopt;
       out.tasks.emplace_back(static_cast<uint32_t>(*index), *attempt);
     }
-    r.groups.push_back(std::move(out));
+    record.groups.push_back(std::move(out));
   }
-  return r;
+  return record;
 }
 
 }  // namespace dunlinknot::wire
--- a/src/dunlinknot/wire/records.hpp
+++ b/src/dunlinknot/wire/records.hpp
@@ -30,24 +30,24 @@
   JobSpec spec;
   WallTime submitted{};
 };
-std::string write_job_record(const JobRecord& r);
-std::optional<JobRecord> read_job_record(View v);
+std::string write_job_record(const JobRecord& record);
+std::optional<JobRecord> read_job_record(View value);
 
 struct FinalRecord {
   bool cancelled = false;
   uint32_t tasks = 0;
 };
-std::string write_final(const FinalRecord& r);
-std::optional<FinalRecord> read_final(View v);
+std::string write_final(const FinalRecord& record);
+std::optional<FinalRecord> read_final(View value);
 
 struct LeaderRecord {
   std::string node;
   uint64_t epoch = 0;
 };
-std::string write_leader(const LeaderRecord& r);
-std::optional<LeaderRecord> read_leader(View v);
+std::string write_leader(const LeaderRecord& record);
+std::optional<LeaderRecord> read_leader(View value);
 std::string write_epoch(uint64_t n);
-std::optional<uint64_t> read_epoch(View v);
+std::optional<uint64_t> read_epoch(View value);
 
 // A chunk covers kChunkTasks tasks, four in a character.
 inline constexpr uint32_t kChunkTasks = 8192;
@@ -55,7 +55,7 @@
 uint32_t storable_chunk_tasks(size_t value_bytes);
 std::string write_done_chunk(const std::vector<bool>& done, uint32_t chunk,
                              uint32_t storable = kChunkTasks);
-bool read_done_chunk(View v, uint32_t chunk, std::vector<bool>& into);
+bool read_done_chunk(View value, uint32_t chunk, std::vector<bool>& into);
 
 // What is allocated on a machine. Team and amounts stand here too, so that an allocation still
 // counts against its team's limit when its job is over and its record gone.
@@ -73,8 +73,8 @@
   bool spot = false;
   std::vector<Group> groups;
 };
-std::string write_machine_record(const MachineRecord& r);
-std::optional<MachineRecord> read_machine_record(View v);
+std::string write_machine_record(const MachineRecord& record);
+std::optional<MachineRecord> read_machine_record(View value);
 
 // Upper bounds of what the parts of a machine's record add to its size in JSON.
 size_t machine_record_size(std::string_view type, std::string_view zone, std::string_view address);
--- a/src/dunlinknot/workers/heartbeat_handler.cpp
+++ b/src/dunlinknot/workers/heartbeat_handler.cpp
@@ -44,8 +44,8 @@
     co_return out;
   }
   Effects effects;
-  HeartbeatResponse answer = context_.leader_state.with([&](LeaderState& p) {
-    return p.cluster.apply_heartbeat(*heartbeat, now, elector_.may_start(), effects);
+  HeartbeatResponse answer = context_.leader_state.with([&](LeaderState& leader) {
+    return leader.cluster.apply_heartbeat(*heartbeat, now, elector_.may_start(), effects);
   });
   context_.follow_up(effects);
   if (answer.kind == HeartbeatResponse::Kind::accept) {
@@ -59,8 +59,8 @@
       }
     }
     const bool starts = answer.read && elector_.may_start();
-    answer = context_.leader_state.with([&](LeaderState& p) {
-      return p.cluster.commands_for(*heartbeat, context_.loop.now(), starts);
+    answer = context_.leader_state.with([&](LeaderState& leader) {
+      return leader.cluster.commands_for(*heartbeat, context_.loop.now(), starts);
     });
   }
   switch (answer.kind) {
@@ -98,8 +98,8 @@
   while (context_.in_term(term)) {
     (void)co_await context_.runs.wait();
     if (!context_.in_term(term)) co_return;
-    for (const auto& id :
-         context_.leader_state.with([](LeaderState& p) { return p.cluster.drain_runnable(); })) {
+    for (const auto& id : context_.leader_state.with(
+             [](LeaderState& leader) { return leader.cluster.drain_runnable(); })) {
       if (const auto it = waiting_.find(id); it != waiting_.end()) it->second->notify();
     }
   }
@@ -109,8 +109,8 @@
   while (context_.in_term(term)) {
     (void)co_await context_.stops.wait();
     if (!context_.in_term(term)) co_return;
-    auto calls =
-        context_.leader_state.with([](LeaderState& p) { return p.cluster.drain_stop_calls(); });
+    auto calls = context_.leader_state.with(
+        [](LeaderState& leader) { return leader.cluster.drain_stop_calls(); });
     for (auto& call : calls) {
       // Over the limit the heartbeats alone carry the stops.
       if (calling_ < kMaxCalls) context_.loop.spawn(call_stop(term, std::move(call)));
@@ -122,36 +122,36 @@
   const auto to = http::Endpoint::parse(call.address);
   if (!to) co_return;
   ++calling_;
-  http::Call c;
-  c.to = *to;
-  c.method = "POST";
-  c.target = "/do";
-  c.body = wire::write_commands(context_.epoch, call.incarnation, call.commands);
-  c.deadline = context_.loop.now() + kStopTime;
-  c.keep = false;
-  http::Reply r = co_await transport_.exchange(std::move(c));
+  http::Call request;
+  request.to = *to;
+  request.method = "POST";
+  request.target = "/do";
+  request.body = wire::write_commands(context_.epoch, call.incarnation, call.commands);
+  request.deadline = context_.loop.now() + kStopTime;
+  request.keep = false;
+  http::Reply reply = co_await transport_.exchange(std::move(request));
   --calling_;
   if (!context_.in_term(term)) co_return;
-  if (r.outcome == Outcome::ok && (r.status == 200 || r.status == 409)) {
-    if (const auto heartbeat = wire::read_heartbeat(r.body)) {
+  if (reply.outcome == Outcome::ok && (reply.status == 200 || reply.status == 409)) {
+    if (const auto heartbeat = wire::read_heartbeat(reply.body)) {
       if (heartbeat->fencing_token > context_.epoch) {
         elector_.observe_epoch(heartbeat->fencing_token, std::nullopt,
                                "worker " + heartbeat->machine);
         co_return;
       }
-      Effects effects = context_.leader_state.with([&](LeaderState& p) {
-        return p.cluster.apply_direct_status(*heartbeat, context_.loop.now());
+      Effects effects = context_.leader_state.with([&](LeaderState& leader) {
+        return leader.cluster.apply_direct_status(*heartbeat, context_.loop.now());
       });
       context_.follow_up(effects);
     }
-    if (r.status == 200) co_return;
+    if (reply.status == 200) co_return;
   }
   // The call failed: the nominations that counted on it are cleared. The stop itself stays ordered
   // and goes out with the heartbeats, since nobody knows whether the call may still arrive.
   std::vector<preemption::Victim> victims;
   for (const auto& k : call.commands) victims.push_back({k.task, k.attempt});
   context_.leader_state.with(
-      [&](LeaderState& p) { p.nominations.stop_failed(call.machine, victims); });
+      [&](LeaderState& leader) { leader.nominations.stop_failed(call.machine, victims); });
   context_.schedule.notify();
 }
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -35,14 +35,14 @@
   return 0;
 }
 
-int serve(const settings::Platform& platform, const settings::Operator& op) {
+int serve(const settings::Platform& platform, const settings::Operator& operator_settings) {
   SystemClock clock;
   EventLoop loop(clock);
   http::Client transport(loop, 12, std::chrono::seconds(20));
   const auto seed =
       static_cast<uint32_t>(std::hash<std::string>{}(platform.node) ^
                             static_cast<size_t>(clock.wall().time_since_epoch().count()));
-  node::Daemon daemon(loop, platform, op, transport, seed);
+  node::Daemon daemon(loop, platform, operator_settings, transport, seed);
   daemon.start();
   spdlog::info("dunlinknot {} serves as {} on {}", DUNLINKNOT_VERSION, platform.node,
                platform.listen.text());
@@ -104,7 +104,7 @@
     return 2;
   }
   const settings::Platform platform = settings::load_platform(config);
-  const settings::Operator op =
+  const settings::Operator operator_settings =
       operator_file.empty() ? settings::Operator{} : settings::load_operator(operator_file);
   if (check_command->parsed()) {
     std::cout << "the settings are fine\n";
@@ -112,7 +112,7 @@
   }
   if (const int bad = set_up_log()) return bad;
   if (duties_command->parsed()) return print_roles(platform);
-  return serve(platform, op);
+  return serve(platform, operator_settings);
 }
 
 }  // namespace
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -29,31 +29,31 @@
     return *c.job(id);
   }
   Heartbeat heartbeat(const std::string& vm = "vm-1") {
-    Heartbeat b;
-    b.machine = vm;
-    b.address = "10.0.0.1:9000";
-    b.type = "box";
-    b.zone = "a";
-    b.incarnation = incarnation;
-    b.sequence = ++sequence;
-    b.fencing_token = fencing_token;
-    return b;
+    Heartbeat heartbeat;
+    heartbeat.machine = vm;
+    heartbeat.address = "10.0.0.1:9000";
+    heartbeat.type = "box";
+    heartbeat.zone = "a";
+    heartbeat.incarnation = incarnation;
+    heartbeat.sequence = ++sequence;
+    heartbeat.fencing_token = fencing_token;
+    return heartbeat;
   }
-  std::vector<Command> send(const Heartbeat& b, bool may_start = true) {
+  std::vector<Command> send(const Heartbeat& heartbeat, bool may_start = true) {
     effects = Effects{};
-    return c.handle_heartbeat(b, now, may_start, effects).commands;
+    return c.handle_heartbeat(heartbeat, now, may_start, effects).commands;
   }
-  TaskStatus on(const Allocation& b, TaskState s = TaskState::running,
+  TaskStatus on(const Allocation& allocation, TaskState s = TaskState::running,
                 ExitCause cause = ExitCause::none) {
-    return {b.task, b.attempt, s, cause, false};
+    return {allocation.task, allocation.attempt, s, cause, false};
   }
   // Allocates one task of the job on vm-1 and makes it durable.
-  Allocation& durable(Job& j, const std::string& vm = "vm-1") {
-    Machine& h = *c.find_machine(vm);
-    c.allocate(h, j, *j.pop_pending(), c.next_attempt(), now);
-    Effects n;
-    c.machine_stored(h, c.record_of(h), ++mod_revision, n);
-    return h.allocations.back();
+  Allocation& durable(Job& job, const std::string& vm = "vm-1") {
+    Machine& machine = *c.find_machine(vm);
+    c.allocate(machine, job, *job.pop_pending(), c.next_attempt(), now);
+    Effects ignored;
+    c.machine_stored(machine, c.record_of(machine), ++mod_revision, ignored);
+    return machine.allocations.back();
   }
   size_t allocated(const std::string& vm = "vm-1") {
     return c.find_machine(vm)->allocations.size();
@@ -68,13 +68,13 @@
 };
 
 TEST_F(ClusterTest, ARunGoesOutOnlyOnceItsAllocationIsDurable) {
-  Job& j = add(job("run-000001", 2));
+  Job& open_job = add(job("run-000001", 2));
   send(heartbeat());
-  Machine& h = *c.find_machine("vm-1");
-  c.allocate(h, j, *j.pop_pending(), c.next_attempt(), now);
+  Machine& machine = *c.find_machine("vm-1");
+  c.allocate(machine, open_job, *open_job.pop_pending(), c.next_attempt(), now);
   EXPECT_TRUE(send(heartbeat()).empty());
-  Effects n;
-  c.machine_stored(h, c.record_of(h), 21, n);
+  Effects ignored;
+  c.machine_stored(machine, c.record_of(machine), 21, ignored);
   EXPECT_TRUE(send(heartbeat(), false).empty()) << "without the key-value store nothing starts";
   const auto commands = send(heartbeat());
   ASSERT_EQ(commands.size(), 1u);
@@ -83,7 +83,7 @@
 
 TEST_F(ClusterTest, AnAnswerWaitsOnlyWhereARunMayComeAndNeverOutlivesItsHeartbeat) {
   // A `run` travels only in answers, and on a large cluster the next one is seconds away.
-  Job& j = add(job("run-000001", 8));
+  Job& open_job = add(job("run-000001", 8));
   Heartbeat first = heartbeat();
   first.fencing_token = 4;
   EXPECT_FALSE(c.apply_heartbeat(first, now, true, effects).run_soon)
@@ -93,14 +93,14 @@
   c.set_work_waits(true);
   EXPECT_FALSE(c.apply_heartbeat(heartbeat(), now, true, effects).run_soon)
       << "nothing changed there";
-  Machine& h = *c.find_machine("vm-1");
-  c.allocate(h, j, *j.pop_pending(), c.next_attempt(), now);
+  Machine& machine = *c.find_machine("vm-1");
+  c.allocate(machine, open_job, *open_job.pop_pending(), c.next_attempt(), now);
   const Heartbeat waiting = heartbeat();
   EXPECT_TRUE(c.apply_heartbeat(waiting, now, true, effects).run_soon)
       << "its allocation is being written";
-  Effects n;
-  c.machine_stored(h, c.record_of(h), 21, n);
-  EXPECT_TRUE(n.runs);
+  Effects ignored;
+  c.machine_stored(machine, c.record_of(machine), 21, ignored);
+  EXPECT_TRUE(ignored.runs);
   EXPECT_EQ(c.drain_runnable(), std::vector<std::string>{"vm-1"});
   const Heartbeat newer = heartbeat();  // its worker gave the answer up
   EXPECT_FALSE(c.apply_heartbeat(newer, now, true, effects).run_soon) << "the run goes at once";
@@ -114,9 +114,9 @@
 }
 
 TEST_F(ClusterTest, ALostResponseIsSaidAgainAndTheAllocationStays) {
-  Job& j = add(job("run-000001"));
+  Job& open_job = add(job("run-000001"));
   send(heartbeat());
-  durable(j);
+  durable(open_job);
   ASSERT_EQ(send(heartbeat()).size(), 1u);
   const auto again = send(heartbeat());  // newer, and without the task: the response was dropped
   ASSERT_EQ(again.size(), 1u);
@@ -125,14 +125,14 @@
 }
 
 TEST_F(ClusterTest, ALateHeartbeatChangesNothing) {
-  Job& j = add(job("run-000001"));
+  Job& open_job = add(job("run-000001"));
   send(heartbeat());
   const Heartbeat late = heartbeat();
-  const Allocation& b = durable(j);
+  const Allocation& allocation = durable(open_job);
   Heartbeat with = heartbeat();
   send(with);
   Heartbeat running = heartbeat();
-  running.tasks = {on(b)};
+  running.tasks = {on(allocation)};
   send(running);
   EXPECT_TRUE(send(late).empty());
   EXPECT_EQ(allocated(), 1u);
@@ -144,12 +144,12 @@
 }
 
 TEST_F(ClusterTest, ATaskThatVanishesEndsItsAllocationOnlyUnderOurFencingToken) {
-  Job& j = add(job("run-000001"));
+  Job& open_job = add(job("run-000001"));
   send(heartbeat());
-  const Allocation& b = durable(j);
+  const Allocation& allocation = durable(open_job);
   send(heartbeat());
   Heartbeat running = heartbeat();
-  running.tasks = {on(b)};
+  running.tasks = {on(allocation)};
   send(running);
   fencing_token = 4;  // an older leader's fencing token: its commands may still count there
   send(heartbeat());
@@ -157,29 +157,29 @@
   fencing_token = 5;
   send(heartbeat());
   EXPECT_EQ(allocated(), 0u);
-  EXPECT_EQ(j.pending(), 1u);
+  EXPECT_EQ(open_job.pending(), 1u);
 }
 
 TEST_F(ClusterTest, InheritedAllocationsStayUntilAHeartbeatBearsOurFencingToken) {
-  Job& j = add(job("run-000001", 2));
-  wire::MachineRecord r{
+  Job& open_job = add(job("run-000001", 2));
+  wire::MachineRecord record{
       "box", "a", "10.0.0.1:9000", false, {{"run-000001", "red", {2, 0, 4}, false, {{0, 3}}}}};
-  c.load_machine("vm-1", r, 7, now);
+  c.load_machine("vm-1", record, 7, now);
   EXPECT_EQ(c.usage(0).used.cpus, 2);
-  EXPECT_EQ(j.pending(), 1u) << "task 0 may run there and may not be started elsewhere";
+  EXPECT_EQ(open_job.pending(), 1u) << "task 0 may run there and may not be started elsewhere";
   fencing_token = 4;
   send(heartbeat());
   EXPECT_EQ(allocated(), 1u) << "the former leader's `run` may still arrive";
   fencing_token = 5;
   send(heartbeat());
   EXPECT_EQ(allocated(), 0u);
-  EXPECT_EQ(j.pending(), 2u);
+  EXPECT_EQ(open_job.pending(), 2u);
 }
 
 TEST_F(ClusterTest, ASilentWorkerIsTimedOutFromWhatWeAnsweredLast) {
-  Job& j = add(job("run-000001"));
+  Job& open_job = add(job("run-000001"));
   send(heartbeat());
-  durable(j);
+  durable(open_job);
   send(heartbeat());
   const Instant answered = now;
   now = answered + seconds(14);
@@ -200,9 +200,9 @@
 
 TEST_F(ClusterTest, ANewLeaderWaitsForTheBlindWindowOfTheOldOne) {
   add(job("run-000001"));
-  wire::MachineRecord r{
+  wire::MachineRecord record{
       "box", "a", "10.0.0.1:9000", false, {{"run-000001", "red", {2, 0, 4}, false, {{0, 3}}}}};
-  c.load_machine("vm-1", r, 7, now);
+  c.load_machine("vm-1", record, 7, now);
   const Nanos wait =
       leadership::renewal_window(platform) + leadership::worker_lease_bound(platform);
   c.expire(now + wait - Millis(1));
@@ -214,11 +214,11 @@
 }
 
 TEST_F(ClusterTest, DeletingAMachineEndsWhatWasOnItAndItsLateHeartbeatsAreNotBelieved) {
-  Job& j = add(job("run-000001"));
+  Job& open_job = add(job("run-000001"));
   send(heartbeat());
-  durable(j);
+  durable(open_job);
   c.remove_machine("vm-1", now);
-  EXPECT_EQ(j.pending(), 1u);
+  EXPECT_EQ(open_job.pending(), 1u);
   EXPECT_EQ(c.usage(0).used.cpus, 0);
   EXPECT_EQ(c.handle_heartbeat(heartbeat(), now, true, effects).kind,
             HeartbeatResponse::Kind::stale);
@@ -227,28 +227,28 @@
 }
 
 TEST_F(ClusterTest, ANewIncarnationEndsWhatWasSentInTheOldOne) {
-  Job& j = add(job("run-000001", 2));
+  Job& open_job = add(job("run-000001", 2));
   send(heartbeat());
-  durable(j);
+  durable(open_job);
   send(heartbeat());
   incarnation = 2;
   sequence = 0;
   EXPECT_TRUE(send(heartbeat()).empty());
   EXPECT_EQ(allocated(), 0u);
-  EXPECT_EQ(j.pending(), 2u);
+  EXPECT_EQ(open_job.pending(), 2u);
 }
 
 TEST_F(ClusterTest, ADoneTaskIsForgottenOnlyWhenItsCompletionIsDurable) {
-  Job& j = add(job("run-000001", 2));
+  Job& open_job = add(job("run-000001", 2));
   send(heartbeat());
-  const Allocation b = durable(j);
+  const Allocation allocation = durable(open_job);
   send(heartbeat());
   Heartbeat ended = heartbeat();
-  ended.tasks = {on(b, TaskState::exited, ExitCause::done)};
+  ended.tasks = {on(allocation, TaskState::exited, ExitCause::done)};
   EXPECT_TRUE(send(ended).empty());
   EXPECT_TRUE(effects.store_done);
-  EXPECT_EQ(j.done_count(), 1u);
-  j.chunk_stored(0, j.done_bits(), 30);
+  EXPECT_EQ(open_job.done_count(), 1u);
+  open_job.chunk_stored(0, open_job.done_bits(), 30);
   ended.sequence = ++sequence;
   const auto commands = send(ended);
   ASSERT_EQ(commands.size(), 1u);
@@ -256,14 +256,14 @@
 }
 
 TEST_F(ClusterTest, ACancelledJobIsStoppedEverywhereAndStaysAllocatedUntilGone) {
-  Job& j = add(job("run-000001", 3));
+  Job& open_job = add(job("run-000001", 3));
   send(heartbeat());
-  const Allocation running = durable(j);
+  const Allocation running = durable(open_job);
   send(heartbeat());
   Heartbeat b = heartbeat();
   b.tasks = {on(running)};
   send(b);
-  durable(j);  // its run has not gone out
+  durable(open_job);  // its run has not gone out
   c.close_job("run-000001", true, now);
   EXPECT_EQ(allocated(), 1u);
   EXPECT_EQ(c.usage(0).used.cpus, 2) << "its team's limit counts it until it is gone";
@@ -290,20 +290,20 @@
 }
 
 TEST_F(ClusterTest, AGangStartsWhenAllItsAllocationsStandAndBreaksAsAWhole) {
-  JobSpec g = job("run-000001", 2);
-  g.gang = true;
-  Job& j = add(g);
+  JobSpec spec = job("run-000001", 2);
+  spec.gang = true;
+  Job& job = add(spec);
   send(heartbeat("vm-1"));
   send(heartbeat("vm-2"));
   const uint64_t attempt = c.next_attempt();
   Machine& h1 = *c.find_machine("vm-1");
   Machine& h2 = *c.find_machine("vm-2");
-  c.allocate(h1, j, *j.pop_pending(), attempt, now);
-  c.allocate(h2, j, *j.pop_pending(), attempt, now);
-  Effects n;
-  c.machine_stored(h1, c.record_of(h1), 21, n);
+  c.allocate(h1, job, *job.pop_pending(), attempt, now);
+  c.allocate(h2, job, *job.pop_pending(), attempt, now);
+  Effects ignored;
+  c.machine_stored(h1, c.record_of(h1), 21, ignored);
   EXPECT_TRUE(send(heartbeat("vm-1")).empty()) << "the other allocation does not stand yet";
-  c.machine_stored(h2, c.record_of(h2), 22, n);
+  c.machine_stored(h2, c.record_of(h2), 22, ignored);
   EXPECT_EQ(send(heartbeat("vm-1")).size(), 1u);
   EXPECT_EQ(send(heartbeat("vm-2")).size(), 1u);
   Heartbeat b1 = heartbeat("vm-1");
@@ -311,47 +311,47 @@
   send(b1);
   // One machine goes: the rest is stopped at once, and nothing starts before all of it is gone.
   c.remove_machine("vm-2", now);
-  EXPECT_TRUE(j.any_live());
+  EXPECT_TRUE(job.any_live());
   const auto calls = c.drain_stop_calls();
   ASSERT_EQ(calls.size(), 1u);
   EXPECT_EQ(calls[0].machine, "vm-1");
   send(heartbeat("vm-1"));
-  EXPECT_FALSE(j.any_live());
-  EXPECT_EQ(j.pending(), 2u);
+  EXPECT_FALSE(job.any_live());
+  EXPECT_EQ(job.pending(), 2u);
 }
 
 TEST_F(ClusterTest, AJobFailingEverywhereBacksOffAndItsMachinesAreNotBlamed) {
-  Job& j = add(job("run-000001", 10));
+  Job& open_job = add(job("run-000001", 10));
   for (int i = 1; i <= 3; ++i) {
     const std::string vm = "vm-" + std::to_string(i);
     for (int k = 0; k < 3; ++k) {
       send(heartbeat(vm));
-      const Allocation b = durable(j, vm);
+      const Allocation allocation = durable(open_job, vm);
       send(heartbeat(vm));
       Heartbeat ended = heartbeat(vm);
-      ended.tasks = {on(b, TaskState::exited, ExitCause::error)};
+      ended.tasks = {on(allocation, TaskState::exited, ExitCause::error)};
       send(ended);
     }
     EXPECT_FALSE(c.find_machine(vm)->draining) << vm;
   }
-  EXPECT_TRUE(j.failing);
-  EXPECT_GT(j.not_before, now);
+  EXPECT_TRUE(open_job.failing);
+  EXPECT_GT(open_job.not_before, now);
 }
 
 TEST_F(ClusterTest, AMachineFailingWhatOthersCompleteIsDrained) {
-  Job& j = add(job("run-000001", 10));
+  Job& open_job = add(job("run-000001", 10));
   send(heartbeat("vm-2"));
-  const Allocation fine = durable(j, "vm-2");
+  const Allocation fine = durable(open_job, "vm-2");
   send(heartbeat("vm-2"));
   Heartbeat ok = heartbeat("vm-2");
   ok.tasks = {on(fine, TaskState::exited, ExitCause::done)};
   send(ok);
   for (int k = 0; k < 3; ++k) {
     send(heartbeat());
-    const Allocation b = durable(j);
+    const Allocation allocation = durable(open_job);
     send(heartbeat());
     Heartbeat ended = heartbeat();
-    ended.tasks = {on(b, TaskState::exited, ExitCause::error)};
+    ended.tasks = {on(allocation, TaskState::exited, ExitCause::error)};
     send(ended);
   }
   EXPECT_TRUE(c.find_machine("vm-1")->draining);
@@ -364,19 +364,20 @@
   // silent.
   for (const int why : {0, 1, 2, 3}) {
     const std::string vm = "vm-" + std::to_string(why + 1);
-    Job& j = add(job("run-00000" + std::to_string(why + 1), 2));
+    Job& open_job = add(job("run-00000" + std::to_string(why + 1), 2));
     send(heartbeat(vm));
-    durable(j, vm);
-    Machine& h = *c.find_machine(vm);
-    c.allocate(h, j, *j.pop_pending(), c.next_attempt(), now);  // not even written down
-    if (why == 0) h.draining = true;
-    if (why == 1) h.unreachable = true;
-    if (why == 2) h.terminating = true;
+    durable(open_job, vm);
+    Machine& machine = *c.find_machine(vm);
+    c.allocate(machine, open_job, *open_job.pop_pending(), c.next_attempt(),
+               now);  // not even written down
+    if (why == 0) machine.draining = true;
+    if (why == 1) machine.unreachable = true;
+    if (why == 2) machine.terminating = true;
     if (why == 3) now += seconds(5);
-    const Effects n = c.tick(now);
-    EXPECT_TRUE(n.schedule);
+    const Effects ignored = c.tick(now);
+    EXPECT_TRUE(ignored.schedule);
     EXPECT_EQ(allocated(vm), 0u) << why;
-    EXPECT_EQ(j.pending(), 2u) << why;
+    EXPECT_EQ(open_job.pending(), 2u) << why;
   }
 }
 
@@ -387,15 +388,15 @@
 }
 
 TEST_F(ClusterTest, ACheckpointingTaskIsSavedBeforeAnInterruption) {
-  JobSpec s = job("run-000001");
-  s.checkpoint = Seconds(10);
-  s.save = Seconds(3);
-  Job& j = add(s);
+  JobSpec spec = job("run-000001");
+  spec.checkpoint = Seconds(10);
+  spec.save = Seconds(3);
+  Job& job = add(spec);
   send(heartbeat());
-  const Allocation b = durable(j);
+  const Allocation allocation = durable(job);
   send(heartbeat());
   Heartbeat r = heartbeat();
-  r.tasks = {on(b)};
+  r.tasks = {on(allocation)};
   r.interruption_notice = Seconds(12);
   send(r);
   c.tick(now);
@@ -404,21 +405,22 @@
   c.tick(now);
   const auto calls = c.drain_stop_calls();
   ASSERT_EQ(calls.size(), 1u);
-  EXPECT_GE(calls[0].commands[0].grace, s.save);
+  EXPECT_GE(calls[0].commands[0].grace, spec.save);
 }
 
 TEST_F(ClusterTest, AGangOnAnInterruptedMachineIsToldToSaveAsAWhole) {
-  JobSpec g = job("run-000001", 2);
-  g.gang = true;
-  g.checkpoint = Seconds(10);
-  g.save = Seconds(3);
-  Job& j = add(g);
+  JobSpec spec = job("run-000001", 2);
+  spec.gang = true;
+  spec.checkpoint = Seconds(10);
+  spec.save = Seconds(3);
+  Job& job = add(spec);
   const uint64_t attempt = c.next_attempt();
   for (const char* vm : {"vm-1", "vm-2"}) {
     send(heartbeat(vm));
-    Allocation& b = *c.allocate(*c.find_machine(vm), j, *j.pop_pending(), attempt, now);
-    b.phase = Phase::seen;
-    b.state = TaskState::running;
+    Allocation& allocation =
+        *c.allocate(*c.find_machine(vm), job, *job.pop_pending(), attempt, now);
+    allocation.phase = Phase::seen;
+    allocation.state = TaskState::running;
   }
   Heartbeat r = heartbeat("vm-1");
   r.tasks = {on(c.find_machine("vm-1")->allocations[0])};
@@ -427,7 +429,7 @@
   c.tick(now);
   const auto calls = c.drain_stop_calls();
   ASSERT_EQ(calls.size(), 2u) << "both in the same moment";
-  for (const auto& call : calls) EXPECT_GE(call.commands[0].grace, g.save);
+  for (const auto& call : calls) EXPECT_GE(call.commands[0].grace, spec.save);
   // The first that has saved and gone does not have the rest cut short.
   r.tasks[0].state = TaskState::exited;
   r.tasks[0].cause = ExitCause::stopped;
@@ -435,51 +437,52 @@
   r.sequence = ++sequence;
   send(r);
   EXPECT_TRUE(c.drain_stop_calls().empty());
-  EXPECT_TRUE(j.any_live());
+  EXPECT_TRUE(job.any_live());
 }
 
 TEST_F(ClusterTest, AnOverlongRecordIsNeverPlanned) {
-  JobSpec s = job("run-000001", 10'000);
-  s.need = {0.001, 0, 0.001};
-  Job& j = add(s);
+  JobSpec spec = job("run-000001", 10'000);
+  spec.need = {0.001, 0, 0.001};
+  Job& job = add(spec);
   send(heartbeat());
-  Machine& h = *c.find_machine("vm-1");
+  Machine& machine = *c.find_machine("vm-1");
   size_t n = 0;
   const auto room_for_one_more = [&] {
-    const Cluster::RecordCost cost = c.record_cost(j);
-    return c.record_size(h) + cost.group + cost.task <= c.record_limit();
+    const Cluster::RecordCost cost = c.record_cost(job);
+    return c.record_size(machine) + cost.group + cost.task <= c.record_limit();
   };
   while (room_for_one_more() && n < 10'000) {
-    c.allocate(h, j, *j.pop_pending(), c.next_attempt(), now);
+    c.allocate(machine, job, *job.pop_pending(), c.next_attempt(), now);
     ++n;
   }
   EXPECT_GT(n, 50u);
   // As the platform counts it, in JSON; and the bound that was planned with is none too low.
-  const std::string written = wire::write_machine_record(c.record_of(h));
+  const std::string written = wire::write_machine_record(c.record_of(machine));
   const size_t size = wire::json_size(wire::Document::parse(written)->root());
-  EXPECT_LE(size, c.record_size(h));
-  EXPECT_LE(c.record_size(h), c.record_limit());
+  EXPECT_LE(size, c.record_size(machine));
+  EXPECT_LE(c.record_size(machine), c.record_limit());
   EXPECT_LT(c.record_limit(), platform.store_limits.value_bytes);
-  EXPECT_LT(wire::write_machine_record(c.record_of(h)).size(), platform.store_limits.value_bytes);
+  EXPECT_LT(wire::write_machine_record(c.record_of(machine)).size(),
+            platform.store_limits.value_bytes);
 }
 
 TEST_F(ClusterTest, AQueuedTaskStartsWithTheHeartbeatThatTellsOfTheRoom) {
   // Found on the grown deployment: one write a task used the key-value store's budget up.
-  Job& j = add(job("run-000001", 2));
+  Job& open_job = add(job("run-000001", 2));
   send(heartbeat());
-  Machine& h = *c.find_machine("vm-1");
-  j.mod_revision = 10;
+  Machine& machine = *c.find_machine("vm-1");
+  open_job.mod_revision = 10;
   JobSpec big = job("run-000002", 1);
   big.need = {8, 0, 4};
   Job& whole = add(big);
   const Allocation first = durable(whole);
-  c.queue_on(h, j, *j.pop_pending(), c.next_attempt(), {0, 1}, now);
-  c.queue_on(h, j, *j.pop_pending(), c.next_attempt(), {0, 0}, now);
-  Effects n;
-  c.machine_stored(h, c.record_of(h), ++mod_revision, n);
-  EXPECT_EQ(h.used.cpus, 8) << "what waits takes no room";
+  c.queue_on(machine, open_job, *open_job.pop_pending(), c.next_attempt(), {0, 1}, now);
+  c.queue_on(machine, open_job, *open_job.pop_pending(), c.next_attempt(), {0, 0}, now);
+  Effects ignored;
+  c.machine_stored(machine, c.record_of(machine), ++mod_revision, ignored);
+  EXPECT_EQ(machine.used.cpus, 8) << "what waits takes no room";
   EXPECT_EQ(c.usage(0).used.cpus, 8);
-  EXPECT_EQ(j.pending(), 0u);
+  EXPECT_EQ(open_job.pending(), 0u);
   ASSERT_EQ(send(heartbeat()).size(), 1u) << "the machine is full";
   Heartbeat b = heartbeat();
   b.tasks = {on(first)};
@@ -492,7 +495,7 @@
   ASSERT_EQ(commands.size(), 1u);
   EXPECT_EQ(commands[0].op, Command::Op::start);
   EXPECT_EQ(commands[0].task.index, 1u) << "the one whose turn comes first";
-  EXPECT_EQ(h.used.cpus, 2);
+  EXPECT_EQ(machine.used.cpus, 2);
   EXPECT_EQ(c.usage(0).used.cpus, 2) << "counted from here on";
 }
 
@@ -509,47 +512,47 @@
 }
 
 TEST_F(ClusterTest, AQueuedTaskRespectsItsTeamsLimit) {
-  JobSpec s = job("run-000001", 3);
-  s.team = "tiny";  // at most 4 cpus
-  Job& j = add(s);
+  JobSpec spec = job("run-000001", 3);
+  spec.team = "tiny";  // at most 4 cpus
+  Job& job = add(spec);
   send(heartbeat());
-  Machine& h = *c.find_machine("vm-1");
+  Machine& machine = *c.find_machine("vm-1");
   for (int i = 0; i < 3; ++i) {
-    c.queue_on(h, j, *j.pop_pending(), c.next_attempt(), {}, now);
+    c.queue_on(machine, job, *job.pop_pending(), c.next_attempt(), {}, now);
   }
-  Effects n;
-  c.machine_stored(h, c.record_of(h), ++mod_revision, n);
+  Effects ignored;
+  c.machine_stored(machine, c.record_of(machine), ++mod_revision, ignored);
   EXPECT_EQ(send(heartbeat()).size(), 2u);
   // Saved up for a gang of the team: nothing more of it is given away.
   c.set_held({}, {Resources{}, Resources{}, Resources{4, 0, 0}});
-  EXPECT_EQ(j.queued_tasks, 1u);
+  EXPECT_EQ(job.queued_tasks, 1u);
 }
 
 TEST_F(ClusterTest, AQueuedTaskLeavesAMachineThatNothingIsHeardOf) {
-  Job& j = add(job("run-000001", 2));
+  Job& open_job = add(job("run-000001", 2));
   send(heartbeat());
-  Machine& h = *c.find_machine("vm-1");
-  c.queue_on(h, j, *j.pop_pending(), c.next_attempt(), {}, now);
-  EXPECT_EQ(j.pending(), 1u);
+  Machine& machine = *c.find_machine("vm-1");
+  c.queue_on(machine, open_job, *open_job.pop_pending(), c.next_attempt(), {}, now);
+  EXPECT_EQ(open_job.pending(), 1u);
   now += seconds(1);
   c.tick(now);
-  EXPECT_EQ(j.pending(), 1u);
+  EXPECT_EQ(open_job.pending(), 1u);
   now += seconds(5);
   c.tick(now);
-  EXPECT_EQ(j.pending(), 2u) << "its run never went out, so it may go elsewhere at once";
-  EXPECT_TRUE(h.allocations.empty());
+  EXPECT_EQ(open_job.pending(), 2u) << "its run never went out, so it may go elsewhere at once";
+  EXPECT_TRUE(machine.allocations.empty());
 }
 
 TEST_F(ClusterTest, ACopyOfAnAnsweredHeartbeatIsNoSignOfLife) {
   // Copies of heartbeats may come seconds or more than a lease late. One kept a dead machine's
   // allocations, because whatever was answered counted as a renewal.
-  Job& j = add(job("run-000001"));
+  Job& open_job = add(job("run-000001"));
   send(heartbeat());
-  const Allocation& b = durable(j);
+  const Allocation& allocation = durable(open_job);
   const Heartbeat answered = heartbeat();
   send(answered);
   Heartbeat running = heartbeat();
-  running.tasks = {on(b)};
+  running.tasks = {on(allocation)};
   send(running);
   for (int i = 0; i < 20; ++i) {
     now += seconds(1);
@@ -566,10 +569,10 @@
 
 TEST_F(ClusterTest, AMachineThatOurAnswersDoNotReachIsFoundOut) {
   // Its heartbeats come, so it never falls silent; whatever it is given is lost.
-  Job& j = add(job("run-000001"));
+  Job& open_job = add(job("run-000001"));
   send(heartbeat());
   send(heartbeat("vm-2"));
-  durable(j);
+  durable(open_job);
   for (int i = 0; i < 8; ++i) {
     EXPECT_TRUE(c.unreachable_machines().empty() || i > 2);
     send(heartbeat());
@@ -580,14 +583,14 @@
   c.tick(now);
   EXPECT_EQ(allocated(), 1u);
   c.remove_machine("vm-1", now);
-  EXPECT_EQ(j.pending(), 1u);
+  EXPECT_EQ(open_job.pending(), 1u);
 }
 
 TEST_F(ClusterTest, AMachineThatWasDeafIsUsedAgainOnceItsIncarnationOutlivesALease) {
   // Found by random scenarios: nothing was sent to it that it could obey, and it stayed marked.
-  Job& j = add(job("run-000001"));
+  Job& open_job = add(job("run-000001"));
   send(heartbeat());
-  durable(j);
+  durable(open_job);
   for (int i = 0; i < 8; ++i) {
     send(heartbeat());
     now += Millis(1500);
@@ -612,15 +615,15 @@
 }
 
 TEST_F(ClusterTest, AMachineThatObeysLateIsNotTakenForDeaf) {
-  Job& j = add(job("run-000001"));
+  Job& open_job = add(job("run-000001"));
   send(heartbeat());
-  const Allocation& b = durable(j);
+  const Allocation& allocation = durable(open_job);
   for (int i = 0; i < 2; ++i) {
     send(heartbeat());
     now += seconds(5);
   }
   Heartbeat running = heartbeat();
-  running.tasks = {on(b)};
+  running.tasks = {on(allocation)};
   send(running);
   EXPECT_EQ(c.find_machine("vm-1")->suspicions, 0u);
   EXPECT_TRUE(c.unreachable_machines().empty());
@@ -628,12 +631,12 @@
 
 TEST_F(ClusterTest, WhenManySeemDeafItIsOurAnswersThatAreLate) {
   // A leader that answers too late would else delete its whole cluster.
-  JobSpec s = job("run-000001", 12);
-  Job& j = add(s);
+  JobSpec spec = job("run-000001", 12);
+  Job& job = add(spec);
   for (int m = 0; m < 12; ++m) {
     const std::string vm = "vm-" + std::to_string(m);
     send(heartbeat(vm));
-    durable(j, vm);
+    durable(job, vm);
   }
   for (int i = 0; i < 10; ++i) {
     for (int m = 0; m < 12; ++m) send(heartbeat("vm-" + std::to_string(m)));
@@ -644,19 +647,19 @@
 }
 
 TEST_F(ClusterTest, AMachineBackWithinAFractionOfASecondHasANewIncarnationAndNoTasks) {
-  Job& j = add(job("run-000001"));
+  Job& open_job = add(job("run-000001"));
   send(heartbeat());
-  const Allocation& b = durable(j);
+  const Allocation& allocation = durable(open_job);
   send(heartbeat());
   Heartbeat running = heartbeat();
-  running.tasks = {on(b)};
+  running.tasks = {on(allocation)};
   send(running);
   now += Millis(300);
   ++incarnation;
   sequence = 0;
   send(heartbeat());
   EXPECT_EQ(allocated(), 0u);
-  EXPECT_EQ(j.pending(), 1u);
+  EXPECT_EQ(open_job.pending(), 1u);
   EXPECT_TRUE(send(running).empty()) << "a copy from its former life";
   EXPECT_EQ(allocated(), 0u);
 }
--- a/tests/concurrent_faults_test.cpp
+++ b/tests/concurrent_faults_test.cpp
@@ -68,8 +68,8 @@
   // began anew with each renewal, and the cancelled tasks ran on for as long as that lasted.
   s.nodes[old]->cut_from_peers = true;
   tie_workers_to_old();
-  s.store.fate = [&](const http::Call& c) {
-    return c.target.starts_with("/changes?starts=job/") ? Fate::lose_request : Fate::normal;
+  s.store.fate = [&](const http::Call& call) {
+    return call.target.starts_with("/changes?starts=job/") ? Fate::lose_request : Fate::normal;
   };
   s.run_for(seconds(8));
   ASSERT_EQ(s.cancel(long_job.id, other).status, 200);
@@ -86,8 +86,8 @@
   s.run_for(Millis(200));
   ASSERT_EQ(s.cancel(long_job.id, other).status, 200);
   s.store.outage = true;
-  s.store.fate = [&](const http::Call& c) {
-    return c.target.starts_with("/changes") ? Fate::refuse : Fate::normal;
+  s.store.fate = [&](const http::Call& call) {
+    return call.target.starts_with("/changes") ? Fate::refuse : Fate::normal;
   };
   s.run_for(seconds(20));
   s.store.end_outage();
@@ -113,8 +113,8 @@
 
 TEST_F(Gap, WhatOnlyTheLeaderItselfToldItKnows) {
   // Its user cancels at the leader, whose watch does not come; the others vouch for themselves.
-  s.store.fate = [&](const http::Call& c) {
-    return c.target.starts_with("/changes?starts=job/") ? Fate::lose_request : Fate::normal;
+  s.store.fate = [&](const http::Call& call) {
+    return call.target.starts_with("/changes?starts=job/") ? Fate::lose_request : Fate::normal;
   };
   s.run_for(seconds(3));
   ASSERT_EQ(s.cancel(long_job.id, old).status, 200);
@@ -184,75 +184,76 @@
   const Heartbeat held = w.heartbeat();
   const Heartbeat newer = w.heartbeat();
   auto& d = s.daemon(l).context();
-  d.leader_state.with(
-      [&](cluster::LeaderState& p) { (void)p.cluster.apply_direct_status(newer, s.clock.now()); });
+  d.leader_state.with([&](cluster::LeaderState& leader) {
+    (void)leader.cluster.apply_direct_status(newer, s.clock.now());
+  });
   ASSERT_EQ(s.cancel(long_job.id, other).status, 200);
   s.run_for(Millis(200));
-  const http::Response r = s.ask(l, "POST", "/agent/beat", wire::write_heartbeat(held));
-  ASSERT_EQ(r.status, 200);
-  EXPECT_NE(r.body.find("stop"), std::string::npos);
+  const http::Response response = s.ask(l, "POST", "/agent/beat", wire::write_heartbeat(held));
+  ASSERT_EQ(response.status, 200);
+  EXPECT_NE(response.body.find("stop"), std::string::npos);
 }
 
 TEST(ConcurrentFaults, AListingThatLacksAJobEndsItAtOnce) {
   // The watch was too old, and asking how the missing job ended got no answer: its cancellation was
   // never heard of again.
-  Site s(1);
-  s.run_for(seconds(2));
-  s.submit(job("run-000001", 2));
-  while (s.workers.empty()) s.run_for(Millis(100));
-  for (auto& [id, w] : s.workers) w->run_time = [](const TaskRef&) { return seconds(400); };
-  s.run_for(seconds(12));
-  s.store.too_old = true;
-  s.store.fate = [&](const http::Call& c) {
-    return c.target == "/keys/job/run-000001" ? Fate::lose_request : Fate::normal;
+  Site site(1);
+  site.run_for(seconds(2));
+  site.submit(job("run-000001", 2));
+  while (site.workers.empty()) site.run_for(Millis(100));
+  for (auto& [id, w] : site.workers) w->run_time = [](const TaskRef&) { return seconds(400); };
+  site.run_for(seconds(12));
+  site.store.too_old = true;
+  site.store.fate = [&](const http::Call& call) {
+    return call.target == "/keys/job/run-000001" ? Fate::lose_request : Fate::normal;
   };
-  s.store.erase("job/run-000001");
-  s.store.put("final/run-000001", wire::write_final({true, 2}));
-  s.run_for(seconds(2));
-  s.store.too_old = false;
-  s.run_for(seconds(5));
-  EXPECT_EQ(s.copies({"run-000001", 0}), 0u);
-  EXPECT_EQ(s.copies({"run-000001", 1}), 0u);
+  site.store.erase("job/run-000001");
+  site.store.put("final/run-000001", wire::write_final({true, 2}));
+  site.run_for(seconds(2));
+  site.store.too_old = false;
+  site.run_for(seconds(5));
+  EXPECT_EQ(site.copies({"run-000001", 0}), 0u);
+  EXPECT_EQ(site.copies({"run-000001", 1}), 0u);
 }
 
 TEST(ConcurrentFaults, AnAnswerOlderThanAJobsEndDoesNotBringItBack) {
   // Its progress was written with an unknown outcome, so the leader reads its record; it is
   // cancelled while that answer is under way.
-  Site s(1);
-  s.run_for(seconds(2));
-  s.submit(job("run-000001", 2));
-  while (s.workers.empty()) s.run_for(Millis(50));
-  for (auto& [id, w] : s.workers) {
-    w->run_time = [](const TaskRef& t) { return seconds(t.index == 0 ? 5 : 300); };
+  Site site(1);
+  site.run_for(seconds(2));
+  site.submit(job("run-000001", 2));
+  while (site.workers.empty()) site.run_for(Millis(50));
+  for (auto& [id, w] : site.workers) {
+    w->run_time = [](const TaskRef& task) { return seconds(task.index == 0 ? 5 : 300); };
   }
   bool lost = false, read = false;
-  s.store.late_by = Millis(900);
-  s.store.fate = [&](const http::Call& c) {
-    if (!lost && is_commit_of(c, "done/run-000001")) {
+  site.store.late_by = Millis(900);
+  site.store.fate = [&](const http::Call& call) {
+    if (!lost && is_commit_of(call, "done/run-000001")) {
       lost = true;
       return Fate::lose_reply;
     }
-    if (lost && !read && c.target == "/keys/job/run-000001") {
+    if (lost && !read && call.target == "/keys/job/run-000001") {
       read = true;
       return Fate::slow_reply;
     }
     return Fate::normal;
   };
-  while (!read && s.clock.now() < Instant(seconds(1100))) s.run_for(Millis(20));
+  while (!read && site.clock.now() < Instant(seconds(1100))) site.run_for(Millis(20));
   ASSERT_TRUE(read);
-  s.run_for(Millis(50));
-  s.store.erase("job/run-000001");
-  s.store.put("final/run-000001", wire::write_final({true, 2}));
-  s.run_for(Millis(100));
+  site.run_for(Millis(50));
+  site.store.erase("job/run-000001");
+  site.store.put("final/run-000001", wire::write_final({true, 2}));
+  site.run_for(Millis(100));
   size_t back = 0;
   for (int k = 0; k < 100; ++k) {
-    s.run_for(Millis(20));
-    s.daemon(0).context().leader_state.with(
-        [&](cluster::LeaderState& p) { back += p.cluster.job("run-000001") ? 1 : 0; });
+    site.run_for(Millis(20));
+    site.daemon(0).context().leader_state.with(
+        [&](cluster::LeaderState& leader) { back += leader.cluster.job("run-000001") ? 1 : 0; });
   }
   EXPECT_EQ(back, 0u);
-  s.run_for(seconds(10));
-  EXPECT_EQ(s.copies({"run-000001", 1}), 0u);
+  site.run_for(seconds(10));
+  EXPECT_EQ(site.copies({"run-000001", 1}), 0u);
 }
 
 TEST(ConcurrentFaults, CancellationsQuestionsAndRepeatsMeetTheEndOfAJobsLastTask) {
@@ -260,77 +261,77 @@
   Site s(3);
   s.run_for(seconds(2));
   for (int i = 0; i < 40; ++i) {
-    const JobSpec j = job("run-0000" + std::to_string(10 + i));
-    ASSERT_TRUE(s.submit(j, 1).status / 100 == 2);
-    while (s.copies({j.id, 0}) == 0) s.run_for(Millis(50));
+    const JobSpec spec = job("run-0000" + std::to_string(10 + i));
+    ASSERT_TRUE(s.submit(spec, 1).status / 100 == 2);
+    while (s.copies({spec.id, 0}) == 0) s.run_for(Millis(50));
     s.run_for(Millis(4500 + 40 * i));
-    wire::Writer w;
-    wire::write_job(w, j);
-    const std::string body = w.take();
+    wire::Writer writer;
+    wire::write_job(writer, spec);
+    const std::string body = writer.take();
     const auto one = [](Site& site, size_t node, std::string method, std::string target,
                         std::string b) -> Task<void> {
       (void)co_await site.request(node, std::move(method), std::move(target), std::move(b));
     };
     for (size_t n = 0; n < 3; ++n) {
-      s.loop.spawn(one(s, n, "POST", "/v1/jobs/" + j.id + "/withdraw", ""));
-      s.loop.spawn(one(s, n, "GET", "/v1/jobs/" + j.id, ""));
+      s.loop.spawn(one(s, n, "POST", "/v1/jobs/" + spec.id + "/withdraw", ""));
+      s.loop.spawn(one(s, n, "GET", "/v1/jobs/" + spec.id, ""));
       s.loop.spawn(one(s, n, "POST", "/v1/jobs", body));
     }
     s.run_for(Millis(300));
-    const std::string answer = s.standing(j.id, 0);
+    const std::string answer = s.standing(spec.id, 0);
     EXPECT_TRUE(answer == "done" || answer == "cancelled") << answer;
-    EXPECT_EQ(s.standing(j.id, 1), answer);
-    EXPECT_EQ(s.standing(j.id, 2), answer);
+    EXPECT_EQ(s.standing(spec.id, 1), answer);
+    EXPECT_EQ(s.standing(spec.id, 2), answer);
   }
   s.run_for(seconds(60));
   expect_rules(s);
 }
 
 TEST(ConcurrentFaults, ATeamAtItsLimitWhoseMachineCannotBeAskedWhenTheLeaderChanges) {
-  Site s(3);
-  s.cloud.capacity["box/a/ordinary"] = 4;
-  s.run_for(seconds(2));
+  Site site(3);
+  site.cloud.capacity["box/a/ordinary"] = 4;
+  site.run_for(seconds(2));
   JobSpec first = job("run-000001", 2);
   first.team = "tiny";  // 4 cpus at most, a task takes 2
-  ASSERT_EQ(s.submit(first).status, 201);
-  while (s.workers.empty()) s.run_for(Millis(100));
-  for (auto& [id, w] : s.workers) w->run_time = [](const TaskRef&) { return seconds(300); };
-  s.run_for(seconds(12));
-  ASSERT_EQ(s.starts, 2u);
-  for (auto& [id, w] : s.workers) w->cut = true;
-  const size_t old = *s.leader();
-  s.crash(old);
-  ASSERT_EQ(s.cancel(first.id, (old + 1) % 3).status, 200);
+  ASSERT_EQ(site.submit(first).status, 201);
+  while (site.workers.empty()) site.run_for(Millis(100));
+  for (auto& [id, w] : site.workers) w->run_time = [](const TaskRef&) { return seconds(300); };
+  site.run_for(seconds(12));
+  ASSERT_EQ(site.starts, 2u);
+  for (auto& [id, w] : site.workers) w->cut = true;
+  const size_t old = *site.leader();
+  site.crash(old);
+  ASSERT_EQ(site.cancel(first.id, (old + 1) % 3).status, 200);
   JobSpec next = job("run-000002", 2);
   next.team = "tiny";
-  ASSERT_EQ(s.submit(next, (old + 1) % 3).status, 201);
-  s.run_for(seconds(10));
-  EXPECT_EQ(s.starts, 2u) << "the cancelled tasks may still be there, and count";
-  s.run_for(seconds(110));
-  EXPECT_EQ(s.standing(next.id, (old + 1) % 3), "done");
-  expect_rules(s);
+  ASSERT_EQ(site.submit(next, (old + 1) % 3).status, 201);
+  site.run_for(seconds(10));
+  EXPECT_EQ(site.starts, 2u) << "the cancelled tasks may still be there, and count";
+  site.run_for(seconds(110));
+  EXPECT_EQ(site.standing(next.id, (old + 1) % 3), "done");
+  expect_rules(site);
 }
 
 TEST(ConcurrentFaults, TasksOfOneJobEndFarApartAcrossChangesOfLeader) {
-  Site s(3);
-  s.cloud.capacity["box/a/ordinary"] = 4;
-  s.run_for(seconds(2));
-  ASSERT_EQ(s.submit(job("run-000001", 3)).status, 201);
-  while (s.workers.empty()) s.run_for(Millis(100));
-  for (auto& [id, w] : s.workers) {
-    w->run_time = [](const TaskRef& t) { return seconds(5 + 20 * t.index); };
+  Site site(3);
+  site.cloud.capacity["box/a/ordinary"] = 4;
+  site.run_for(seconds(2));
+  ASSERT_EQ(site.submit(job("run-000001", 3)).status, 201);
+  while (site.workers.empty()) site.run_for(Millis(100));
+  for (auto& [id, w] : site.workers) {
+    w->run_time = [](const TaskRef& task) { return seconds(5 + 20 * task.index); };
   }
   for (int change = 0; change < 10; ++change) {  // ten in two minutes, some inside an outage
-    s.run_for(seconds(8));
-    s.store.outage = change % 3 == 1;
-    s.restart(s.leader().value_or(0));
-    s.run_for(seconds(4));
-    if (s.store.outage) s.store.end_outage();
+    site.run_for(seconds(8));
+    site.store.outage = change % 3 == 1;
+    site.restart(site.leader().value_or(0));
+    site.run_for(seconds(4));
+    if (site.store.outage) site.store.end_outage();
   }
-  s.run_for(seconds(20));
-  EXPECT_EQ(s.standing("run-000001"), "done");
-  EXPECT_EQ(s.starts, 3u) << "nothing was run again";
-  expect_rules(s);
+  site.run_for(seconds(20));
+  EXPECT_EQ(site.standing("run-000001"), "done");
+  EXPECT_EQ(site.starts, 3u) << "nothing was run again";
+  expect_rules(site);
 }
 
 class RandomConcurrentFaults : public testing::TestWithParam<uint32_t> {};
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -60,15 +60,15 @@
 
 TEST(Limits, TasksBeyondAChunksRecordStayWithTheirWorkersAndDoNotKeepItDirty) {
   constexpr uint32_t kStorable = 100;
-  cluster::Job j(job("run-000001", 200), WallTime{}, 1, 0, Instant{}, kStorable);
-  j.mark_done(kStorable);
-  EXPECT_TRUE(j.dirty_chunks().empty());
-  j.mark_done(kStorable - 1);
-  ASSERT_EQ(j.dirty_chunks().size(), 1u);
-  j.chunk_stored(0, j.done_bits(), 7);
-  EXPECT_TRUE(j.dirty_chunks().empty());
-  EXPECT_TRUE(j.is_durable(kStorable - 1));
-  EXPECT_FALSE(j.is_durable(kStorable)) << "its worker is not told to forget it";
+  cluster::Job open_job(job("run-000001", 200), WallTime{}, 1, 0, Instant{}, kStorable);
+  open_job.mark_done(kStorable);
+  EXPECT_TRUE(open_job.dirty_chunks().empty());
+  open_job.mark_done(kStorable - 1);
+  ASSERT_EQ(open_job.dirty_chunks().size(), 1u);
+  open_job.chunk_stored(0, open_job.done_bits(), 7);
+  EXPECT_TRUE(open_job.dirty_chunks().empty());
+  EXPECT_TRUE(open_job.is_durable(kStorable - 1));
+  EXPECT_FALSE(open_job.is_durable(kStorable)) << "its worker is not told to forget it";
 }
 
 // A site whose key-value store has its new limits from the moment that the test chooses.
@@ -76,7 +76,7 @@
   static constexpr size_t kLeastJobs = 12;  // with a task each, in a record under the lower limit
   Site s{3};
   void SetUp() override {
-    s.adjust_platform = [](settings::Platform& p) { p.next_store_limits = kNext; };
+    s.adjust_platform = [](settings::Platform& platform) { platform.next_store_limits = kNext; };
     for (size_t i = 0; i < s.nodes.size(); ++i) s.restart(i);
     for (const char* zone : {"a", "b"}) {
       s.cloud.capacity[std::string("box/") + zone + "/ordinary"] = 30;
@@ -123,8 +123,8 @@
   s.store.late_by = seconds(3);
   for (size_t n = 0; n < 6; ++n) ASSERT_EQ(s.submit(job(id(n), 8)).status, 201);
   s.run_for(seconds(3));
-  s.store.fate = [k = 0](const http::Call& c) mutable {
-    if (!is_commit_of(c, "host/")) return Fate::normal;
+  s.store.fate = [k = 0](const http::Call& call) mutable {
+    if (!is_commit_of(call, "host/")) return Fate::normal;
     ++k;
     return k % 3 == 0 ? Fate::apply_late : k % 3 == 1 ? Fate::lose_reply : Fate::normal;
   };
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -84,93 +84,94 @@
   }
   static bool starts_any(const std::vector<Command>& commands) {
     return std::any_of(commands.begin(), commands.end(),
-                       [](const Command& c) { return c.op == Command::Op::start; });
+                       [](const Command& command) { return command.op == Command::Op::start; });
   }
   static bool stops_any(const std::vector<Command>& commands) {
     return std::any_of(commands.begin(), commands.end(),
-                       [](const Command& c) { return c.op == Command::Op::stop; });
+                       [](const Command& command) { return command.op == Command::Op::stop; });
   }
 };
 
 TEST_F(AllocationConstraints, AnAllocationInAnotherZoneIsRefusedAndCounted) {
-  Job& j = add(zoned(2, true, false));
-  allocate(j, add_machine("vm-1", "a"));
+  Job& job = add(zoned(2, true, false));
+  allocate(job, add_machine("vm-1", "a"));
   Machine& other = add_machine("vm-2", "b");
-  EXPECT_EQ(cluster.allocate(other, j, *j.pop_pending(), cluster.next_attempt(), now), nullptr);
+  EXPECT_EQ(cluster.allocate(other, job, *job.pop_pending(), cluster.next_attempt(), now), nullptr);
   EXPECT_TRUE(other.allocations.empty());
   EXPECT_EQ(cluster.refused_allocations(), 1u);
-  EXPECT_EQ(j.pending(), 1u);
-  EXPECT_EQ(j.pop_pending(), 1u) << "it can be allocated elsewhere";
+  EXPECT_EQ(job.pending(), 1u);
+  EXPECT_EQ(job.pop_pending(), 1u) << "it can be allocated elsewhere";
 }
 
 TEST_F(AllocationConstraints, AQueuedAllocationInAnotherZoneIsRefused) {
-  Job& j = add(zoned(2, true, false));
-  allocate(j, add_machine("vm-1", "a"));
+  Job& job = add(zoned(2, true, false));
+  allocate(job, add_machine("vm-1", "a"));
   Machine& other = add_machine("vm-2", "b");
-  EXPECT_EQ(cluster.queue_on(other, j, *j.pop_pending(), cluster.next_attempt(), {}, now), nullptr);
+  EXPECT_EQ(cluster.queue_on(other, job, *job.pop_pending(), cluster.next_attempt(), {}, now),
+            nullptr);
   EXPECT_EQ(cluster.refused_allocations(), 1u);
 }
 
 TEST_F(AllocationConstraints, AnAllocationOnAKindOfMachineThatIsNotAllowedIsRefused) {
   JobSpec spec = zoned(1, false, false);
   spec.types = {"crate"};
-  Job& j = add(spec);
-  EXPECT_EQ(cluster.allocate(add_machine("vm-1", "a"), j, *j.pop_pending(), 1, now), nullptr);
+  Job& job = add(spec);
+  EXPECT_EQ(cluster.allocate(add_machine("vm-1", "a"), job, *job.pop_pending(), 1, now), nullptr);
   EXPECT_EQ(cluster.refused_allocations(), 1u);
 }
 
 // An allocation stands and is about to be sent when a task of the job turns up in another zone.
 TEST_F(AllocationConstraints, WhatMayNotStartBesideAnOrphanIsUndone) {
-  Job& j = add(zoned(2, true, false));
-  allocate(j, add_machine("vm-1", "a"));
+  Job& job = add(zoned(2, true, false));
+  allocate(job, add_machine("vm-1", "a"));
   EXPECT_FALSE(stops_any(send(with_orphan("vm-2", "b", 1)))) << "it is there, and may stay";
   EXPECT_FALSE(starts_any(send(heartbeat("vm-1", "a"))));
   EXPECT_TRUE(cluster.find_machine("vm-1")->allocations.empty());
-  EXPECT_EQ(j.pending(), 1u);
+  EXPECT_EQ(job.pending(), 1u);
 }
 
 TEST_F(AllocationConstraints, WhatMayStartBesideAnOrphanStays) {
-  Job& j = add(zoned(2, true, false));
-  allocate(j, add_machine("vm-1", "a"));
+  Job& job = add(zoned(2, true, false));
+  allocate(job, add_machine("vm-1", "a"));
   send(with_orphan("vm-2", "a", 1));
   EXPECT_TRUE(starts_any(send(heartbeat("vm-1", "a"))));
 }
 
 TEST_F(AllocationConstraints, TheTaskThatAnOrphanIsDoesNotStartElsewhere) {
-  Job& j = add(zoned(1, false, false));
-  allocate(j, add_machine("vm-1", "a"));
+  Job& job = add(zoned(1, false, false));
+  allocate(job, add_machine("vm-1", "a"));
   EXPECT_TRUE(stops_any(send(with_orphan("vm-2", "a", 0))));
   EXPECT_FALSE(starts_any(send(heartbeat("vm-1", "a")))) << "not before the orphan is gone";
 }
 
 TEST_F(AllocationConstraints, AnOrphanInAnotherZoneThanTheJobsTasksIsStopped) {
-  Job& j = add(zoned(2, true, false));
-  run(j, add_machine("vm-1", "a"));
+  Job& job = add(zoned(2, true, false));
+  run(job, add_machine("vm-1", "a"));
   EXPECT_TRUE(stops_any(send(with_orphan("vm-2", "b", 1))));
 }
 
 TEST_F(AllocationConstraints, AnOrphanOfAGangBreaksTheAttemptThatIsAboutToStart) {
   JobSpec gang = zoned(2, true, false);
   gang.gang = true;
-  Job& j = add(gang);
+  Job& job = add(gang);
   const uint64_t attempt = cluster.next_attempt();
-  Machine& a = add_machine("vm-1", "a");
-  allocate(j, a, attempt);
-  allocate(j, a, attempt);
-  ASSERT_TRUE(j.gang_go);
+  Machine& machine = add_machine("vm-1", "a");
+  allocate(job, machine, attempt);
+  allocate(job, machine, attempt);
+  ASSERT_TRUE(job.gang_go);
   EXPECT_TRUE(stops_any(send(with_orphan("vm-2", "b", 1))));
   EXPECT_FALSE(starts_any(send(heartbeat("vm-1", "a"))));
-  EXPECT_TRUE(j.any_live()) << "no attempt begins while the orphan is there";
+  EXPECT_TRUE(job.any_live()) << "no attempt begins while the orphan is there";
   send(heartbeat("vm-2", "b"));
-  EXPECT_FALSE(j.any_live());
+  EXPECT_FALSE(job.any_live());
 }
 
 TEST_F(AllocationConstraints, AllocationsThatAreOlderThanTheRecordOfTheirJobCount) {
   send(with_orphan("vm-2", "b", 1));
   JobSpec gang = zoned(2, true, false);
   gang.gang = true;
-  const Job& j = add(gang);
-  EXPECT_TRUE(j.any_live());
+  const Job& job = add(gang);
+  EXPECT_TRUE(job.any_live());
   add_machine("vm-1", "a");
   EXPECT_TRUE(plan().gangs.empty());
   send(heartbeat("vm-2", "b"));
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -29,76 +29,79 @@
     cloud_capacity.refused = {{"box", "a", false}, {"box", "a", true}};
   }
   Machine& machine(const std::string& id) {
-    Heartbeat b;
-    b.machine = id;
-    b.address = "10.0.0.1:9000";
-    b.type = "box";
-    b.zone = "a";
-    b.incarnation = 1;
-    b.sequence = ++sequence;
-    b.fencing_token = 1;
+    Heartbeat heartbeat;
+    heartbeat.machine = id;
+    heartbeat.address = "10.0.0.1:9000";
+    heartbeat.type = "box";
+    heartbeat.zone = "a";
+    heartbeat.incarnation = 1;
+    heartbeat.sequence = ++sequence;
+    heartbeat.fencing_token = 1;
     Effects effects;
-    c.handle_heartbeat(b, now, false, effects);
+    c.handle_heartbeat(heartbeat, now, false, effects);
     return *c.find_machine(id);
   }
   Job& add(const std::string& id, Priority p, double cpus, uint32_t tasks = 1,
            const std::string& team = "red") {
-    JobSpec s = job(id, tasks);
-    s.priority = p;
-    s.team = team;
-    s.need = {cpus, 0, 1};
-    c.load_job({s, WallTime(Millis(sequence++))}, 10, now);
+    JobSpec spec = job(id, tasks);
+    spec.priority = p;
+    spec.team = team;
+    spec.need = {cpus, 0, 1};
+    c.load_job({spec, WallTime(Millis(sequence++))}, 10, now);
     return *c.job(id);
   }
-  Allocation& run(Job& j, Machine& h) {
-    Allocation& b = *c.allocate(h, j, *j.pop_pending(), c.next_attempt(), now);
-    b.phase = Phase::seen;
-    b.state = TaskState::running;
-    b.running_since = now;
-    return b;
+  Allocation& run(Job& job, Machine& machine) {
+    Allocation& allocation = *c.allocate(machine, job, *job.pop_pending(), c.next_attempt(), now);
+    allocation.phase = Phase::seen;
+    allocation.state = TaskState::running;
+    allocation.running_since = now;
+    return allocation;
   }
   scheduler::Plan plan() {
     n.settle(c);
     return scheduler::plan(c, n, cloud_capacity, platform, op, WallTime(Millis(100'000)), now);
   }
   // Carries the plan's preemptions out, as the leader does.
-  void carry_out(const scheduler::Plan& p) {
-    for (const uint64_t id : p.cleared) n.end(id, End::cleared);
-    for (const auto& e : p.preemptions) {
+  void carry_out(const scheduler::Plan& plan) {
+    for (const uint64_t id : plan.cleared) n.end(id, End::cleared);
+    for (const auto& e : plan.preemptions) {
       if (e.renews) n.end(e.renews, End::renominated);
       for (const auto& v : e.victims) {
-        Machine& h = *c.find_machine(e.machine);
-        c.stop(h, *h.find(v.task, v.attempt), cluster::StopReason::preempted, Seconds(0), now);
+        Machine& machine = *c.find_machine(e.machine);
+        c.stop(machine, *machine.find(v.task, v.attempt), cluster::StopReason::preempted,
+               Seconds(0), now);
       }
       n.add(e.job, e.machine, e.room, e.priority, e.victims);
     }
   }
   // The worker's heartbeat drops what was stopped.
-  void victims_removed(Machine& h) {
-    Heartbeat b;
-    b.machine = h.id;
-    b.address = h.address;
-    b.type = "box";
-    b.zone = "a";
-    b.incarnation = 1;
-    b.sequence = sequence = std::max(sequence, h.sequence) + 1;
-    b.fencing_token = 1;
-    for (const Allocation& k : h.allocations) {
-      if (!k.stopping()) b.tasks.push_back({k.task, k.attempt, TaskState::running, {}, false});
+  void victims_removed(Machine& machine) {
+    Heartbeat heartbeat;
+    heartbeat.machine = machine.id;
+    heartbeat.address = machine.address;
+    heartbeat.type = "box";
+    heartbeat.zone = "a";
+    heartbeat.incarnation = 1;
+    heartbeat.sequence = sequence = std::max(sequence, machine.sequence) + 1;
+    heartbeat.fencing_token = 1;
+    for (const Allocation& allocation : machine.allocations) {
+      if (!allocation.stopping())
+        heartbeat.tasks.push_back(
+            {allocation.task, allocation.attempt, TaskState::running, {}, false});
     }
     Effects effects;
-    c.handle_heartbeat(b, now, false, effects);
+    c.handle_heartbeat(heartbeat, now, false, effects);
     n.settle(c);
   }
 
   // Room is made on vm-1 for run-000002, and taken by a higher priority. Returns the nomination.
   uint64_t nominate_and_lose_the_room() {
-    Machine& h = *c.find_machine("vm-1");
-    run(add("run-000001", Priority::low, 8), h);
+    Machine& machine = *c.find_machine("vm-1");
+    run(add("run-000001", Priority::low, 8), machine);
     add("run-000002", Priority::normal, 6);
     carry_out(plan());
-    victims_removed(h);
-    run(add("run-000003", Priority::high, 8), h);
+    victims_removed(machine);
+    run(add("run-000003", Priority::high, 8), machine);
     return n.all().begin()->first;
   }
 
@@ -112,8 +115,8 @@
 };
 
 TEST_F(PreemptionTest, PreemptsOnlyWhenNothingCanBeLaunched) {
-  Machine& h = *c.find_machine("vm-1");
-  run(add("run-000001", Priority::low, 8), h);
+  Machine& machine = *c.find_machine("vm-1");
+  run(add("run-000001", Priority::low, 8), machine);
   add("run-000002", Priority::high, 4);
   cloud_capacity.refused.clear();
   EXPECT_TRUE(plan().preemptions.empty());
@@ -125,9 +128,9 @@
 }
 
 TEST_F(PreemptionTest, TakesBackVictimsThatNeedNotGo) {
-  Machine& h = *c.find_machine("vm-1");
+  Machine& machine = *c.find_machine("vm-1");
   Job& low = add("run-000001", Priority::low, 2, 4);
-  for (int i = 0; i < 4; ++i) run(low, h);
+  for (int i = 0; i < 4; ++i) run(low, machine);
   add("run-000002", Priority::high, 4);
   const auto p = plan();
   ASSERT_EQ(p.preemptions.size(), 1u);
@@ -135,18 +138,18 @@
 }
 
 TEST_F(PreemptionTest, EqualPriorityIsNoVictimAndGangsAreNeither) {
-  Machine& h = *c.find_machine("vm-1");
-  run(add("run-000001", Priority::normal, 4), h);
-  JobSpec g = job("run-000003", 1);
-  g.gang = true;
-  g.priority = Priority::low;
-  g.need = {4, 0, 1};
-  c.load_job({g, WallTime(Millis(1))}, 10, now);
-  run(*c.job("run-000003"), h).gang = true;
+  Machine& machine = *c.find_machine("vm-1");
+  run(add("run-000001", Priority::normal, 4), machine);
+  JobSpec spec = job("run-000003", 1);
+  spec.gang = true;
+  spec.priority = Priority::low;
+  spec.need = {4, 0, 1};
+  c.load_job({spec, WallTime(Millis(1))}, 10, now);
+  run(*c.job("run-000003"), machine).gang = true;
   add("run-000002", Priority::normal, 4);
   EXPECT_TRUE(plan().preemptions.empty());
   c.close_job("run-000002", false, now);
-  JobSpec pre = g;
+  JobSpec pre = spec;
   pre.id = "run-000004";
   pre.priority = Priority::production;
   pre.need = {8, 0, 1};
@@ -155,8 +158,8 @@
 }
 
 TEST_F(PreemptionTest, NoSecondPreemptionWhileAVictimIsAllocated) {
-  Machine& h = *c.find_machine("vm-1");
-  run(add("run-000001", Priority::low, 8), h);
+  Machine& this_machine = *c.find_machine("vm-1");
+  run(add("run-000001", Priority::low, 8), this_machine);
   Machine& other = machine("vm-2");
   run(add("run-000005", Priority::low, 8), other);
   add("run-000002", Priority::high, 4);
@@ -164,19 +167,19 @@
   ASSERT_EQ(n.all().size(), 1u);
   for (int i = 0; i < 3; ++i) {
     now += seconds(30);
-    other.last_heartbeat = h.last_heartbeat = now;
+    other.last_heartbeat = this_machine.last_heartbeat = now;
     EXPECT_TRUE(plan().preemptions.empty()) << "no timer makes it try elsewhere";
     EXPECT_EQ(n.all().size(), 1u);
   }
 }
 
 TEST_F(PreemptionTest, TheHoldKeepsEqualAndLowerPrioritiesOutAndNotHigherOnes) {
-  Machine& h = *c.find_machine("vm-1");
-  run(add("run-000001", Priority::low, 8), h);
+  Machine& machine = *c.find_machine("vm-1");
+  run(add("run-000001", Priority::low, 8), machine);
   add("run-000002", Priority::normal, 6);
   carry_out(plan());
-  victims_removed(h);
-  ASSERT_TRUE(h.allocations.empty());
+  victims_removed(machine);
+  ASSERT_TRUE(machine.allocations.empty());
   c.job("run-000002")->not_before = now + seconds(5);  // the preemptor is not tried this cycle
   c.job("run-000001")->not_before = now + seconds(5);
   add("run-000003", Priority::normal, 4);
@@ -193,13 +196,13 @@
 TEST_F(PreemptionTest, RoomThatIsThereOnlyWithTheHoldIsNotUsed) {
   // The victim held 8, the preemptor takes 2: pass 1 sees 6 free (victim subtracted, hold added),
   // but until the victim's report drops it nothing is free in pass 2.
-  Machine& h = *c.find_machine("vm-1");
-  run(add("run-000001", Priority::low, 8), h);
+  Machine& machine = *c.find_machine("vm-1");
+  run(add("run-000001", Priority::low, 8), machine);
   add("run-000002", Priority::high, 2);
   carry_out(plan());
   add("run-000003", Priority::normal, 4);
   EXPECT_TRUE(plan().placements.empty());
-  victims_removed(h);
+  victims_removed(machine);
   std::set<std::string> placed;
   for (const auto& x : plan().placements) placed.insert(x.job);
   EXPECT_TRUE(placed.contains("run-000002"));
@@ -207,8 +210,8 @@
 }
 
 TEST_F(PreemptionTest, ASharedVictimServesTwoPreemptors) {
-  Machine& h = *c.find_machine("vm-1");
-  run(add("run-000001", Priority::low, 8), h);
+  Machine& machine = *c.find_machine("vm-1");
+  run(add("run-000001", Priority::low, 8), machine);
   add("run-000002", Priority::normal, 4);
   carry_out(plan());
   add("run-000003", Priority::normal, 4);
@@ -222,11 +225,11 @@
 }
 
 TEST_F(PreemptionTest, PlacementTriesTheHeldRoomFirstAndEndsTheNomination) {
-  Machine& h = *c.find_machine("vm-1");
-  run(add("run-000001", Priority::low, 8), h);
+  Machine& this_machine = *c.find_machine("vm-1");
+  run(add("run-000001", Priority::low, 8), this_machine);
   add("run-000002", Priority::high, 4);
   carry_out(plan());
-  victims_removed(h);
+  victims_removed(this_machine);
   machine("vm-2");  // empty, and as good
   const auto p = plan();
   ASSERT_FALSE(p.placements.empty());
@@ -237,8 +240,8 @@
 }
 
 TEST_F(PreemptionTest, TheVictimListOutlivesItsNomination) {
-  Machine& h = *c.find_machine("vm-1");
-  run(add("run-000001", Priority::low, 8), h);
+  Machine& machine = *c.find_machine("vm-1");
+  run(add("run-000001", Priority::low, 8), machine);
   add("run-000002", Priority::high, 4);
   carry_out(plan());
   n.job_closed("run-000002");  // cancelled
@@ -246,19 +249,19 @@
   EXPECT_TRUE(n.settling("vm-1"));
   n.settle(c);
   EXPECT_TRUE(n.settling("vm-1"));
-  victims_removed(h);
+  victims_removed(machine);
   EXPECT_FALSE(n.settling("vm-1"));
 }
 
 TEST_F(PreemptionTest, AFailedStopCallEndsTheNominationAndFreesTheVictims) {
-  Machine& h = *c.find_machine("vm-1");
-  const Allocation& b = run(add("run-000001", Priority::low, 8), h);
-  const Victim v{b.task, b.attempt};
+  Machine& machine = *c.find_machine("vm-1");
+  const Allocation& allocation = run(add("run-000001", Priority::low, 8), machine);
+  const Victim victim{allocation.task, allocation.attempt};
   add("run-000002", Priority::high, 4);
   carry_out(plan());
-  n.stop_failed("vm-2", {v});
+  n.stop_failed("vm-2", {victim});
   EXPECT_EQ(n.all().size(), 1u) << "another machine's call";
-  n.stop_failed("vm-1", {v});
+  n.stop_failed("vm-1", {victim});
   EXPECT_TRUE(n.all().empty());
   EXPECT_FALSE(n.settling("vm-1"));
 }
@@ -290,10 +293,10 @@
 }
 
 TEST_F(PreemptionTest, AGuaranteeTakesBackWhatOthersBorrowed) {
-  Machine& h = *c.find_machine("vm-1");
+  Machine& this_machine = *c.find_machine("vm-1");
   Job& borrowing = add("run-000001", Priority::high, 4, 2, "blue");  // 8 of a guaranteed 8
-  run(borrowing, h);
-  run(borrowing, h);
+  run(borrowing, this_machine);
+  run(borrowing, this_machine);
   add("run-000002", Priority::low, 4, 1, "red");
   EXPECT_TRUE(plan().preemptions.empty()) << "blue is within its own guarantee";
   Machine& other = machine("vm-2");
@@ -308,12 +311,13 @@
 TEST_F(PreemptionTest, AVictimWhoseRunNeverWentOutIsUndoneAtOnce) {
   // Found on a quiet day: such an allocation counted as being stopped for ever, and its machine
   // with it.
-  Machine& h = *c.find_machine("vm-1");
+  Machine& machine = *c.find_machine("vm-1");
   Job& low = add("run-000001", Priority::low, 8);
-  const Allocation b = *c.allocate(h, low, *low.pop_pending(), c.next_attempt(), now);
-  const auto effects = c.preempt(h, b.task, b.attempt, now);
+  const Allocation allocation =
+      *c.allocate(machine, low, *low.pop_pending(), c.next_attempt(), now);
+  const auto effects = c.preempt(machine, allocation.task, allocation.attempt, now);
   EXPECT_TRUE(effects.schedule);
-  EXPECT_TRUE(h.allocations.empty());
+  EXPECT_TRUE(machine.allocations.empty());
   EXPECT_EQ(low.pending(), 1u);
 }
 
--- a/tests/random_placements_test.cpp
+++ b/tests/random_placements_test.cpp
@@ -49,17 +49,17 @@
       if (w->on) up.push_back(w.get());
     }
     if (up.empty()) co_return;
-    Worker& w = *up[pick(up.size())];
+    Worker& worker = *up[pick(up.size())];
     if (chance(0.6)) {
-      w.interruption_notice = Seconds(8);
+      worker.interruption_notice = Seconds(8);
       co_await s.loop.sleep(seconds(8));
     }
-    if (!w.on) co_return;  // returned meanwhile
-    w.power_off();
-    ScriptedCloud::Machine& m = s.cloud.machines[w.id];
-    m.removed = true;
-    m.removed_at = s.loop.now();
-    ++s.cloud.capacity[m.type + "/" + m.zone + (m.spot ? "/spot" : "/ordinary")];
+    if (!worker.on) co_return;  // returned meanwhile
+    worker.power_off();
+    ScriptedCloud::Machine& machine = s.cloud.machines[worker.id];
+    machine.removed = true;
+    machine.removed_at = s.loop.now();
+    ++s.cloud.capacity[machine.type + "/" + machine.zone + (machine.spot ? "/spot" : "/ordinary")];
     ++lost_machines;
   }
   size_t job_count() const override { return 14; }
@@ -72,35 +72,35 @@
   }
 
   JobSpec draw_job(size_t n) override {
-    JobSpec j = job("run-0000" + std::to_string(10 + n), static_cast<uint32_t>(1 + pick(9)));
-    j.priority = std::vector<Priority>{Priority::low, Priority::normal, Priority::high,
-                                       Priority::production}[pick(4)];
-    j.team = std::vector<std::string>{"red", "red", "blue", "tiny"}[pick(4)];
-    if (chance(0.06) && j.team != "tiny") {
-      j.tasks = static_cast<uint32_t>(100 + pick(50));
-      j.need.cpus = 0.5;
-      j.need.memory_gb = 0.5;
+    JobSpec spec = job("run-0000" + std::to_string(10 + n), static_cast<uint32_t>(1 + pick(9)));
+    spec.priority = std::vector<Priority>{Priority::low, Priority::normal, Priority::high,
+                                          Priority::production}[pick(4)];
+    spec.team = std::vector<std::string>{"red", "red", "blue", "tiny"}[pick(4)];
+    if (chance(0.06) && spec.team != "tiny") {
+      spec.tasks = static_cast<uint32_t>(100 + pick(50));
+      spec.need.cpus = 0.5;
+      spec.need.memory_gb = 0.5;
     }
-    if (chance(0.3)) j.checkpoint = Seconds(5), j.save = Seconds(1);
-    j.gang = chance(0.25);
-    if (j.gang) j.tasks = static_cast<uint32_t>(1 + pick(j.team == "tiny" ? 2 : 5));
+    if (chance(0.3)) spec.checkpoint = Seconds(5), spec.save = Seconds(1);
+    spec.gang = chance(0.25);
+    if (spec.gang) spec.tasks = static_cast<uint32_t>(1 + pick(spec.team == "tiny" ? 2 : 5));
     const size_t zone_rule = pick(10);
-    j.one_zone = zone_rule < 4;
-    j.spread = zone_rule >= 4 && zone_rule < 8;
-    if (j.one_zone || j.spread) ++zone_bound_jobs;
-    if (!j.gang && chance(0.15)) j.zone = std::vector<std::string>{"a", "b", "c"}[pick(3)];
-    if (!j.gang && !j.zone && chance(0.15)) j.types = {chance(0.5) ? "box" : "crate"};
-    j.spot = chance(0.5);
-    if (!j.gang && chance(0.2)) {
+    spec.one_zone = zone_rule < 4;
+    spec.spread = zone_rule >= 4 && zone_rule < 8;
+    if (spec.one_zone || spec.spread) ++zone_bound_jobs;
+    if (!spec.gang && chance(0.15)) spec.zone = std::vector<std::string>{"a", "b", "c"}[pick(3)];
+    if (!spec.gang && !spec.zone && chance(0.15)) spec.types = {chance(0.5) ? "box" : "crate"};
+    spec.spot = chance(0.5);
+    if (!spec.gang && chance(0.2)) {
       // Small ones, within a large limit: they stay, and must leave the other jobs what these need.
-      j.service = true;
-      j.estimate = Seconds(0);
-      j.need = {0.25, 0, 0.5};
-      j.tasks = static_cast<uint32_t>(1 + pick(5));
-      j.team = "red";
+      spec.service = true;
+      spec.estimate = Seconds(0);
+      spec.need = {0.25, 0, 0.5};
+      spec.tasks = static_cast<uint32_t>(1 + pick(5));
+      spec.team = "red";
       ++services;
     }
-    return j;
+    return spec;
   }
 };
 
--- a/tests/random_scenario.hpp
+++ b/tests/random_scenario.hpp
@@ -36,25 +36,25 @@
   virtual Nanos duration() const { return seconds(400); }
   virtual std::function<Nanos(const TaskRef&)> fetch_time() { return nullptr; }
   virtual JobSpec draw_job(size_t n) {
-    JobSpec j = job("run-0000" + std::to_string(10 + n), static_cast<uint32_t>(1 + pick(6)));
-    j.team = std::vector<std::string>{"red", "blue", "tiny"}[pick(3)];
-    if (chance(0.3)) j.checkpoint = Seconds(5), j.save = Seconds(1);
+    JobSpec spec = job("run-0000" + std::to_string(10 + n), static_cast<uint32_t>(1 + pick(6)));
+    spec.team = std::vector<std::string>{"red", "blue", "tiny"}[pick(3)];
+    if (chance(0.3)) spec.checkpoint = Seconds(5), spec.save = Seconds(1);
     if (chance(0.25)) {
-      j.gang = true;
-      j.tasks = 2;
+      spec.gang = true;
+      spec.tasks = 2;
     }
-    j.one_zone = chance(0.4);
-    if (chance(0.2)) j.zone = chance(0.5) ? "a" : "b";
-    j.spot = chance(0.5);
-    return j;
+    spec.one_zone = chance(0.4);
+    if (chance(0.2)) spec.zone = chance(0.5) ? "a" : "b";
+    spec.spot = chance(0.5);
+    return spec;
   }
 
-  Task<void> user(JobSpec j, Nanos begins, std::optional<Nanos> cancels) {
+  Task<void> user(JobSpec spec, Nanos begins, std::optional<Nanos> cancels) {
     co_await s.loop.sleep(begins);
-    wire::Writer w;
-    wire::write_job(w, j);
-    const std::string body = w.take();
-    for (int k = 0; k < 40 && !s.rules.was_accepted(j.id); ++k) {
+    wire::Writer writer;
+    wire::write_job(writer, spec);
+    const std::string body = writer.take();
+    for (int k = 0; k < 40 && !s.rules.was_accepted(spec.id); ++k) {
       (void)co_await s.request(pick(3), "POST", "/v1/jobs", body);
       co_await s.loop.sleep(in(1, 2));
     }
@@ -62,13 +62,13 @@
     bool cancelled = false;
     for (;;) {
       if (!cancelled && s.loop.now() >= cancel_at) {
-        const auto r = co_await s.request(pick(3), "POST", "/v1/jobs/" + j.id + "/withdraw");
+        const auto r = co_await s.request(pick(3), "POST", "/v1/jobs/" + spec.id + "/withdraw");
         cancelled = r.status == 200;
         co_await s.loop.sleep(in(0.5, 1.5));
         continue;
       }
       if (chance(0.1)) (void)co_await s.request(pick(3), "POST", "/v1/jobs", body);
-      (void)co_await s.request(pick(3), "GET", "/v1/jobs/" + j.id);
+      (void)co_await s.request(pick(3), "GET", "/v1/jobs/" + spec.id);
       co_await s.loop.sleep(in(1, 4));
     }
   }
@@ -77,11 +77,11 @@
   // late.
   Task<void> copy_later(std::string body) {
     co_await s.loop.sleep(in(2, 40));
-    http::Request r;
-    r.method = "POST";
-    r.target = "/agent/beat";
-    r.body = std::move(body);
-    (void)co_await s.handle(pick(3), std::move(r));
+    http::Request request;
+    request.method = "POST";
+    request.target = "/agent/beat";
+    request.body = std::move(body);
+    (void)co_await s.handle(pick(3), std::move(request));
   }
 
   // The key-value store is out for all, and often again a moment after it is back.
@@ -122,8 +122,8 @@
     const Instant until = s.loop.now() + in(5, 30);
     while (s.loop.now() < until) {
       s.store.late_by = in(2, 12);
-      s.store.fate = [this](const http::Call& c) {
-        return c.target == "/multi" && chance(0.3) ? Fate::apply_late : Fate::normal;
+      s.store.fate = [this](const http::Call& call) {
+        return call.target == "/multi" && chance(0.3) ? Fate::apply_late : Fate::normal;
       };
       co_await s.loop.sleep(in(0.5, 2));
     }
@@ -133,8 +133,8 @@
   using Flags = std::vector<bool Worker::*>;
   Task<void> set_for_a_while(const std::vector<Worker*>& some, const Flags& flags) {
     const auto set = [&](bool on) {
-      for (Worker* w : some) {
-        for (const auto flag : flags) w->*flag = on;
+      for (Worker* worker : some) {
+        for (const auto flag : flags) worker->*flag = on;
       }
     };
     set(true);
@@ -143,9 +143,9 @@
   }
 
   Task<void> reach_one_controller_alone(const std::vector<Worker*>& some, size_t controller) {
-    for (Worker* w : some) {
+    for (Worker* worker : some) {
       for (size_t i = 0; i < 3; ++i) {
-        if (i != controller) s.cut.insert({i, w->id});
+        if (i != controller) s.cut.insert({i, worker->id});
       }
     }
     co_await s.loop.sleep(in(2, 30));
@@ -230,25 +230,25 @@
   s.run_for(seconds(2));
   std::vector<std::string> kept;
   for (size_t n = 0; n < job_count(); ++n) {
-    const JobSpec j = draw_job(n);
-    s.specs[j.id] = j;
-    s.rules.submitted(j);
+    const JobSpec spec = draw_job(n);
+    s.specs[spec.id] = spec;
+    s.rules.submitted(spec);
     std::optional<Nanos> cancels;
     if (chance(0.4)) {
       cancels = in(0, 70);
     } else {
-      kept.push_back(j.id);
+      kept.push_back(spec.id);
     }
-    s.loop.spawn(user(j, in(0, 30), cancels));
+    s.loop.spawn(user(spec, in(0, 30), cancels));
   }
   const uint32_t salt = static_cast<uint32_t>(pick(1000));
-  const auto run_time = [salt](const TaskRef& t) {
-    const size_t h = std::hash<std::string>{}(t.text()) + salt;
+  const auto run_time = [salt](const TaskRef& task) {
+    const size_t h = std::hash<std::string>{}(task.text()) + salt;
     return Nanos(seconds(h % 5 == 0 ? 60 : 3 + h % 17));
   };
-  s.on_worker = [this, run_time](Worker& w) {
-    w.run_time = run_time;
-    w.fetch_time = fetch_time();
+  s.on_worker = [this, run_time](Worker& worker) {
+    worker.run_time = run_time;
+    worker.fetch_time = fetch_time();
   };
   const size_t troubles = 2 + pick(2);
   for (size_t k = 0; k < troubles; ++k) s.loop.spawn(trouble(in(8, 60)));
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 JobSpec service(const std::string& id, uint32_t replicas) {
-  JobSpec j = job(id, replicas);
-  j.service = true;
-  j.estimate = Seconds(0);
-  j.priority = Priority::production;
-  return j;
+  JobSpec spec = job(id, replicas);
+  spec.service = true;
+  spec.estimate = Seconds(0);
+  spec.priority = Priority::production;
+  return spec;
 }
 
 // One service on a site with machines in two zones; replicas run for an hour unless a test says so.
@@ -23,8 +23,8 @@
   const JobSpec api = service("run-000001", 4);
   void SetUp() override {
     s.cloud.capacity = {{"box/a/ordinary", 3}, {"box/b/ordinary", 3}};
-    s.on_worker = [](Worker& w) {
-      w.run_time = [](const TaskRef&) { return std::chrono::hours(1); };
+    s.on_worker = [](Worker& worker) {
+      worker.run_time = [](const TaskRef&) { return std::chrono::hours(1); };
     };
     s.run_for(seconds(2));
     ASSERT_TRUE(s.leader());
@@ -76,7 +76,9 @@
 
 TEST_F(Replicas, ThatReportTheirCompletionRunAgainAndAreNeverDone) {
   for (auto& n : s.nodes) ASSERT_FALSE(n->dead);
-  s.on_worker = [](Worker& w) { w.run_time = [](const TaskRef&) { return seconds(40); }; };
+  s.on_worker = [](Worker& worker) {
+    worker.run_time = [](const TaskRef&) { return seconds(40); };
+  };
   ASSERT_EQ(s.submit(api).status, 201);
   s.run_for(seconds(60));
   const size_t old = *s.leader();
@@ -90,9 +92,9 @@
 }
 
 TEST_F(Replicas, ThatFailAtTheirStartWaitLongerEachTime) {
-  s.on_worker = [](Worker& w) {
-    w.run_time = [](const TaskRef&) { return seconds(1); };
-    w.fails = [](const TaskRef&) { return true; };
+  s.on_worker = [](Worker& worker) {
+    worker.run_time = [](const TaskRef&) { return seconds(1); };
+    worker.fails = [](const TaskRef&) { return true; };
   };
   ASSERT_EQ(s.submit(api).status, 201);
   s.run_for(seconds(60));
@@ -216,12 +218,13 @@
     c.load_job({std::move(spec), wall}, 10, now);
     return *c.job(id);
   }
-  cluster::Allocation& run(cluster::Machine& h, cluster::Job& j) {
-    cluster::Allocation& b = *c.allocate(h, j, *j.pop_pending(), c.next_attempt(), now);
-    b.phase = cluster::Phase::seen;
-    b.state = TaskState::running;
-    b.running_since = now;
-    return b;
+  cluster::Allocation& run(cluster::Machine& machine, cluster::Job& job) {
+    cluster::Allocation& allocation =
+        *c.allocate(machine, job, *job.pop_pending(), c.next_attempt(), now);
+    allocation.phase = cluster::Phase::seen;
+    allocation.state = TaskState::running;
+    allocation.running_since = now;
+    return allocation;
   }
   scheduler::Plan plan() {
     return scheduler::plan(c, nominations, cloud_capacity, platform, op, wall + Millis(100), now);
@@ -253,30 +256,30 @@
   JobSpec gang = job("run-000002", 2);
   gang.gang = true;
   add(gang);
-  const scheduler::Plan p = plan();
-  EXPECT_TRUE(p.held.empty()) << "a replica never ends by itself";
-  ASSERT_EQ(p.waiting_jobs.size(), 1u);
-  EXPECT_EQ(p.waiting_jobs[0].cause, scheduler::WaitCause::no_room);
+  const scheduler::Plan result_plan = plan();
+  EXPECT_TRUE(result_plan.held.empty()) << "a replica never ends by itself";
+  ASSERT_EQ(result_plan.waiting_jobs.size(), 1u);
+  EXPECT_EQ(result_plan.waiting_jobs[0].cause, scheduler::WaitCause::no_room);
 }
 
 TEST_F(ReplicaDecisions, AReplicaIsNoVictimOfAnEqualAndCostsItsGapHoweverLongItRan) {
-  cluster::Machine& h = machine("vm-1");
+  cluster::Machine& this_machine = machine("vm-1");
   cluster::Job& api = add(service("run-000001", 1));
-  const cluster::Allocation& b = run(h, api);
-  const double soon = preemption::lost_work(b, &api, now);
-  EXPECT_EQ(preemption::lost_work(b, &api, now + std::chrono::hours(5)), soon);
+  const cluster::Allocation& allocation = run(this_machine, api);
+  const double soon = preemption::lost_work(allocation, &api, now);
+  EXPECT_EQ(preemption::lost_work(allocation, &api, now + std::chrono::hours(5)), soon);
   EXPECT_GT(soon, 0);
   preemption::Eligibility equal;
   equal.priority = Priority::production;
-  const preemption::Room room(h, nominations, h.size);
+  const preemption::Room room(this_machine, nominations, this_machine.size);
   EXPECT_FALSE(preemption::simulate(room, nominations, c, {8, 0, 4}, 0, equal, now));
 }
 
 TEST_F(ReplicaDecisions, AServiceIsNotOverdueForHavingRunForLong) {
   // What goes before all else begins with a part of its tasks; replicas lost later start at once.
-  cluster::Machine& h = machine("vm-1");
+  cluster::Machine& this_machine = machine("vm-1");
   cluster::Job& api = add(service("run-000001", 4));
-  run(h, api);
+  run(this_machine, api);
   wall += std::chrono::hours(2);
   uint32_t placed = 0;
   for (const auto& p : plan().placements) placed += p.count;
@@ -325,11 +328,11 @@
   EXPECT_TRUE(api.proven);
   for (int n = 1; n <= 5; ++n) {
     cluster::Machine& sick = machine("vm-" + std::to_string(n));
-    const cluster::Allocation& b = run(sick, api);
+    const cluster::Allocation& allocation = run(sick, api);
     Heartbeat failed = alive;
     failed.machine = sick.id;
     failed.sequence = ++sequence;
-    failed.tasks = {{b.task, b.attempt, TaskState::exited, ExitCause::error}};
+    failed.tasks = {{allocation.task, allocation.attempt, TaskState::exited, ExitCause::error}};
     (void)c.handle_heartbeat(failed, now, false, effects);
   }
   EXPECT_FALSE(api.failing);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -16,9 +16,9 @@
   TaskRef t0{"run-000001", 0}, t1{"run-000001", 1};
 
   void pass(Nanos d) { clock.set(clock.now() + d); }
-  void accept(const JobSpec& j) {
-    rules.submitted(j);
-    rules.submit_answered(j.id, 201, "queued", clock.now());
+  void accept(const JobSpec& spec) {
+    rules.submitted(spec);
+    rules.submit_answered(spec.id, 201, "queued", clock.now());
     pass(seconds(1));
   }
   void expect_broken(const std::string& rule) {
@@ -54,9 +54,9 @@
 }
 
 TEST_F(Trace, ATeamBeyondItsLimit) {
-  JobSpec j = job("run-000001", 3);
-  j.team = "tiny";  // 4 cpus, a task takes 2
-  accept(j);
+  JobSpec spec = job("run-000001", 3);
+  spec.team = "tiny";  // 4 cpus, a task takes 2
+  accept(spec);
   rules.started(a, t0, 1);
   rules.started(a, t1, 2);
   EXPECT_TRUE(rules.broken().empty());
@@ -65,27 +65,27 @@
 }
 
 TEST_F(Trace, ATaskApartFromTheOthersOfItsJob) {
-  JobSpec j = job("run-000001", 2);
-  j.one_zone = true;
-  accept(j);
+  JobSpec spec = job("run-000001", 2);
+  spec.one_zone = true;
+  accept(spec);
   rules.started(a, t0, 1);
   rules.started(b, t1, 2);
   expect_broken("wrong_place");
 }
 
 TEST_F(Trace, TooManyTasksInOneZone) {
-  JobSpec j = job("run-000001", 2);
-  j.spread = true;
-  accept(j);
+  JobSpec spec = job("run-000001", 2);
+  spec.spread = true;
+  accept(spec);
   rules.started(a, t0, 1);
   rules.started(a, t1, 2);
   expect_broken("wrong_place");
 }
 
 TEST_F(Trace, ATaskOnAMachineThatItsJobDoesNotAllow) {
-  JobSpec j = job("run-000001", 2);
-  j.zone = "a";
-  accept(j);
+  JobSpec spec = job("run-000001", 2);
+  spec.zone = "a";
+  accept(spec);
   rules.started(b, t0, 1);
   expect_broken("wrong_place");
 }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -22,20 +22,20 @@
 }
 
 size_t known_machines(Site& site) {
-  return site.daemon(*site.leader()).context().leader_state.with([](cluster::LeaderState& p) {
-    return p.cluster.machines().size();
+  return site.daemon(*site.leader()).context().leader_state.with([](cluster::LeaderState& leader) {
+    return leader.cluster.machines().size();
   });
 }
 
 size_t allocations(Site& site) {
-  return site.daemon(*site.leader()).context().leader_state.with([](cluster::LeaderState& p) {
-    return p.cluster.allocation_count();
+  return site.daemon(*site.leader()).context().leader_state.with([](cluster::LeaderState& leader) {
+    return leader.cluster.allocation_count();
   });
 }
 
 size_t open_jobs(Site& site) {
-  return site.daemon(*site.leader()).context().leader_state.with([](cluster::LeaderState& p) {
-    return p.cluster.jobs().size();
+  return site.daemon(*site.leader()).context().leader_state.with([](cluster::LeaderState& leader) {
+    return leader.cluster.jobs().size();
   });
 }
 
@@ -43,11 +43,11 @@
 class LongAnswer final : public http::Transport {
  public:
   Task<http::Reply> exchange(http::Call call) override {
-    wire::Writer w;
-    w.map(3).key("ledgerRev").count(7).key("news").list(0).key("padding");
+    wire::Writer writer;
+    writer.map(3).key("ledgerRev").count(7).key("news").list(0).key("padding");
     constexpr size_t kStringHeader = 5;
-    w.text(std::string(call.max_body + beyond - w.size() - kStringHeader, 'x'));
-    co_return within_limit(call, reply(200, w.take()));
+    writer.text(std::string(call.max_body + beyond - writer.size() - kStringHeader, 'x'));
+    co_return within_limit(call, reply(200, writer.take()));
   }
   size_t beyond = 0;  // bytes above what the caller takes
 };
@@ -91,9 +91,9 @@
   Site site;
   constexpr size_t kListed = 6000;
   for (size_t i = 1; i <= kListed; ++i) {
-    ScriptedCloud::Machine m{"aa-" + machine_name(i), "box", "b", true,
-                             site.clock.now(),        false, {},  "10.1.0.1:9000"};
-    site.cloud.machines[m.id] = m;
+    ScriptedCloud::Machine machine{"aa-" + machine_name(i), "box", "b", true,
+                                   site.clock.now(),        false, {},  "10.1.0.1:9000"};
+    site.cloud.machines[machine.id] = machine;
   }
   site.cloud.lag = Nanos(0);
   site.run_for(seconds(12));
@@ -112,7 +112,9 @@
 class FullCluster {
  public:
   FullCluster() {
-    site.adjust_platform = [](settings::Platform& p) { p.teams = {{"red", 8, 1'000'000, 0, 0}}; };
+    site.adjust_platform = [](settings::Platform& platform) {
+      platform.teams = {{"red", 8, 1'000'000, 0, 0}};
+    };
     site.cloud.types.front().size = {64, 0, 256};
     site.cloud.lag = Nanos(0);
     spec = job(kLargest, kMaxTasks);
@@ -137,13 +139,13 @@
 
  private:
   void add_machine(size_t number) {
-    const ScriptedCloud::Machine m{machine_name(number + 1), "box", "a", false,
-                                   site.clock.now(),         false, {},  "10.1.0.1:9000"};
-    site.cloud.machines[m.id] = m;
-    site.add_worker(m);
-    Worker& worker = *site.workers.at(m.id);
+    const ScriptedCloud::Machine machine{machine_name(number + 1), "box", "a", false,
+                                         site.clock.now(),         false, {},  "10.1.0.1:9000"};
+    site.cloud.machines[machine.id] = machine;
+    site.add_worker(machine);
+    Worker& worker = *site.workers.at(machine.id);
     worker.fencing_token = kFormerEpoch;
-    wire::MachineRecord record{m.type, m.zone, worker.address, false, {}};
+    wire::MachineRecord record{machine.type, machine.zone, worker.address, false, {}};
     wire::MachineRecord::Group group{kLargest, spec.team, spec.need, false, {}};
     for (uint32_t k = 0; k < kTasksPerMachine; ++k) {
       const TaskRef task{kLargest, static_cast<uint32_t>(number) * kTasksPerMachine + k};
@@ -155,7 +157,7 @@
       worker.tasks[{task, kAttempt}] = running;
     }
     record.groups.push_back(std::move(group));
-    site.store.put(wire::machine_key(m.id), wire::write_machine_record(record));
+    site.store.put(wire::machine_key(machine.id), wire::write_machine_record(record));
   }
 };
 
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -175,7 +175,7 @@
   }
 
   void fail_a_stop_call() {
-    for (const auto& [id, h] : state_.cluster.machines()) {
+    for (const auto& [id, machine] : state_.cluster.machines()) {
       const auto* victims = state_.nominations.victims_on(id);
       if (!victims) continue;
       state_.nominations.stop_failed(id, std::vector(*victims));
@@ -218,29 +218,30 @@
     }
     std::vector<std::string> over;
     for (const auto& [id, spec] : open_) {
-      const Job* j = state_.cluster.job(id);
-      if (j && j->all_done()) over.push_back(id);
+      const Job* job = state_.cluster.job(id);
+      if (job && job->all_done()) over.push_back(id);
     }
     for (const auto& id : over) close(id, false);
   }
 
   void heartbeat(const std::string& id, SimulatedMachine& m) {
-    Heartbeat r;
-    r.machine = id;
-    r.address = "10.0.0.1:9000";
-    r.type = m.place.type;
-    r.zone = m.place.zone;
-    r.spot = m.place.spot;
-    r.incarnation = 1;
-    r.sequence = ++m.sequence;
-    r.fencing_token = m.fencing_token;
-    r.tasks = m.exited;
+    Heartbeat heartbeat;
+    heartbeat.machine = id;
+    heartbeat.address = "10.0.0.1:9000";
+    heartbeat.type = m.place.type;
+    heartbeat.zone = m.place.zone;
+    heartbeat.spot = m.place.spot;
+    heartbeat.incarnation = 1;
+    heartbeat.sequence = ++m.sequence;
+    heartbeat.fencing_token = m.fencing_token;
+    heartbeat.tasks = m.exited;
     for (const auto& [task, running] : m.tasks) {
-      r.tasks.push_back({task, running.attempt, TaskState::running, ExitCause::none, false});
+      heartbeat.tasks.push_back(
+          {task, running.attempt, TaskState::running, ExitCause::none, false});
     }
     m.exited.clear();
     Effects effects;
-    const auto answer = state_.cluster.handle_heartbeat(r, clock_.now(), true, effects);
+    const auto answer = state_.cluster.handle_heartbeat(heartbeat, clock_.now(), true, effects);
     if (answer.kind != cluster::HeartbeatResponse::Kind::accept) return;
     m.fencing_token = epoch_;
     for (const Command& command : answer.commands) obey(m, command);
@@ -296,15 +297,17 @@
     std::map<std::string, uint32_t> zones;
     std::set<uint32_t> indices;
     Resources team;
-    for (const auto& [name, h] : state_.cluster.machines()) {
-      for (const Allocation& b : h->allocations) {
-        if (b.team_name == spec.team && !b.queued) team += b.need;
-        if (b.task.job != id) continue;
-        ++zones[h->zone];
-        expect(indices.insert(b.task.index).second, "allocated twice: " + b.task.text());
-        expect(!spec.zone || *spec.zone == h->zone, "zone of " + b.task.text());
-        expect(spec.spot || !h->spot, "spot machine for " + b.task.text());
-        expect(spec.types.empty() || spec.types[0] == h->type, "type for " + b.task.text());
+    for (const auto& [name, machine] : state_.cluster.machines()) {
+      for (const Allocation& allocation : machine->allocations) {
+        if (allocation.team_name == spec.team && !allocation.queued) team += allocation.need;
+        if (allocation.task.job != id) continue;
+        ++zones[machine->zone];
+        expect(indices.insert(allocation.task.index).second,
+               "allocated twice: " + allocation.task.text());
+        expect(!spec.zone || *spec.zone == machine->zone, "zone of " + allocation.task.text());
+        expect(spec.spot || !machine->spot, "spot machine for " + allocation.task.text());
+        expect(spec.types.empty() || spec.types[0] == machine->type,
+               "type for " + allocation.task.text());
       }
     }
     expect(!spec.one_zone || zones.size() <= 1, id + " is in several zones");
@@ -322,23 +325,23 @@
   }
 
   void check_machine(const std::string& id) {
-    const Machine& h = *state_.cluster.find_machine(id);
+    const Machine& machine = *state_.cluster.find_machine(id);
     Resources used;
-    for (const Allocation& b : h.allocations) {
-      if (!b.queued) used += b.need;
+    for (const Allocation& allocation : machine.allocations) {
+      if (!allocation.queued) used += allocation.need;
     }
-    expect(used.fits_in(h.size), "machine " + id + " is overbooked");
-    expect(state_.cluster.record_size(h) <= state_.cluster.record_limit(), "record of " + id);
+    expect(used.fits_in(machine.size), "machine " + id + " is overbooked");
+    expect(state_.cluster.record_size(machine) <= state_.cluster.record_limit(), "record of " + id);
   }
 
   // Room that is being made for a job in this cycle is where all of it may go.
   void check_promises(const Plan& decided) {
     std::map<std::string, std::map<std::string, uint32_t>> zones;
     for (const auto& e : decided.preemptions) {
-      const Machine& h = *state_.cluster.find_machine(e.machine);
+      const Machine& machine = *state_.cluster.find_machine(e.machine);
       const JobSpec& spec = open_.at(e.job);
-      ++zones[e.job][h.zone];
-      expect(spec.spot || !h.spot, "room on a spot machine for " + e.job);
+      ++zones[e.job][machine.zone];
+      expect(spec.spot || !machine.spot, "room on a spot machine for " + e.job);
     }
     for (const auto& [id, by_zone] : zones) {
       const JobSpec& spec = open_.at(id);
@@ -356,13 +359,13 @@
   }
 
   void store_some() {
-    for (const auto& [id, h] : state_.cluster.machines()) {
-      if (!h->dirty && !h->trailing) continue;
+    for (const auto& [id, machine] : state_.cluster.machines()) {
+      if (!machine->dirty && !machine->trailing) continue;
       if (chance(0.4)) continue;  // writes lag
       Effects effects;
-      wire::MachineRecord record = state_.cluster.record_of(*h);
+      wire::MachineRecord record = state_.cluster.record_of(*machine);
       if (const auto m = machines_.find(id); m != machines_.end()) m->second.stored = record;
-      state_.cluster.machine_stored(*h, record, ++mod_revision_, effects);
+      state_.cluster.machine_stored(*machine, record, ++mod_revision_, effects);
     }
   }
 
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -44,36 +44,37 @@
   }
   Machine& machine(const std::string& id, const std::string& zone = "a",
                    const std::string& type = "box", bool spot = false) {
-    Heartbeat b;
-    b.machine = id;
-    b.address = "10.0.0.1:9000";
-    b.type = type;
-    b.zone = zone;
-    b.spot = spot;
-    b.incarnation = 1;
-    b.sequence = ++sequence;
-    b.fencing_token = 1;
+    Heartbeat heartbeat;
+    heartbeat.machine = id;
+    heartbeat.address = "10.0.0.1:9000";
+    heartbeat.type = type;
+    heartbeat.zone = zone;
+    heartbeat.spot = spot;
+    heartbeat.incarnation = 1;
+    heartbeat.sequence = ++sequence;
+    heartbeat.fencing_token = 1;
     Effects effects;
-    c.handle_heartbeat(b, now, false, effects);
+    c.handle_heartbeat(heartbeat, now, false, effects);
     return *c.find_machine(id);
   }
-  Job& add(JobSpec s) {
-    const std::string id = s.id;
-    c.load_job({std::move(s), wall}, 10, now);
+  Job& add(JobSpec spec) {
+    const std::string id = spec.id;
+    c.load_job({std::move(spec), wall}, 10, now);
     return *c.job(id);
   }
-  void run(Job& j, Machine& h, uint64_t attempt = 0) {
-    Allocation& b = *c.allocate(h, j, *j.pop_pending(), attempt ? attempt : c.next_attempt(), now);
-    b.phase = Phase::seen;
-    b.state = TaskState::running;
+  void run(Job& job, Machine& machine, uint64_t attempt = 0) {
+    Allocation& allocation =
+        *c.allocate(machine, job, *job.pop_pending(), attempt ? attempt : c.next_attempt(), now);
+    allocation.phase = Phase::seen;
+    allocation.state = TaskState::running;
   }
   Plan plan() {
     return scheduler::plan(c, n, cloud_capacity, platform, op, wall + Millis(100), now);
   }
-  static std::map<std::string, uint32_t> by_machine(const Plan& p) {
+  static std::map<std::string, uint32_t> by_machine(const Plan& plan) {
     std::map<std::string, uint32_t> out;
-    for (const auto& x : p.placements) out[x.machine] += x.count;
-    for (const auto& g : p.gangs) {
+    for (const auto& x : plan.placements) out[x.machine] += x.count;
+    for (const auto& g : plan.gangs) {
       for (const auto& [h, k] : g.on) out[h] += k;
     }
     return out;
@@ -90,15 +91,15 @@
 };
 
 TEST_F(SchedulerTest, ATeamsLimitCountsEveryAllocationEvenOfClosedJobs) {
-  Machine& h = machine("vm-1");
-  JobSpec s = job("run-000001", 2);
-  s.team = "tiny";  // at most 4 cpus
-  Job& j = add(s);
-  run(j, h);
+  Machine& this_machine = machine("vm-1");
+  JobSpec spec = job("run-000001", 2);
+  spec.team = "tiny";  // at most 4 cpus
+  Job& job = add(spec);
+  run(job, this_machine);
   c.close_job("run-000001", true, now);  // cancelled, and not gone yet
-  s.id = "run-000002";
-  s.tasks = 5;
-  add(s);
+  spec.id = "run-000002";
+  spec.tasks = 5;
+  add(spec);
   uint32_t placed = 0;
   for (const auto& [machine, k] : by_machine(plan())) placed += k;
   EXPECT_EQ(placed, 1u);
@@ -109,27 +110,27 @@
   machine("vm-2", "b");
   machine("vm-3", "b", "box", true);
   machine("vm-4", "b", "rig");
-  JobSpec s = job("run-000001", 50);
-  s.zone = "b";
-  s.types = {"box"};
-  add(s);
+  JobSpec spec = job("run-000001", 50);
+  spec.zone = "b";
+  spec.types = {"box"};
+  add(spec);
   const auto on = by_machine(plan());
   EXPECT_EQ(on, (std::map<std::string, uint32_t>{{"vm-2", 4}}));
 }
 
 TEST_F(SchedulerTest, TogetherCountsOldAllocationsAndApartHalvesRoundedUp) {
-  Machine& a = machine("vm-1", "a");
+  Machine& this_machine = machine("vm-1", "a");
   machine("vm-2", "b");
   JobSpec s = job("run-000001", 6);
   s.one_zone = true;
-  Job& j = add(s);
-  run(j, a);
+  Job& open_job = add(s);
+  run(open_job, this_machine);
   EXPECT_FALSE(by_machine(plan()).contains("vm-2"));
   c.close_job("run-000001", false, now);
-  JobSpec t = job("run-000002", 5);
-  t.need = {1, 0, 1};
-  t.spread = true;
-  add(t);
+  JobSpec spec = job("run-000002", 5);
+  spec.need = {1, 0, 1};
+  spec.spread = true;
+  add(spec);
   const auto on = by_machine(plan());
   EXPECT_EQ(on, (std::map<std::string, uint32_t>{{"vm-1", 3}, {"vm-2", 2}}));
 }
@@ -137,11 +138,11 @@
 TEST_F(SchedulerTest, AGangIsPlacedWholeInOneZoneOrNotAtAll) {
   machine("vm-1", "a");
   machine("vm-2", "b");
-  JobSpec g = job("run-000001", 2);
-  g.gang = true;
-  g.one_zone = true;
-  g.need = {6, 0, 4};
-  add(g);
+  JobSpec spec = job("run-000001", 2);
+  spec.gang = true;
+  spec.one_zone = true;
+  spec.need = {6, 0, 4};
+  add(spec);
   EXPECT_TRUE(plan().gangs.empty()) << "one in each zone is not together";
   machine("vm-3", "b");
   const auto p = plan();
@@ -150,31 +151,31 @@
 }
 
 TEST_F(SchedulerTest, AGangWaitsUntilItsOldAttemptIsGone) {
-  Machine& h = machine("vm-1");
+  Machine& this_machine = machine("vm-1");
   machine("vm-2");
-  JobSpec g = job("run-000001", 2);
-  g.gang = true;
-  Job& j = add(g);
-  run(j, h, 77);
+  JobSpec spec = job("run-000001", 2);
+  spec.gang = true;
+  Job& job = add(spec);
+  run(job, this_machine, 77);
   EXPECT_TRUE(plan().gangs.empty());
 }
 
 TEST_F(SchedulerTest, ATeamsLimitIsSavedUpForAWaitingGang) {
   // Found on a quiet day: small tasks of the same team took each freed piece of the limit, and a
   // gang waited for minutes on machines that stood free.
-  Machine& h = machine("vm-1");
+  Machine& this_machine = machine("vm-1");
   machine("vm-2");
   JobSpec small = job("run-000001", 20);
   small.team = "tiny";
   small.need = {2, 0, 1};
-  Job& j = add(small);
-  run(j, h);
-  JobSpec g = job("run-000002", 1);
-  g.gang = true;
-  g.team = "tiny";
-  g.priority = Priority::high;
-  g.need = {4, 0, 1};
-  add(g);
+  Job& open_job = add(small);
+  run(open_job, this_machine);
+  JobSpec spec = job("run-000002", 1);
+  spec.gang = true;
+  spec.team = "tiny";
+  spec.priority = Priority::high;
+  spec.need = {4, 0, 1};
+  add(spec);
   EXPECT_TRUE(plan().placements.empty()) << "the rest of the limit is the gang's";
 }
 
@@ -191,17 +192,17 @@
 TEST_F(SchedulerTest, HeadroomIsKeptForAClassWithAnAimForItsStart) {
   platform.objectives.push_back({"wait", "quick", Seconds(10), 0.9, 1});
   machine("vm-1");
-  JobSpec q = job("run-000001", 1);
-  q.job_class = "quick";
-  q.gang = true;
-  q.need = {2, 0, 4};
-  add(q);
+  JobSpec spec = job("run-000001", 1);
+  spec.job_class = "quick";
+  spec.gang = true;
+  spec.need = {2, 0, 4};
+  add(spec);
   c.close_job("run-000001", false, now);  // one came, and is over
   add(job("run-000002", 20));
   EXPECT_EQ(by_machine(plan()), (std::map<std::string, uint32_t>{{"vm-1", 1}}))
       << "6 of 8 are kept";
-  q.id = "run-000003";
-  add(q);
+  spec.id = "run-000003";
+  add(spec);
   EXPECT_EQ(plan().gangs.size(), 1u);
 }
 
@@ -211,11 +212,11 @@
   // accelerators.
   platform.objectives.push_back({"wait", "quick", Seconds(10), 0.9, 1});
   machine("vm-1", "a", "rig");
-  JobSpec q = job("run-000001", 1);
-  q.job_class = "quick";
-  q.gang = true;
-  q.need = {6, 0, 4};
-  add(q);
+  JobSpec spec = job("run-000001", 1);
+  spec.job_class = "quick";
+  spec.gang = true;
+  spec.need = {6, 0, 4};
+  add(spec);
   c.close_job("run-000001", false, now);
   JobSpec gpu = job("run-000002", 4);
   gpu.need = {4, 1, 4};
@@ -234,16 +235,16 @@
   for (int i = 0; i < 4; ++i) run(others, full);
   JobSpec gpu = job("run-000009", 40);
   gpu.need = {4, 1, 4};
-  Job& j = add(gpu);
-  JobSpec g = job("run-000001", 1);
-  g.gang = true;
-  g.priority = Priority::high;
-  g.team = "blue";
-  g.need = {6, 0, 4};
-  add(g);
+  Job& open_job = add(gpu);
+  JobSpec spec = job("run-000001", 1);
+  spec.gang = true;
+  spec.priority = Priority::high;
+  spec.team = "blue";
+  spec.need = {6, 0, 4};
+  add(spec);
   EXPECT_EQ(plan().held.count("vm-1"), 0u) << "the accelerators are wanted";
   Machine& used = machine("vm-2", "a", "rig");
-  for (int i = 0; i < 2; ++i) run(j, used);
+  for (int i = 0; i < 2; ++i) run(open_job, used);
   EXPECT_EQ(plan().held.count("vm-1"), 1u) << "the room is kept for the gang";
 }
 
@@ -253,19 +254,19 @@
   const auto placed_after = [&](Seconds waited) {
     const WallTime before = wall;
     wall += std::chrono::duration_cast<Millis>(waited);
-    const Plan p = plan();
+    const Plan result_plan = plan();
     wall = before;
-    return p.placements.at(0).job;
+    return result_plan.placements.at(0).job;
   };
   platform.teams[0].cpus = 0;
   machine("vm-1");
-  JobSpec s = job("run-000001", 64);
-  s.job_class = "slow";
-  s.priority = Priority::low;
-  add(s);
-  s = job("run-000002", 64);
-  s.job_class = "other";
-  add(s);
+  JobSpec spec = job("run-000001", 64);
+  spec.job_class = "slow";
+  spec.priority = Priority::low;
+  add(spec);
+  spec = job("run-000002", 64);
+  spec.job_class = "other";
+  add(spec);
   EXPECT_EQ(placed_after(seconds(70)), "run-000002");
   platform.objectives.push_back({"wait", "slow", Seconds(20), 0.9, 1});
   EXPECT_EQ(placed_after(seconds(70)), "run-000002") << "short aims are for the ordinary order";
@@ -279,16 +280,16 @@
   cloud_capacity.refused.erase({"box", "a", false});
   add(job("run-000001", 2));
   EXPECT_EQ(plan().capacity_requests.size(), 1u);
-  Heartbeat b;
-  b.machine = "vm-1";
-  b.type = "box";
-  b.zone = "a";
-  b.incarnation = b.sequence = 1;
+  Heartbeat heartbeat;
+  heartbeat.machine = "vm-1";
+  heartbeat.type = "box";
+  heartbeat.zone = "a";
+  heartbeat.incarnation = heartbeat.sequence = 1;
   Effects effects;
-  c.handle_heartbeat(b, now, true, effects);
-  const Plan p = plan();
-  EXPECT_TRUE(p.capacity_requests.empty());
-  EXPECT_TRUE(p.placements.empty()) << "nothing is given to it yet";
+  c.handle_heartbeat(heartbeat, now, true, effects);
+  const Plan result_plan = plan();
+  EXPECT_TRUE(result_plan.capacity_requests.empty());
+  EXPECT_TRUE(result_plan.placements.empty()) << "nothing is given to it yet";
   now += seconds(10);
   EXPECT_EQ(plan().capacity_requests.size(), 1u)
       << "a late copy of a machine that is gone keeps nobody waiting";
@@ -299,13 +300,13 @@
   // node that led a second time counted the open jobs once more.
   platform.objectives.push_back({"wait", "quick", Seconds(10), 0.9, 1});
   platform.objectives.push_back({"wait", "quick", Seconds(50), 0.97, 1});
-  JobSpec q = job("run-000001", 3);
-  q.job_class = "quick";
-  add(q);
+  JobSpec spec = job("run-000001", 3);
+  spec.job_class = "quick";
+  add(spec);
   EXPECT_EQ(c.forecasts().at("quick").arrivals.size(), 1u);
   EXPECT_EQ(c.forecasts().at("quick").within, Seconds(10));
   c.begin_term(2, now);
-  add(q);
+  add(spec);
   EXPECT_EQ(c.forecasts().at("quick").arrivals.size(), 1u);
 }
 
@@ -313,18 +314,18 @@
   // Found on a day with more work than machines: by due time alone, every job ended too late.
   platform.teams[0].cpus = 0;  // no guarantee comes first here
   machine("vm-1");
-  JobSpec s = job("run-000001", 4);
-  s.estimate = Seconds(30);
-  s.deadline = Seconds(20);  // cannot be met any more
-  add(s);
-  s.id = "run-000002";
-  s.deadline = Seconds(90);
-  add(s);
+  JobSpec spec = job("run-000001", 4);
+  spec.estimate = Seconds(30);
+  spec.deadline = Seconds(20);  // cannot be met any more
+  add(spec);
+  spec.id = "run-000002";
+  spec.deadline = Seconds(90);
+  add(spec);
   auto p = plan();
   ASSERT_EQ(p.placements.size(), 1u);
   EXPECT_EQ(p.placements[0].job, "run-000002");
   // A second, later aim of the class makes it worth hurrying again.
-  platform.objectives.push_back({"deadline", s.job_class, Seconds(0), 0.9, 2.0});
+  platform.objectives.push_back({"deadline", spec.job_class, Seconds(0), 0.9, 2.0});
   p = plan();
   ASSERT_EQ(p.placements.size(), 1u);
   EXPECT_EQ(p.placements[0].job, "run-000001");
@@ -353,11 +354,11 @@
   old.deadline = Seconds(20);
   add(old);
   wall += seconds(100);
-  JobSpec s = job("run-000001", 4);
-  s.estimate = Seconds(30);
-  s.deadline = Seconds(200);
-  s.priority = Priority::high;
-  add(s);
+  JobSpec spec = job("run-000001", 4);
+  spec.estimate = Seconds(30);
+  spec.deadline = Seconds(200);
+  spec.priority = Priority::high;
+  add(spec);
   auto p = plan();
   ASSERT_EQ(p.placements.size(), 1u);
   EXPECT_EQ(p.placements[0].job, "run-000001");
@@ -371,17 +372,17 @@
 
 TEST_F(SchedulerTest, AJobThatIsLateForLongIsBroughtToItsEnd) {
   platform.teams[0].cpus = 0;
-  Machine& h = machine("vm-1");
+  Machine& this_machine = machine("vm-1");
   JobSpec old = job("run-000009", 5);
   old.estimate = Seconds(30);
   old.deadline = Seconds(20);
-  Job& j = add(old);
-  run(j, h);  // it has begun
+  Job& open_job = add(old);
+  run(open_job, this_machine);  // it has begun
   wall += seconds(200);
-  JobSpec s = job("run-000001", 4);
-  s.estimate = Seconds(30);
-  s.deadline = Seconds(500);
-  add(s);
+  JobSpec spec = job("run-000001", 4);
+  spec.estimate = Seconds(30);
+  spec.deadline = Seconds(500);
+  add(spec);
   EXPECT_EQ(plan().placements[0].job, "run-000001");
   wall += seconds(100);
   EXPECT_EQ(plan().placements[0].job, "run-000009");
@@ -391,41 +392,42 @@
   // Gangs do not preempt: single tasks took each freed place, and the larger the gang the longer it
   // waited.
   Machine& a = machine("vm-1");
-  Machine& b = machine("vm-2");
+  Machine& this_machine = machine("vm-2");
   JobSpec small = job("run-000001", 100);
   small.estimate = Seconds(30);
   small.image = "img-2";
-  Job& j = add(small);
-  for (int i = 0; i < 4; ++i) run(j, b);
-  for (int i = 0; i < 2; ++i) run(j, a);  // 4 of 8 cpus are free
-  JobSpec g = job("run-000002", 2);
-  g.gang = true;
-  g.one_zone = true;
-  g.priority = Priority::high;
-  g.need = {8, 0, 4};
-  add(g);
-  const Plan p = plan();
-  EXPECT_TRUE(p.gangs.empty());
-  EXPECT_TRUE(p.placements.empty()) << "the free half of vm-1 is the gang's";
-  EXPECT_TRUE(p.queued.empty());
-  EXPECT_EQ(p.held.count("vm-1") + p.held.count("vm-2"), 2u) << "queued tasks leave it too";
+  Job& open_job = add(small);
+  for (int i = 0; i < 4; ++i) run(open_job, this_machine);
+  for (int i = 0; i < 2; ++i) run(open_job, a);  // 4 of 8 cpus are free
+  JobSpec spec = job("run-000002", 2);
+  spec.gang = true;
+  spec.one_zone = true;
+  spec.priority = Priority::high;
+  spec.need = {8, 0, 4};
+  add(spec);
+  const Plan result_plan = plan();
+  EXPECT_TRUE(result_plan.gangs.empty());
+  EXPECT_TRUE(result_plan.placements.empty()) << "the free half of vm-1 is the gang's";
+  EXPECT_TRUE(result_plan.queued.empty());
+  EXPECT_EQ(result_plan.held.count("vm-1") + result_plan.held.count("vm-2"), 2u)
+      << "queued tasks leave it too";
 }
 
 TEST_F(SchedulerTest, AnOverdueGangsRoomIsKeptBeforeTheQueuesOrder) {
   // Found in an incident: single tasks of a higher turn took each freed place, and gangs waited for
   // ten minutes beside machines that were used by turns.
-  Machine& h = machine("vm-1");
+  Machine& this_machine = machine("vm-1");
   JobSpec g = job("run-000002", 2);
   g.gang = true;
   g.need = {4, 0, 4};
   g.priority = Priority::low;
   g.team = "blue";
   add(g);
-  JobSpec s = job("run-000001", 50);
-  s.priority = Priority::high;
-  s.estimate = Seconds(30);
-  Job& j = add(s);
-  for (int i = 0; i < 2; ++i) run(j, h);  // 4 of 8 cpus are free
+  JobSpec spec = job("run-000001", 50);
+  spec.priority = Priority::high;
+  spec.estimate = Seconds(30);
+  Job& job = add(spec);
+  for (int i = 0; i < 2; ++i) run(job, this_machine);  // 4 of 8 cpus are free
   wall += seconds(100);
   EXPECT_FALSE(plan().placements.empty());
   wall += seconds(100);
@@ -444,34 +446,35 @@
   gpu.need = {4, 1, 4};
   gpu.priority = Priority::low;
   add(gpu);
-  JobSpec g = job("run-000001", 2);
-  g.gang = true;
-  g.priority = Priority::high;
-  g.need = {6, 0, 4};
-  add(g);
+  JobSpec spec = job("run-000001", 2);
+  spec.gang = true;
+  spec.priority = Priority::high;
+  spec.need = {6, 0, 4};
+  add(spec);
   cloud_capacity.refused.erase({"box", "a", false});
-  Plan p = plan();
-  EXPECT_TRUE(p.gangs.empty());
-  ASSERT_FALSE(p.capacity_requests.empty());
-  EXPECT_EQ(p.capacity_requests[0].offer.type, "box");
+  Plan result_plan = plan();
+  EXPECT_TRUE(result_plan.gangs.empty());
+  ASSERT_FALSE(result_plan.capacity_requests.empty());
+  EXPECT_EQ(result_plan.capacity_requests[0].offer.type, "box");
   none_to_launch();
   EXPECT_EQ(plan().gangs.size(), 1u) << "nothing else is to be had";
 }
 
 TEST_F(SchedulerTest, TasksAreQueuedOnFullMachinesThatHaveTheImage) {
   platform.store_limits.write_rps = 0.2;  // far too few for one write a task
-  Machine& h = machine("vm-1");
-  Job& j = add(job("run-000001", 100));
-  for (int i = 0; i < 4; ++i) run(j, h);
-  Plan p = plan();
-  EXPECT_TRUE(p.placements.empty());
-  ASSERT_EQ(p.queued.size(), 1u);
-  EXPECT_EQ(p.queued[0].machine, "vm-1");
-  const uint32_t count = p.queued[0].count;
+  Machine& this_machine = machine("vm-1");
+  Job& open_job = add(job("run-000001", 100));
+  for (int i = 0; i < 4; ++i) run(open_job, this_machine);
+  Plan result_plan = plan();
+  EXPECT_TRUE(result_plan.placements.empty());
+  ASSERT_EQ(result_plan.queued.size(), 1u);
+  EXPECT_EQ(result_plan.queued[0].machine, "vm-1");
+  const uint32_t count = result_plan.queued[0].count;
   EXPECT_GE(count, 1u);
   EXPECT_LE(count, 16u) << "some seconds of work, no more";
   for (uint32_t i = 0; i < count; ++i) {
-    c.queue_on(h, j, *j.pop_pending(), c.next_attempt(), p.queued[0].queue_position, now);
+    c.queue_on(this_machine, open_job, *open_job.pop_pending(), c.next_attempt(),
+               result_plan.queued[0].queue_position, now);
   }
   EXPECT_TRUE(plan().queued.empty()) << "filled up when half of it is gone";
 }
@@ -479,28 +482,28 @@
 TEST_F(SchedulerTest, AHeartbeatWithoutOurFencingTokenMayBeALateCopy) {
   // After a take-over nothing is known of a machine's last heartbeat, nor of what was deleted: a
   // copy of an old heartbeat must not bring a machine back to life.
-  Heartbeat b;
-  b.machine = "vm-1";
-  b.address = "10.0.0.1:9000";
-  b.type = "box";
-  b.zone = "a";
-  b.incarnation = 1;
-  b.sequence = 7;
-  b.fencing_token = 0;
+  Heartbeat heartbeat;
+  heartbeat.machine = "vm-1";
+  heartbeat.address = "10.0.0.1:9000";
+  heartbeat.type = "box";
+  heartbeat.zone = "a";
+  heartbeat.incarnation = 1;
+  heartbeat.sequence = 7;
+  heartbeat.fencing_token = 0;
   Effects effects;
-  c.handle_heartbeat(b, now, true, effects);
+  c.handle_heartbeat(heartbeat, now, true, effects);
   add(job("run-000001"));
   EXPECT_TRUE(plan().placements.empty());
-  b.sequence = 8;
-  b.fencing_token = 1;
-  c.handle_heartbeat(b, now, true, effects);
+  heartbeat.sequence = 8;
+  heartbeat.fencing_token = 1;
+  c.handle_heartbeat(heartbeat, now, true, effects);
   EXPECT_EQ(plan().placements.size(), 1u);
 }
 
 // The cause of each job that has not begun, by its id.
-std::map<std::string, WaitCause> wait_causes(const Plan& p) {
+std::map<std::string, WaitCause> wait_causes(const Plan& plan) {
   std::map<std::string, WaitCause> out;
-  for (const auto& waiting : p.waiting_jobs) out[waiting.job] = waiting.cause;
+  for (const auto& waiting : plan.waiting_jobs) out[waiting.job] = waiting.cause;
   return out;
 }
 
@@ -526,13 +529,13 @@
 }
 
 TEST_F(SchedulerTest, TellsThatATeamIsAtItsLimit) {
-  JobSpec s = job("run-000001", 1);
-  s.team = "tiny";  // at most 4 cpus
-  s.need.cpus = 4;
-  run(add(s), machine("vm-1"));
+  JobSpec spec = job("run-000001", 1);
+  spec.team = "tiny";  // at most 4 cpus
+  spec.need.cpus = 4;
+  run(add(spec), machine("vm-1"));
   machine("vm-2");
-  s.id = "run-000002";
-  add(s);
+  spec.id = "run-000002";
+  add(spec);
   JobSpec gang = job("run-000003", 2);
   gang.team = "tiny";
   gang.gang = true;
@@ -558,21 +561,21 @@
 }
 
 TEST_F(SchedulerTest, TellsThatAJobIsQueuedOnly) {
-  Machine& h = machine("vm-1");
+  Machine& this_machine = machine("vm-1");
   JobSpec large = job("run-000001", 1);
   large.need.cpus = 8;
-  run(add(large), h);
-  Job& j = add(job("run-000002", 1));
-  c.queue_on(h, j, *j.pop_pending(), c.next_attempt(), {}, now);
+  run(add(large), this_machine);
+  Job& open_job = add(job("run-000002", 1));
+  c.queue_on(this_machine, open_job, *open_job.pop_pending(), c.next_attempt(), {}, now);
   EXPECT_EQ(wait_causes(plan()).at("run-000002"), WaitCause::queued_on_machine);
 }
 
 TEST_F(SchedulerTest, TellsThatTasksAreBeingStoppedForAJob) {
-  Machine& h = machine("vm-1");
+  Machine& this_machine = machine("vm-1");
   JobSpec low = job("run-000001", 1);
   low.priority = Priority::low;
   low.need.cpus = 8;
-  run(add(low), h);
+  run(add(low), this_machine);
   JobSpec high = job("run-000002", 1);
   high.priority = Priority::high;
   high.need.cpus = 8;
@@ -581,7 +584,7 @@
   ASSERT_EQ(first.preemptions.size(), 1u);
   const auto& e = first.preemptions.front();
   n.add(e.job, e.machine, e.room, e.priority, e.victims);
-  (void)c.preempt(h, e.victims.front().task, e.victims.front().attempt, now);
+  (void)c.preempt(this_machine, e.victims.front().task, e.victims.front().attempt, now);
   EXPECT_EQ(wait_causes(plan()).at("run-000002"), WaitCause::preemption);
 }
 
--- a/tests/scripted_cloud.cpp
+++ b/tests/scripted_cloud.cpp
@@ -45,10 +45,10 @@
   const View root = doc->root();
   const std::string request(*root["hire"].text());
   const auto names = [&](const std::vector<std::string>& ids) {
-    Writer w;
-    w.map(1).key("hosts").list(ids.size());
-    for (const auto& id : ids) w.text(id);
-    return w.take();
+    Writer writer;
+    writer.map(1).key("hosts").list(ids.size());
+    for (const auto& id : ids) writer.text(id);
+    return writer.take();
   };
   if (answered.contains(request)) {
     if (on_act) on_act({request, {}, false, sender_token});
@@ -67,10 +67,10 @@
   for (uint64_t i = 0; i < n; ++i) {
     char name[16];
     std::snprintf(name, sizeof name, "vm-%06u", static_cast<unsigned>(next_++));
-    Machine m{name, type, zone, spot, loop_.now(), false, {}, machine_address};
-    machines[m.id] = m;
-    ids.push_back(m.id);
-    if (on_launched) on_launched(m);
+    Machine machine{name, type, zone, spot, loop_.now(), false, {}, machine_address};
+    machines[machine.id] = machine;
+    ids.push_back(machine.id);
+    if (on_launched) on_launched(machine);
   }
   ++launches;
   answered[request] = ids;
@@ -105,23 +105,23 @@
   const std::string after = query_value(call.target, "since");
   const size_t most = std::stoul(query_value(call.target, "most"));
   bool more = false;
-  Writer w;
+  Writer writer;
   std::vector<const Machine*> shown;
   for (auto it = machines.upper_bound(after); it != machines.end(); ++it) {
-    const Machine& m = it->second;
-    if (m.since > as_of || (m.removed && m.removed_at <= as_of)) continue;
+    const Machine& machine = it->second;
+    if (machine.since > as_of || (machine.removed && machine.removed_at <= as_of)) continue;
     more = shown.size() == most;
     if (more) break;
-    shown.push_back(&m);
+    shown.push_back(&machine);
   }
-  w.map(2).key("hosts").list(shown.size());
+  writer.map(2).key("hosts").list(shown.size());
   for (const auto* m : shown) {
-    w.map(7).key("id").text(m->id).key("address").text(m->address).key("rig").text(m->type);
-    w.key("yard").text(m->zone).key("loaners").flag(m->spot).key("standing").text("running");
-    w.key("heldS").amount(to_seconds(as_of - m->since).count());
+    writer.map(7).key("id").text(m->id).key("address").text(m->address).key("rig").text(m->type);
+    writer.key("yard").text(m->zone).key("loaners").flag(m->spot).key("standing").text("running");
+    writer.key("heldS").amount(to_seconds(as_of - m->since).count());
   }
-  w.key("more").flag(more);
-  return reply(200, w.take());
+  writer.key("more").flag(more);
+  return reply(200, writer.take());
 }
 
 }  // namespace dunlinknot::test
--- a/tests/scripted_store.cpp
+++ b/tests/scripted_store.cpp
@@ -20,57 +20,57 @@
 }
 
 // Packs a view again, so that it can be kept.
-std::string repack(View v) {
-  Writer w;
-  const std::function<void(View)> go = [&](View x) {
-    if (x.null()) {
-      w.null();
-    } else if (x.is_list()) {
-      w.list(x.size());
-      for (size_t i = 0; i < x.size(); ++i) go(x.at(i));
-    } else if (x.is_map()) {
-      w.map(x.map_size());
-      for (size_t i = 0; i < x.map_size(); ++i) {
-        w.key(x.key_at(i));
-        go(x.value_at(i));
+std::string repack(View view) {
+  Writer writer;
+  const std::function<void(View)> go = [&](View value) {
+    if (value.null()) {
+      writer.null();
+    } else if (value.is_list()) {
+      writer.list(value.size());
+      for (size_t i = 0; i < value.size(); ++i) go(value.at(i));
+    } else if (value.is_map()) {
+      writer.map(value.map_size());
+      for (size_t i = 0; i < value.map_size(); ++i) {
+        writer.key(value.key_at(i));
+        go(value.value_at(i));
       }
-    } else if (const auto t = x.text()) {
-      w.text(*t);
-    } else if (const auto f = x.flag()) {
-      w.flag(*f);
-    } else if (const auto n = x.count()) {
-      w.count(*n);
+    } else if (const auto t = value.text()) {
+      writer.text(*t);
+    } else if (const auto f = value.flag()) {
+      writer.flag(*f);
+    } else if (const auto n = value.count()) {
+      writer.count(*n);
     } else {
-      w.amount(x.amount().value_or(0));
+      writer.amount(value.amount().value_or(0));
     }
   };
-  go(v);
-  return w.take();
+  go(view);
+  return writer.take();
 }
 
 }  // namespace
 
-size_t compact_json_size(View v) {
+size_t compact_json_size(View value) {
   const auto brackets = [](size_t items) { return 2 + (items > 0 ? items - 1 : 0); };
   size_t size = 0;
-  if (v.is_list()) {
-    size = brackets(v.size());
-    for (size_t i = 0; i < v.size(); ++i) size += compact_json_size(v.at(i));
-  } else if (v.is_map()) {
-    size = brackets(v.map_size());
-    for (size_t i = 0; i < v.map_size(); ++i) {
-      size += v.key_at(i).size() + 3 + compact_json_size(v.value_at(i));
+  if (value.is_list()) {
+    size = brackets(value.size());
+    for (size_t i = 0; i < value.size(); ++i) size += compact_json_size(value.at(i));
+  } else if (value.is_map()) {
+    size = brackets(value.map_size());
+    for (size_t i = 0; i < value.map_size(); ++i) {
+      size += value.key_at(i).size() + 3 + compact_json_size(value.value_at(i));
     }
-  } else if (const auto text = v.text()) {
+  } else if (const auto text = value.text()) {
     size = text->size() + 2;
-  } else if (const auto count = v.count()) {
+  } else if (const auto count = value.count()) {
     size = std::to_string(*count).size();
-  } else if (const auto amount = v.amount()) {
+  } else if (const auto amount = value.amount()) {
     std::ostringstream shown;
     shown << std::setprecision(15) << *amount;
     size = shown.str().size();
   } else {
-    size = v.flag().value_or(true) ? 4 : 5;
+    size = value.flag().value_or(true) ? 4 : 5;
   }
   return size;
 }
@@ -155,12 +155,12 @@
     const uint64_t mod_revision = it == data.end() ? 0 : it->second.mod_revision;
     if (mod_revision != *compares.at(i)["stamp"].count()) failed.push_back(key);
   }
-  Writer w;
+  Writer writer;
   if (!failed.empty()) {
-    w.map(2).key("failed").list(failed.size());
-    for (const auto& f : failed) w.text(f);
-    w.key("ledgerRev").count(revision_);
-    return reply(409, w.take());
+    writer.map(2).key("failed").list(failed.size());
+    for (const auto& f : failed) writer.text(f);
+    writer.key("ledgerRev").count(revision_);
+    return reply(409, writer.take());
   }
   const View writes = root["writes"];
   max_writes = std::max(max_writes, writes.size());
@@ -172,20 +172,21 @@
   }
   if (writes.size() > 0) ++revision_;
   for (size_t i = 0; i < writes.size(); ++i) {
-    const View op = writes.at(i);
-    if (const auto key = op["put"].text()) {
-      std::string value = repack(op["v"]);
+    const View operator_settings = writes.at(i);
+    if (const auto key = operator_settings["put"].text()) {
+      std::string value = repack(operator_settings["v"]);
       max_value = std::max(max_value, value.size());
-      data[std::string(*key)] = Entry{value, revision_, op["tenancy"].count().value_or(0)};
+      data[std::string(*key)] =
+          Entry{value, revision_, operator_settings["tenancy"].count().value_or(0)};
       note(std::string(*key), false, std::move(value));
     } else {
-      const std::string removed(*op["delete"].text());
+      const std::string removed(*operator_settings["delete"].text());
       if (data.contains(removed) && on_removed) on_removed(removed);
       if (data.erase(removed)) note(removed, true, "");
     }
   }
-  w.map(1).key("ledgerRev").count(revision_);
-  return reply(200, w.take());
+  writer.map(1).key("ledgerRev").count(revision_);
+  return reply(200, writer.take());
 }
 
 Task<void> ScriptedStore::multi_later(std::string body) {
@@ -212,16 +213,17 @@
       }
     }
     if (!changes.empty() || (loop_.now() >= end && !outage)) {
-      Writer w;
-      w.map(2).key("ledgerRev").count(revision_).key("news").list(changes.size());
+      Writer writer;
+      writer.map(2).key("ledgerRev").count(revision_).key("news").list(changes.size());
       for (const auto* e : changes) {
         if (e->deleted) {
-          w.map(2).key("delete").text(e->key).key("stamp").count(e->revision);
+          writer.map(2).key("delete").text(e->key).key("stamp").count(e->revision);
         } else {
-          w.map(3).key("put").text(e->key).key("v").raw(e->value).key("stamp").count(e->revision);
+          writer.map(3).key("put").text(e->key).key("v").raw(e->value).key("stamp").count(
+              e->revision);
         }
       }
-      co_return reply(200, w.take());
+      co_return reply(200, writer.take());
     }
     co_await loop_.sleep(Millis(10));
   }
@@ -243,15 +245,15 @@
 
 Reply ScriptedStore::read_key(const std::string& target) const {
   const auto it = data.find(target.substr(6));
-  Writer w;
+  Writer writer;
   if (it == data.end()) {
-    w.map(1).key("ledgerRev").count(revision_);
-    return reply(404, w.take());
+    writer.map(1).key("ledgerRev").count(revision_);
+    return reply(404, writer.take());
   } else {
-    w.map(4).key("key").text(it->first).key("v").raw(it->second.value);
-    w.key("stamp").count(it->second.mod_revision).key("tenancy");
-    it->second.lease ? w.count(it->second.lease) : w.null();
-    return reply(200, w.take());
+    writer.map(4).key("key").text(it->first).key("v").raw(it->second.value);
+    writer.key("stamp").count(it->second.mod_revision).key("tenancy");
+    it->second.lease ? writer.count(it->second.lease) : writer.null();
+    return reply(200, writer.take());
   }
 }
 
@@ -272,13 +274,13 @@
     }
     rows.emplace_back(k, &e);
   }
-  Writer w;
-  w.map(3).key("rows").list(rows.size());
+  Writer writer;
+  writer.map(3).key("rows").list(rows.size());
   for (const auto& [k, e] : rows) {
-    w.map(3).key("key").text(k).key("v").raw(e->value).key("stamp").count(e->mod_revision);
+    writer.map(3).key("key").text(k).key("v").raw(e->value).key("stamp").count(e->mod_revision);
   }
-  w.key("more").flag(more).key("ledgerRev").count(revision_);
-  return reply(200, w.take());
+  writer.key("more").flag(more).key("ledgerRev").count(revision_);
+  return reply(200, writer.take());
 }
 
 // All requests but watches.
@@ -289,9 +291,9 @@
   if (call.target == "/leases") {
     const Millis ttl(*root["ttlMs"].count());
     leases_[next_lease_] = Lease{ttl, loop_.now() + ttl};
-    Writer w;
-    w.map(1).key("tenancy").count(next_lease_++);
-    return reply(200, w.take());
+    Writer writer;
+    writer.map(1).key("tenancy").count(next_lease_++);
+    return reply(200, writer.take());
   }
   if (call.target.starts_with("/leases/")) return lease_request(call.method, call.target);
   if (call.target.starts_with("/keys/")) return read_key(call.target);
--- a/tests/scripted_worker.cpp
+++ b/tests/scripted_worker.cpp
@@ -21,20 +21,20 @@
 
 Heartbeat Worker::heartbeat() {
   advance();
-  Heartbeat b;
-  b.machine = id;
-  b.address = address;
-  b.type = type_.name;
-  b.zone = zone_;
-  b.spot = spot_;
-  b.incarnation = incarnation;
-  b.sequence = ++sequence;
-  b.fencing_token = fencing_token;
-  b.interruption_notice = interruption_notice;
+  Heartbeat heartbeat;
+  heartbeat.machine = id;
+  heartbeat.address = address;
+  heartbeat.type = type_.name;
+  heartbeat.zone = zone_;
+  heartbeat.spot = spot_;
+  heartbeat.incarnation = incarnation;
+  heartbeat.sequence = ++sequence;
+  heartbeat.fencing_token = fencing_token;
+  heartbeat.interruption_notice = interruption_notice;
   for (const auto& [key, t] : tasks) {
-    b.tasks.push_back({t.task, t.attempt, t.state, t.cause, t.saved});
+    heartbeat.tasks.push_back({t.task, t.attempt, t.state, t.cause, t.saved});
   }
-  return b;
+  return heartbeat;
 }
 
 // The image is there: the task is on the machine from now on.
@@ -84,11 +84,11 @@
 void Worker::obey(View orders) {
   advance();
   for (size_t i = 0; i < orders.size(); ++i) {
-    const View o = orders.at(i);
-    const TaskRef task = *TaskRef::parse(*o["piece"].text());
-    const uint64_t attempt = *o["try"].count();
+    const View value = orders.at(i);
+    const TaskRef task = *TaskRef::parse(*value["piece"].text());
+    const uint64_t attempt = *value["try"].count();
     const auto key = std::pair(task, attempt);
-    const std::string_view verb = *o["verb"].text();
+    const std::string_view verb = *value["verb"].text();
     const auto it = tasks.find(key);
     if (verb == "run") {
       if (it != tasks.end()) continue;
@@ -104,7 +104,7 @@
       if (r.state == TaskState::fetching && fetch == Nanos(0)) begin(r);
       tasks[key] = r;
     } else if (verb == "stop" && it != tasks.end() && it->second.state != TaskState::exited) {
-      const double grace = *o["windDownS"].amount();
+      const double grace = *value["windDownS"].amount();
       const auto spec = specs ? specs->find(task.job) : std::map<std::string, JobSpec>::iterator{};
       const bool saves = specs && spec != specs->end() && spec->second.checkpoint > Seconds(0) &&
                          grace >= spec->second.save.count();
@@ -133,11 +133,11 @@
       continue;
     }
     const uint64_t in_incarnation = incarnation;
-    http::Request r;
-    r.method = "POST";
-    r.target = "/agent/beat";
-    r.body = wire::write_heartbeat(heartbeat());
-    http::Response answer = co_await handler(std::move(r));
+    http::Request request;
+    request.method = "POST";
+    request.target = "/agent/beat";
+    request.body = wire::write_heartbeat(heartbeat());
+    http::Response answer = co_await handler(std::move(request));
     co_await loop_.sleep(Millis(1));
     if (!on) co_return;
     // A response that took too long was given up, and a machine that hung meanwhile drops it too.
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -81,12 +81,12 @@
 
 TEST(PlatformFile, IsReadAndUnknownFieldsAreIgnored) {
   const File f(kGood);
-  const Platform p = load_platform(f.path());
-  EXPECT_EQ(p.peers.size(), 1u);
-  EXPECT_EQ(p.lease, Seconds(14));
-  EXPECT_EQ(p.teams[0].cpus_max, 16);
-  EXPECT_EQ(p.store_limits.value_bytes, 8192u);
-  EXPECT_FALSE(p.next_store_limits);
+  const Platform platform = load_platform(f.path());
+  EXPECT_EQ(platform.peers.size(), 1u);
+  EXPECT_EQ(platform.lease, Seconds(14));
+  EXPECT_EQ(platform.teams[0].cpus_max, 16);
+  EXPECT_EQ(platform.store_limits.value_bytes, 8192u);
+  EXPECT_FALSE(platform.next_store_limits);
 }
 
 TEST(PlatformFile, TheStateServicesNextLimitsAreOptionalAndChecked) {
@@ -97,13 +97,13 @@
     return text;
   };
   const File f(with("value_kb = 2.0\ntxn_ops = 5\nlater = 1\n"));
-  const Platform p = load_platform(f.path());
-  ASSERT_TRUE(p.next_store_limits);
-  EXPECT_EQ(p.next_store_limits->value_bytes, 2048u);
-  EXPECT_EQ(p.next_store_limits->txn_ops, 5u);
-  EXPECT_EQ(p.next_store_limits->write_rps, 80) << "what is not named stays as it is";
-  EXPECT_EQ(p.next_store_limits->rps, 200);
-  EXPECT_EQ(p.lowest_store_write_rps(), 80);
+  const Platform platform = load_platform(f.path());
+  ASSERT_TRUE(platform.next_store_limits);
+  EXPECT_EQ(platform.next_store_limits->value_bytes, 2048u);
+  EXPECT_EQ(platform.next_store_limits->txn_ops, 5u);
+  EXPECT_EQ(platform.next_store_limits->write_rps, 80) << "what is not named stays as it is";
+  EXPECT_EQ(platform.next_store_limits->rps, 200);
+  EXPECT_EQ(platform.lowest_store_write_rps(), 80);
   EXPECT_NE(problem(kGood, at, "[params.state.next]\ntxn_ops = 2\n" + at)
                 .find("params.state.next.txn_ops: must be between 3"),
             std::string::npos);
@@ -139,25 +139,27 @@
 
 TEST(Sockets, WorkersUsersAndOurOwnCallsEachHaveRoom) {
   // Three quarters for the server left a leader of a large cluster a hundred sockets for its users.
-  settings::Platform p = test::Site::platform(0, 3);
-  const settings::Operator op;
-  p.max_connections = 4000;
-  const size_t large = node::server_connections(p, op);
+  settings::Platform settings = test::Site::platform(0, 3);
+  const settings::Operator operator_settings;
+  settings.max_connections = 4000;
+  const size_t large = node::server_connections(settings, operator_settings);
   EXPECT_GT(large, 3600u);
-  EXPECT_GE(p.max_connections - large, op.max_submissions + op.max_polls + 2 * p.peers.size() + 20);
-  p.max_connections = 800;
-  EXPECT_EQ(node::server_connections(p, op), 600u);
-  p.max_connections = 32;
-  EXPECT_EQ(node::server_connections(p, op), 24u);
+  EXPECT_GE(settings.max_connections - large, operator_settings.max_submissions +
+                                                  operator_settings.max_polls +
+                                                  2 * settings.peers.size() + 20);
+  settings.max_connections = 800;
+  EXPECT_EQ(node::server_connections(settings, operator_settings), 600u);
+  settings.max_connections = 32;
+  EXPECT_EQ(node::server_connections(settings, operator_settings), 24u);
 }
 
 TEST(OperatorFile, IsReadAndEveryValueChecked) {
   const File f(
       "<dunlinknot>\n<fleet>\n<idle-return unit=\"s\">12.5</idle-return>\n</fleet>\n"
       "<!-- a note --><api><max-polls>9</max-polls></api></dunlinknot>\n");
-  const Operator op = load_operator(f.path());
-  EXPECT_EQ(op.idle_return, Seconds(12.5));
-  EXPECT_EQ(op.max_polls, 9u);
+  const Operator operator_settings = load_operator(f.path());
+  EXPECT_EQ(operator_settings.idle_return, Seconds(12.5));
+  EXPECT_EQ(operator_settings.max_polls, 9u);
   EXPECT_EQ(operator_problem("<dunlinknot>\n<fleet>\n<idle>3</idle></fleet></dunlinknot>"),
             ":3: unknown setting fleet/idle");
   EXPECT_EQ(operator_problem("<dunlinknot>\n<flee/></dunlinknot>"), ":2: unknown group <flee>");
@@ -180,9 +182,9 @@
            "</renew-every></duties></dunlinknot>";
   };
   const File f(roles("1", "3", "1"));
-  const Operator op = load_operator(f.path());
-  EXPECT_TRUE(op.roles);
-  EXPECT_EQ(op.roles_ttl, Seconds(3));
+  const Operator operator_settings = load_operator(f.path());
+  EXPECT_TRUE(operator_settings.roles);
+  EXPECT_EQ(operator_settings.roles_ttl, Seconds(3));
   EXPECT_EQ(operator_problem(roles("1", "2.9", "1")),
             ":2: duties/ttl: must be at least 3 times duties/renew-every (1 s)");
   EXPECT_EQ(operator_problem(roles("0", "2.9", "1")), "") << "they are off";
--- a/tests/singleton_roles_test.cpp
+++ b/tests/singleton_roles_test.cpp
@@ -187,10 +187,10 @@
   const std::string bytes = damaged.take();
   site.store.put(std::string(roles::kFencingTokenKey), bytes);
   with_roles(site);
-  const ScriptedCloud::Machine m{"vm-100001",      "box", "a", false,
-                                 site.clock.now(), false, {},  "10.1.0.1:9000"};
-  site.cloud.machines[m.id] = m;
-  site.add_worker(m);
+  const ScriptedCloud::Machine machine{"vm-100001",      "box", "a", false,
+                                       site.clock.now(), false, {},  "10.1.0.1:9000"};
+  site.cloud.machines[machine.id] = machine;
+  site.add_worker(machine);
   site.run_for(seconds(5));
   site.submit(job("run-000001"));
   site.run_for(seconds(30));
@@ -204,10 +204,10 @@
   Site site(1);
   site.cloud.lag = Nanos(0);
   for (const char* id : {"vm-100001", "vm-100002"}) {
-    const ScriptedCloud::Machine m{id, "box",          "a", false, site.clock.now(), false,
-                                   {}, "10.1.0.1:9000"};
-    site.cloud.machines[m.id] = m;
-    site.add_worker(m);
+    const ScriptedCloud::Machine machine{id, "box",          "a", false, site.clock.now(), false,
+                                         {}, "10.1.0.1:9000"};
+    site.cloud.machines[machine.id] = machine;
+    site.add_worker(machine);
   }
   wire::Writer newer;
   newer.map(2).key("v").count(roles::kRecordVersion + 1).key("token").count(1);
@@ -261,17 +261,18 @@
 TEST(SingletonRoles, AResumedReturnWaitsForWorkThatALeaderWithoutRolesPutThere) {
   Site site(1);
   site.cloud.lag = Nanos(0);
-  const ScriptedCloud::Machine m{"vm-100001",      "box", "a", false,
-                                 site.clock.now(), false, {},  "10.1.0.1:9000"};
-  site.cloud.machines[m.id] = m;
-  site.add_worker(m);
-  Worker& worker = *site.workers.at(m.id);
+  const ScriptedCloud::Machine machine{"vm-100001",      "box", "a", false,
+                                       site.clock.now(), false, {},  "10.1.0.1:9000"};
+  site.cloud.machines[machine.id] = machine;
+  site.add_worker(machine);
+  Worker& worker = *site.workers.at(machine.id);
   worker.run_time = [](const TaskRef&) { return seconds(20); };
   site.run_for(seconds(5));
   site.submit(job("run-000001"));
   site.run_for(seconds(5));
   ASSERT_EQ(worker.started.size(), 1u);
-  site.store.put(roles::scale_in_key(m.id), roles::write_scale_in_intent({m.id, "idle", 1}));
+  site.store.put(roles::scale_in_key(machine.id),
+                 roles::write_scale_in_intent({machine.id, "idle", 1}));
   with_roles(site);
   site.run_for(seconds(8));
   EXPECT_TRUE(worker.on) << "its task runs";
--- a/tests/support.cpp
+++ b/tests/support.cpp
@@ -12,15 +12,15 @@
 using wire::Writer;
 
 Reply reply(int status, std::string body) {
-  Reply r;
-  r.outcome = Outcome::ok;
-  r.status = status;
-  r.body = std::move(body);
-  return r;
+  Reply reply;
+  reply.outcome = Outcome::ok;
+  reply.status = status;
+  reply.body = std::move(body);
+  return reply;
 }
 
-Reply within_limit(const Call& call, Reply r) {
-  if (r.body.size() <= call.max_body) return r;
+Reply within_limit(const Call& call, Reply reply) {
+  if (reply.body.size() <= call.max_body) return reply;
   Reply none;
   none.too_large = true;
   return none;
@@ -58,12 +58,12 @@
     }
     // Open watches of a node that is refused wait as they do in an outage.
     if (refused_by_store && !call.target.starts_with("/changes")) co_return reply(503);
-    Reply r = co_await site.store.serve(call);
+    Reply reply = co_await site.store.serve(call);
     while (refused_by_store && site.loop.now() < call.deadline) {
       co_await site.loop.sleep(Millis(20));
     }
     if (refused_by_store) co_return Reply{};
-    co_return r;
+    co_return reply;
   }
   if (call.to == platform.cloud) {
     if (cut_from_cloud) {
@@ -91,48 +91,48 @@
 }
 
 Task<http::Response> Site::handle(size_t i, http::Request request) {
-  Node& n = *nodes[i];
+  Node& node = *nodes[i];
   http::Response none;
   none.status = 0;
-  if (n.dead || n.paused) co_return none;
+  if (node.dead || node.paused) co_return none;
   if (on_request) request = on_request(std::move(request));
-  http::Response r = co_await n.daemon->handle(std::move(request));
-  if (n.dead || n.paused) co_return none;
-  if (on_response) on_response(r);
-  co_return r;
+  http::Response response = co_await node.daemon->handle(std::move(request));
+  if (node.dead || node.paused) co_return none;
+  if (on_response) on_response(response);
+  co_return response;
 }
 
 settings::Platform Site::platform(size_t index, size_t count) {
-  settings::Platform p;
-  p.node = "dunlin-" + std::to_string(index);
-  p.zone = "a";
-  p.listen = *http::Endpoint::parse("127.0.0.1:1000");
-  p.back = *http::Endpoint::parse("127.0.0.1:1001");
+  settings::Platform platform;
+  platform.node = "dunlin-" + std::to_string(index);
+  platform.zone = "a";
+  platform.listen = *http::Endpoint::parse("127.0.0.1:1000");
+  platform.back = *http::Endpoint::parse("127.0.0.1:1001");
   for (size_t i = 0; i < count; ++i) {
     if (i == index) continue;
-    p.peers.push_back({"dunlin-" + std::to_string(i), "a",
-                       *http::Endpoint::parse("127.0.0.1:" + std::to_string(2000 + i))});
+    platform.peers.push_back({"dunlin-" + std::to_string(i), "a",
+                              *http::Endpoint::parse("127.0.0.1:" + std::to_string(2000 + i))});
   }
-  p.cloud = *http::Endpoint::parse("127.0.0.1:3000");
-  p.key_value_store = *http::Endpoint::parse("127.0.0.1:3001");
-  p.nodes = static_cast<uint32_t>(count);
-  p.zones = {"a", "b"};
-  p.teams = {{"red", 8, 64, 0, 0}, {"blue", 8, 64, 0, 0}, {"tiny", 0, 4, 0, 0}};
-  p.heartbeat_interval = Seconds(1.5);
-  p.lease = Seconds(14);
-  p.gang_wait = Seconds(40);
-  p.gang_peer = Seconds(6);
-  p.cancel = Seconds(39);
-  p.store_limits.rps = 1000;
-  p.store_limits.write_rps = 1000;
-  p.store_limits.value_bytes = size_t{8} * 1024;
-  p.store_limits.txn_ops = 16;
-  p.cloud_rps = 4;
-  p.list_lag = Seconds(8);
-  p.cpu_share = 0.1;
-  p.memory_mb = 64;
-  p.max_connections = 500;
-  return p;
+  platform.cloud = *http::Endpoint::parse("127.0.0.1:3000");
+  platform.key_value_store = *http::Endpoint::parse("127.0.0.1:3001");
+  platform.nodes = static_cast<uint32_t>(count);
+  platform.zones = {"a", "b"};
+  platform.teams = {{"red", 8, 64, 0, 0}, {"blue", 8, 64, 0, 0}, {"tiny", 0, 4, 0, 0}};
+  platform.heartbeat_interval = Seconds(1.5);
+  platform.lease = Seconds(14);
+  platform.gang_wait = Seconds(40);
+  platform.gang_peer = Seconds(6);
+  platform.cancel = Seconds(39);
+  platform.store_limits.rps = 1000;
+  platform.store_limits.write_rps = 1000;
+  platform.store_limits.value_bytes = size_t{8} * 1024;
+  platform.store_limits.txn_ops = 16;
+  platform.cloud_rps = 4;
+  platform.list_lag = Seconds(8);
+  platform.cpu_share = 0.1;
+  platform.memory_mb = 64;
+  platform.max_connections = 500;
+  return platform;
 }
 
 Site::Site(size_t controllers) {
@@ -150,7 +150,7 @@
   crate.zones = {"a"};
   cloud.types = {box, crate};
   cloud.capacity["box/a/ordinary"] = 2;
-  cloud.on_launched = [this](const ScriptedCloud::Machine& m) { add_worker(m); };
+  cloud.on_launched = [this](const ScriptedCloud::Machine& machine) { add_worker(machine); };
   cloud.on_deleted = [this](const std::string& id) {
     if (const auto it = workers.find(id); it != workers.end()) it->second->power_off();
   };
@@ -187,39 +187,40 @@
   return std::nullopt;
 }
 
-void Site::add_worker(const ScriptedCloud::Machine& m) {
+void Site::add_worker(const ScriptedCloud::Machine& machine) {
   const MachineType* type = nullptr;
   for (const auto& t : cloud.types) {
-    if (t.name == m.type) type = &t;
+    if (t.name == machine.type) type = &t;
   }
   if (!type) throw std::runtime_error("a machine of a type that the cloud does not list");
   const size_t number = workers.size() + 1;
   const std::string address =
       "10.1." + std::to_string(number / 256) + "." + std::to_string(number % 256) + ":9000";
-  auto w = std::make_unique<Worker>(loop, m.id, *type, m.zone, m.spot, address, seconds(14));
+  auto w = std::make_unique<Worker>(loop, machine.id, *type, machine.zone, machine.spot, address,
+                                    seconds(14));
   w->specs = &specs;
   Worker* raw = w.get();
-  const Rules::Place place{m.id, m.type, m.zone, m.spot};
-  w->on_start = [this, place, raw](const TaskRef& t) {
+  const Rules::Place place{machine.id, machine.type, machine.zone, machine.spot};
+  w->on_start = [this, place, raw](const TaskRef& task) {
     ++starts;
-    if (copies(t) > 0) ++ran_twice;
-    rules.started(place, t, raw->started.back().second);
+    if (copies(task) > 0) ++ran_twice;
+    rules.started(place, task, raw->started.back().second);
   };
-  w->on_end = [this, id = m.id](const Worker::Running& r) {
+  w->on_end = [this, id = machine.id](const Worker::Running& r) {
     rules.ended(id, r.task, r.attempt, r.cause == ExitCause::done);
   };
   if (on_worker) on_worker(*w);
-  workers[m.id] = std::move(w);
+  workers[machine.id] = std::move(w);
   // Tries the nodes in turn, beginning with the one that answered last; the leader is the one that
   // answers 200.
-  const auto handler = [this, id = m.id,
-                        at = std::make_shared<size_t>(0)](http::Request r) -> Task<http::Response> {
+  const auto handler = [this, id = machine.id, at = std::make_shared<size_t>(0)](
+                           http::Request request) -> Task<http::Response> {
     http::Response out;
     out.status = 503;
     for (size_t k = 0; k < nodes.size(); ++k) {
       const size_t i = (*at + k) % nodes.size();
       if (cut.contains({i, id})) continue;
-      http::Request copy = r;
+      http::Request copy = request;
       out = co_await handle(i, std::move(copy));
       if (out.status != 200) continue;
       *at = i;
@@ -227,9 +228,9 @@
     }
     co_return out;
   };
-  const auto boot = [](EventLoop& l, Worker* worker,
+  const auto boot = [](EventLoop& event_loop, Worker* worker,
                        std::function<Task<http::Response>(http::Request)> h) -> Task<void> {
-    co_await l.sleep(seconds(2));
+    co_await event_loop.sleep(seconds(2));
     co_await worker->run(std::move(h), Millis(1500));
   };
   loop.spawn(boot(loop, raw, handler));
@@ -238,10 +239,10 @@
 
 Task<http::Response> Site::request(size_t node, std::string method, std::string target,
                                    std::string body) {
-  http::Request r;
-  r.method = method;
-  r.target = target;
-  r.body = body;
+  http::Request request;
+  request.method = method;
+  request.target = target;
+  request.body = body;
   constexpr std::string_view kPrefix = "/v1/jobs";
   const bool users = target.starts_with(kPrefix);
   std::string id = users && target.size() > kPrefix.size() ? target.substr(kPrefix.size() + 1) : "";
@@ -253,7 +254,7 @@
     if (doc && doc->root().is_map()) id = doc->root()["id"].text().value_or("");
   }
   const Instant asked = loop.now();
-  http::Response out = co_await handle(node, std::move(r));
+  http::Response out = co_await handle(node, std::move(request));
   if (!users || id.empty() || out.status == 0) co_return out;
   const auto doc = Document::parse(out.body);
   const std::string standing(doc ? doc->root()["standing"].text().value_or("") : "");
@@ -274,50 +275,50 @@
 http::Response Site::submit(const JobSpec& spec, size_t node) {
   specs[spec.id] = spec;
   rules.submitted(spec);
-  Writer w;
-  wire::write_job(w, spec);
-  return ask(node, "POST", "/v1/jobs", w.take());
+  Writer writer;
+  wire::write_job(writer, spec);
+  return ask(node, "POST", "/v1/jobs", writer.take());
 }
 
 std::string Site::standing(const std::string& id, size_t node) {
-  const http::Response r = ask(node, "GET", "/v1/jobs/" + id);
-  if (r.status != 200) return std::to_string(r.status);
-  const auto doc = Document::parse(r.body);
+  const http::Response response = ask(node, "GET", "/v1/jobs/" + id);
+  if (response.status != 200) return std::to_string(response.status);
+  const auto doc = Document::parse(response.body);
   return std::string(doc->root()["standing"].text().value_or("?"));
 }
 
-size_t Site::copies(const TaskRef& t) const {
+size_t Site::copies(const TaskRef& task) const {
   size_t n = 0;
   for (const auto& [id, w] : workers) {
     if (!w->on) continue;
     for (const auto& [key, running] : w->tasks) {
       const bool there = running.state != TaskState::exited && running.state != TaskState::fetching;
-      if (key.first == t && there) ++n;
+      if (key.first == task && there) ++n;
     }
   }
   return n;
 }
 
-bool is_commit_of(const Call& c, std::string_view key) {
-  return c.target == "/multi" && c.body.find(key) != std::string::npos;
+bool is_commit_of(const Call& call, std::string_view key) {
+  return call.target == "/multi" && call.body.find(key) != std::string::npos;
 }
 
-void expect_rules(const Site& s) {
-  EXPECT_EQ(s.ran_twice, 0u);
-  for (const auto& b : s.rules.broken()) ADD_FAILURE() << b;
+void expect_rules(const Site& site) {
+  EXPECT_EQ(site.ran_twice, 0u);
+  for (const auto& b : site.rules.broken()) ADD_FAILURE() << b;
 }
 
 JobSpec job(const std::string& id, uint32_t tasks) {
-  JobSpec j;
-  j.id = id;
-  j.job_class = "train";
-  j.team = "red";
-  j.tasks = tasks;
-  j.need = {2, 0, 4};
-  j.image = "img-1";
-  j.image_gb = 1;
-  j.estimate = Seconds(5);
-  return j;
+  JobSpec spec;
+  spec.id = id;
+  spec.job_class = "train";
+  spec.team = "red";
+  spec.tasks = tasks;
+  spec.need = {2, 0, 4};
+  spec.image = "img-1";
+  spec.image_gb = 1;
+  spec.estimate = Seconds(5);
+  return spec;
 }
 
 }  // namespace dunlinknot::test
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -144,7 +144,7 @@
 };
 
 // The size of a value in JSON without any spaces.
-size_t compact_json_size(wire::View v);
+size_t compact_json_size(wire::View value);
 
 class ScriptedCloud {
  public:
@@ -281,7 +281,7 @@
   static settings::Platform platform(size_t index, size_t count);
   node::Daemon& daemon(size_t i) { return *nodes[i]->daemon; }
   std::optional<size_t> leader() const;
-  void add_worker(const ScriptedCloud::Machine& m);
+  void add_worker(const ScriptedCloud::Machine& machine);
   // One user's request, watched by the rules.
   Task<http::Response> request(size_t node, std::string method, std::string target,
                                std::string body = "");
@@ -292,7 +292,7 @@
   http::Response submit(const JobSpec& spec, size_t node = 0);
   std::string standing(const std::string& id, size_t node = 0);
   // How many machines the task is on at this moment.
-  size_t copies(const TaskRef& t) const;
+  size_t copies(const TaskRef& task) const;
 
   settings::Operator op;
   // Applied to the platform's settings of every process that starts from now on.
@@ -322,8 +322,8 @@
 
 JobSpec job(const std::string& id, uint32_t tasks = 1);
 // A transaction that has to do with this key.
-bool is_commit_of(const http::Call& c, std::string_view key);
+bool is_commit_of(const http::Call& call, std::string_view key);
 // Fails the test that calls it with every rule that was broken in the scenario so far.
-void expect_rules(const Site& s);
+void expect_rules(const Site& site);
 
 }  // namespace dunlinknot::test
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -35,9 +35,9 @@
   void old_version_allocates(const std::string& machine, const JobSpec& spec, uint64_t attempt,
                              const std::vector<uint32_t>& tasks) {
     wire::MachineRecord record;
-    const ScriptedCloud::Machine& m = s.cloud.machines.at(machine);
-    record.type = m.type;
-    record.zone = m.zone;
+    const ScriptedCloud::Machine& this_machine = s.cloud.machines.at(machine);
+    record.type = this_machine.type;
+    record.zone = this_machine.zone;
     record.address = s.workers.at(machine)->address;
     record.groups.push_back({spec.id, spec.team, spec.need, spec.gang, {}});
     for (const uint32_t i : tasks) record.groups[0].tasks.emplace_back(i, attempt);
@@ -50,7 +50,7 @@
     s.store.erase(wire::job_key(spec.id));
   }
   void run_long_tasks() {
-    s.on_worker = [](Worker& w) { w.run_time = [](const TaskRef&) { return kLongRun; }; };
+    s.on_worker = [](Worker& worker) { worker.run_time = [](const TaskRef&) { return kLongRun; }; };
   }
   // The job is done by then, whoever leads, and no rule was broken.
   void expect_done(const JobSpec& spec, Nanos within) {
@@ -217,8 +217,8 @@
   const JobSpec spec = job("run-000001", 8);
   ASSERT_EQ(s.submit(spec).status, 201);
   bool written = false;
-  s.store.fate = [&](const http::Call& c) {
-    written |= is_commit_of(c, "host/");
+  s.store.fate = [&](const http::Call& call) {
+    written |= is_commit_of(call, "host/");
     return Fate::normal;
   };
   for (int k = 0; k < 2000 && !written; ++k) s.run_for(Millis(5));
@@ -253,7 +253,7 @@
     ASSERT_EQ(s.submit(job("run-00001" + std::to_string(n), 6)).status, 201);
   }
   const settings::StoreLimits next{1000, 40, 2048, 5};
-  s.adjust_platform = [&](settings::Platform& p) { p.next_store_limits = next; };
+  s.adjust_platform = [&](settings::Platform& platform) { platform.next_store_limits = next; };
   for (size_t i = 0; i < 3; ++i) {
     s.run_for(seconds(4));
     s.restart(i);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -15,41 +15,41 @@
 // A submission with one field replaced (or left out, by an empty edit).
 std::string submission(const std::string& field = "", const Edit& edit = {}) {
   const std::vector<std::pair<std::string, Edit>> fields = {
-      {"id", [](Writer& w) { w.text("run-000412"); }},
-      {"docket", [](Writer& w) { w.text("train"); }},
-      {"crew", [](Writer& w) { w.text("red"); }},
-      {"shape", [](Writer& w) { w.text("ensemble"); }},
-      {"rank", [](Writer& w) { w.text("high"); }},
-      {"pieces", [](Writer& w) { w.count(16); }},
-      {"cores", [](Writer& w) { w.amount(8); }},
-      {"gpus", [](Writer& w) { w.count(1); }},
-      {"ramGb", [](Writer& w) { w.amount(64); }},
-      {"bundle", [](Writer& w) { w.text("img-07"); }},
-      {"sizeGb", [](Writer& w) { w.amount(6.2); }},
-      {"together", [](Writer& w) { w.flag(true); }},
-      {"apart", [](Writer& w) { w.flag(false); }},
-      {"loaners", [](Writer& w) { w.flag(true); }},
-      {"reckonS", [](Writer& w) { w.count(240); }},
-      {"markEveryS", [](Writer& w) { w.amount(30); }},
-      {"markCostS", [](Writer& w) { w.amount(4); }},
-      {"dueS", [](Writer& w) { w.null(); }},
-      {"later_field", [](Writer& w) { w.list(0); }},
+      {"id", [](Writer& writer) { writer.text("run-000412"); }},
+      {"docket", [](Writer& writer) { writer.text("train"); }},
+      {"crew", [](Writer& writer) { writer.text("red"); }},
+      {"shape", [](Writer& writer) { writer.text("ensemble"); }},
+      {"rank", [](Writer& writer) { writer.text("high"); }},
+      {"pieces", [](Writer& writer) { writer.count(16); }},
+      {"cores", [](Writer& writer) { writer.amount(8); }},
+      {"gpus", [](Writer& writer) { writer.count(1); }},
+      {"ramGb", [](Writer& writer) { writer.amount(64); }},
+      {"bundle", [](Writer& writer) { writer.text("img-07"); }},
+      {"sizeGb", [](Writer& writer) { writer.amount(6.2); }},
+      {"together", [](Writer& writer) { writer.flag(true); }},
+      {"apart", [](Writer& writer) { writer.flag(false); }},
+      {"loaners", [](Writer& writer) { writer.flag(true); }},
+      {"reckonS", [](Writer& writer) { writer.count(240); }},
+      {"markEveryS", [](Writer& writer) { writer.amount(30); }},
+      {"markCostS", [](Writer& writer) { writer.amount(4); }},
+      {"dueS", [](Writer& writer) { writer.null(); }},
+      {"later_field", [](Writer& writer) { writer.list(0); }},
   };
   const bool known =
       std::any_of(fields.begin(), fields.end(), [&](const auto& f) { return f.first == field; });
   const size_t n = fields.size() - (known && !edit ? 1 : 0) + (!known && edit ? 1 : 0);
-  Writer w;
-  w.map(n);
+  Writer writer;
+  writer.map(n);
   for (const auto& [name, value] : fields) {
     if (name == field && !edit) continue;
-    w.key(name);
-    (name == field ? edit : value)(w);
+    writer.key(name);
+    (name == field ? edit : value)(writer);
   }
   if (!known && edit) {
-    w.key(field);
-    edit(w);
+    writer.key(field);
+    edit(writer);
   }
-  return w.take();
+  return writer.take();
 }
 
 bool accepted(const std::string& body) {
@@ -75,24 +75,24 @@
        {"id", "docket", "crew", "shape", "rank", "pieces", "cores", "gpus", "ramGb", "bundle",
         "sizeGb", "together", "apart", "loaners", "reckonS", "markEveryS", "markCostS"}) {
     EXPECT_FALSE(accepted(submission(f))) << f << " missing";
-    EXPECT_FALSE(accepted(submission(f, [](Writer& w) { w.list(0); }))) << f << " a list";
-    EXPECT_FALSE(accepted(submission(f, [](Writer& w) { w.null(); }))) << f << " null";
+    EXPECT_FALSE(accepted(submission(f, [](Writer& writer) { writer.list(0); }))) << f << " a list";
+    EXPECT_FALSE(accepted(submission(f, [](Writer& writer) { writer.null(); }))) << f << " null";
   }
   for (const char* f : {"cores", "gpus", "ramGb", "sizeGb", "reckonS", "markEveryS", "dueS"}) {
-    EXPECT_FALSE(accepted(submission(f, [](Writer& w) { w.amount(-1); }))) << f;
-    EXPECT_FALSE(accepted(submission(f, [](Writer& w) { w.amount(NAN); }))) << f;
-    EXPECT_FALSE(accepted(submission(f, [](Writer& w) { w.amount(INFINITY); }))) << f;
+    EXPECT_FALSE(accepted(submission(f, [](Writer& writer) { writer.amount(-1); }))) << f;
+    EXPECT_FALSE(accepted(submission(f, [](Writer& writer) { writer.amount(NAN); }))) << f;
+    EXPECT_FALSE(accepted(submission(f, [](Writer& writer) { writer.amount(INFINITY); }))) << f;
   }
   for (const uint64_t n : {uint64_t{0}, uint64_t{100'001}, std::numeric_limits<uint64_t>::max()}) {
-    EXPECT_FALSE(accepted(submission("pieces", [&](Writer& w) { w.count(n); }))) << n;
+    EXPECT_FALSE(accepted(submission("pieces", [&](Writer& writer) { writer.count(n); }))) << n;
   }
-  EXPECT_FALSE(accepted(submission("pieces", [](Writer& w) { w.amount(2.5); })));
+  EXPECT_FALSE(accepted(submission("pieces", [](Writer& writer) { writer.amount(2.5); })));
   for (const char* id : {"", "run-", "run-12", "job-000001", "run-00000x", "run-000001/1",
                          "run-0000000000000000000001"}) {
-    EXPECT_FALSE(accepted(submission("id", [&](Writer& w) { w.text(id); }))) << id;
+    EXPECT_FALSE(accepted(submission("id", [&](Writer& writer) { writer.text(id); }))) << id;
   }
-  EXPECT_FALSE(accepted(submission("rigs", [](Writer& w) { w.list(1).count(1); })));
-  EXPECT_FALSE(accepted(submission("rank", [](Writer& w) { w.text("urgent"); })));
+  EXPECT_FALSE(accepted(submission("rigs", [](Writer& writer) { writer.list(1).count(1); })));
+  EXPECT_FALSE(accepted(submission("rank", [](Writer& writer) { writer.text("urgent"); })));
 }
 
 TEST(MessagePack, HostileBytesAreRefused) {
@@ -105,18 +105,18 @@
 }
 
 TEST(Heartbeat, IsReadBackAsWritten) {
-  Heartbeat b;
-  b.machine = "vm-000231";
-  b.address = "10.1.0.232:9000";
-  b.type = "g8";
-  b.zone = "a";
-  b.incarnation = 3;
-  b.sequence = 88;
-  b.fencing_token = 41;
-  b.interruption_notice = Seconds(7.5);
-  b.tasks = {{{"run-000412", 3}, 2, TaskState::running, ExitCause::none, false},
-             {{"run-000398", 0}, 1, TaskState::exited, ExitCause::stopped, true}};
-  const auto r = read_heartbeat(write_heartbeat(b));
+  Heartbeat heartbeat;
+  heartbeat.machine = "vm-000231";
+  heartbeat.address = "10.1.0.232:9000";
+  heartbeat.type = "g8";
+  heartbeat.zone = "a";
+  heartbeat.incarnation = 3;
+  heartbeat.sequence = 88;
+  heartbeat.fencing_token = 41;
+  heartbeat.interruption_notice = Seconds(7.5);
+  heartbeat.tasks = {{{"run-000412", 3}, 2, TaskState::running, ExitCause::none, false},
+                     {{"run-000398", 0}, 1, TaskState::exited, ExitCause::stopped, true}};
+  const auto r = read_heartbeat(write_heartbeat(heartbeat));
   ASSERT_TRUE(r);
   EXPECT_EQ(r->tasks.size(), 2u);
   EXPECT_EQ(r->tasks[1].cause, ExitCause::stopped);
@@ -128,12 +128,13 @@
 TEST(Heartbeat, WithOneUnreadableTaskIsDroppedWhole) {
   // What is not listed in a heartbeat counts as gone: a heartbeat of which a part is unclear must
   // not.
-  Writer w;
-  w.map(9).key("host").text("vm-1").key("address").text("10.0.0.1:1").key("rig").text("g8");
-  w.key("yard").text("a").key("loaners").flag(false).key("shift").count(1).key("tally").count(1);
-  w.key("baton").count(1).key("pieces").list(1).map(2).key("piece").text("run-000001/0");
-  w.key("try").count(1);
-  EXPECT_FALSE(read_heartbeat(w.take()));
+  Writer writer;
+  writer.map(9).key("host").text("vm-1").key("address").text("10.0.0.1:1").key("rig").text("g8");
+  writer.key("yard").text("a").key("loaners").flag(false).key("shift").count(1).key("tally").count(
+      1);
+  writer.key("baton").count(1).key("pieces").list(1).map(2).key("piece").text("run-000001/0");
+  writer.key("try").count(1);
+  EXPECT_FALSE(read_heartbeat(writer.take()));
 }
 
 TEST(Records, AHundredThousandTasksFitTheSmallestValues) {
@@ -164,31 +165,31 @@
   EXPECT_EQ(back->spec.types, r.spec.types);
   EXPECT_EQ(back->spec.deadline, r.spec.deadline);
 
-  MachineRecord h{
+  MachineRecord record{
       "box", "a", "10.0.0.1:9", true, {{"run-000007", "red", {1, 2, 3}, true, {{0, 5}}}}};
-  const std::string machine = write_machine_record(h);
+  const std::string machine = write_machine_record(record);
   const auto machine_doc = Document::parse(machine);
   const auto machine_back = read_machine_record(machine_doc->root());
   ASSERT_TRUE(machine_back);
   ASSERT_EQ(machine_back->groups.size(), 1u);
-  EXPECT_EQ(machine_back->groups[0].tasks, h.groups[0].tasks);
+  EXPECT_EQ(machine_back->groups[0].tasks, record.groups[0].tasks);
   EXPECT_EQ(machine_back->groups[0].need.gpus, 2);
   EXPECT_TRUE(machine_back->spot);
 }
 
 TEST(PeerFrames, AreCheckedBeforeTheyAreRead) {
-  peer::Status s;
-  s.sequence = 7;
-  s.echo = 6;
-  s.epoch = 0x1122334455667788;
-  s.cancel_revision = 4'300'000'000;
-  s.store_silent = Millis(1500);
-  s.up = Millis(99);
-  s.leading = true;
-  s.store_known = true;
-  s.node = "dunlin-1";
-  s.leader = "dunlin-2";
-  const std::string frame = peer::write_status(s);
+  peer::Status status;
+  status.sequence = 7;
+  status.echo = 6;
+  status.epoch = 0x1122334455667788;
+  status.cancel_revision = 4'300'000'000;
+  status.store_silent = Millis(1500);
+  status.up = Millis(99);
+  status.leading = true;
+  status.store_known = true;
+  status.node = "dunlin-1";
+  status.leader = "dunlin-2";
+  const std::string frame = peer::write_status(status);
   // The layout is fixed: little-endian, whatever the machine.
   EXPECT_EQ(static_cast<unsigned char>(frame[12 + 16]), 0x88);
   const auto header = peer::read_header(frame.substr(0, peer::kHeaderBytes));
@@ -196,8 +197,8 @@
   EXPECT_EQ(header->length, frame.size() - peer::kHeaderBytes);
   const auto back = peer::read_status(std::string_view(frame).substr(peer::kHeaderBytes));
   ASSERT_TRUE(back);
-  EXPECT_EQ(back->epoch, s.epoch);
-  EXPECT_EQ(back->cancel_revision, s.cancel_revision);
+  EXPECT_EQ(back->epoch, status.epoch);
+  EXPECT_EQ(back->cancel_revision, status.cancel_revision);
   EXPECT_EQ(back->leader, "dunlin-2");
   EXPECT_TRUE(back->leading);
   EXPECT_FALSE(back->heartbeats_known);
@@ -213,8 +214,8 @@
   EXPECT_FALSE(peer::read_header(other.substr(0, peer::kHeaderBytes)));
   EXPECT_FALSE(peer::read_status(std::string_view(frame).substr(peer::kHeaderBytes + 1)));
 
-  peer::Progress p{3, {{"run-000001", 4, 5}}};
-  const std::string pf = peer::write_progress(p);
+  peer::Progress progress{3, {{"run-000001", 4, 5}}};
+  const std::string pf = peer::write_progress(progress);
   const auto pb = peer::read_progress(std::string_view(pf).substr(peer::kHeaderBytes));
   ASSERT_TRUE(pb);
   EXPECT_EQ(pb->entries[0].running, 5u);
--- a/tests/zone_constraints_test.cpp
+++ b/tests/zone_constraints_test.cpp
@@ -30,18 +30,18 @@
     run(add(spec), machine);
   }
   // Room that was made for a task of the job, with no victim left there.
-  uint64_t nominate(const Job& j, const Machine& machine) {
-    return nominations.add(j.spec().id, machine.id, j.spec().need, j.spec().priority, {});
+  uint64_t nominate(const Job& job, const Machine& machine) {
+    return nominations.add(job.spec().id, machine.id, job.spec().need, job.spec().priority, {});
   }
   // How many tasks the plan places in each zone.
-  std::map<std::string, uint32_t> placed_by_zone(const Plan& p) {
+  std::map<std::string, uint32_t> placed_by_zone(const Plan& plan) {
     std::map<std::string, uint32_t> zones;
-    for (const auto& x : p.placements) zones[cluster.find_machine(x.machine)->zone] += x.count;
+    for (const auto& x : plan.placements) zones[cluster.find_machine(x.machine)->zone] += x.count;
     return zones;
   }
-  std::map<std::string, uint32_t> evicted_by_zone(const Plan& p) {
+  std::map<std::string, uint32_t> evicted_by_zone(const Plan& plan) {
     std::map<std::string, uint32_t> zones;
-    for (const auto& e : p.preemptions) ++zones[cluster.find_machine(e.machine)->zone];
+    for (const auto& e : plan.preemptions) ++zones[cluster.find_machine(e.machine)->zone];
     return zones;
   }
 
@@ -49,47 +49,47 @@
 };
 
 TEST_F(ZoneConstraints, ANominationIsNotUsedInAnotherZoneThanTheJobsTasks) {
-  Job& j = add_preemptor(2, true, false);
-  const uint64_t nomination = nominate(j, add_machine("vm-1", "a"));
-  run(j, add_machine("vm-2", "b"));
+  Job& job = add_preemptor(2, true, false);
+  const uint64_t nomination = nominate(job, add_machine("vm-1", "a"));
+  run(job, add_machine("vm-2", "b"));
   fill(*cluster.find_machine("vm-2"));  // no room beside it
-  const Plan p = plan();
-  EXPECT_EQ(placed_by_zone(p), Zones{});
-  EXPECT_EQ(p.cleared, std::vector<uint64_t>{nomination});
+  const Plan result_plan = plan();
+  EXPECT_EQ(placed_by_zone(result_plan), Zones{});
+  EXPECT_EQ(result_plan.cleared, std::vector<uint64_t>{nomination});
 }
 
 TEST_F(ZoneConstraints, ANominationIsNotUsedWhereHalfOfTheJobIsAlready) {
-  Job& j = add_preemptor(3, false, true);
-  Machine& a = add_machine("vm-1", "a");
-  run(j, a);
-  run(j, a);
-  const uint64_t nomination = nominate(j, add_machine("vm-2", "a"));
-  const Plan p = plan();
-  EXPECT_EQ(placed_by_zone(p), Zones{});
-  EXPECT_EQ(p.cleared, std::vector<uint64_t>{nomination});
+  Job& job = add_preemptor(3, false, true);
+  Machine& machine = add_machine("vm-1", "a");
+  run(job, machine);
+  run(job, machine);
+  const uint64_t nomination = nominate(job, add_machine("vm-2", "a"));
+  const Plan result_plan = plan();
+  EXPECT_EQ(placed_by_zone(result_plan), Zones{});
+  EXPECT_EQ(result_plan.cleared, std::vector<uint64_t>{nomination});
 }
 
 TEST_F(ZoneConstraints, NominationsInTwoZonesAreUsedInOneOnly) {
-  Job& j = add_preemptor(2, true, false);
-  nominate(j, add_machine("vm-1", "a"));
-  nominate(j, add_machine("vm-2", "b"));
+  Job& job = add_preemptor(2, true, false);
+  nominate(job, add_machine("vm-1", "a"));
+  nominate(job, add_machine("vm-2", "b"));
   EXPECT_EQ(placed_by_zone(plan()).size(), 1u);
 }
 
 TEST_F(ZoneConstraints, WhatANominationPlacesCountsForTheRestOfTheCycle) {
-  Machine& a = add_machine("vm-1", "a");
+  Machine& machine = add_machine("vm-1", "a");
   JobSpec half = job("run-000001");
   half.priority = Priority::production;
   half.need = {4, 0, 4};
-  run(add(half), a);
-  nominate(add_preemptor(3, true, false), a);
+  run(add(half), machine);
+  nominate(add_preemptor(3, true, false), machine);
   add_machine("vm-2", "b");  // empty
   EXPECT_EQ(placed_by_zone(plan()), (Zones{{"a", 1}}));
 }
 
 TEST_F(ZoneConstraints, WhatANominationPlacesCountsTowardsHalfOfTheJob) {
-  Job& j = add_preemptor(3, false, true);
-  nominate(j, add_machine("vm-1", "a"));
+  Job& job = add_preemptor(3, false, true);
+  nominate(job, add_machine("vm-1", "a"));
   add_machine("vm-2", "a");
   EXPECT_EQ(placed_by_zone(plan()), (Zones{{"a", 2}}));
 }
@@ -108,12 +108,12 @@
 }
 
 TEST_F(ZoneConstraints, RoomIsMadeOnlyWhereTheJobsNominationsAre) {
-  Job& j = add_preemptor(3, true, false);
-  Machine& a = add_machine("vm-1", "a");
-  fill(a);
-  const Allocation& victim = a.allocations.front();
+  Job& job = add_preemptor(3, true, false);
+  Machine& machine = add_machine("vm-1", "a");
+  fill(machine);
+  const Allocation& victim = machine.allocations.front();
   for (int half = 0; half < 2; ++half) {
-    nominations.add(j.spec().id, a.id, j.spec().need, j.spec().priority,
+    nominations.add(job.spec().id, machine.id, job.spec().need, job.spec().priority,
                     {{victim.task, victim.attempt}});
   }
   fill(add_machine("vm-2", "b"));
@@ -125,14 +125,14 @@
 TEST_F(ZoneConstraints, MachinesAreLaunchedWhereTheJobMayHaveMoreTasks) {
   for (const bool spread : {false, true}) {
     const std::string held = spread ? "a" : "b";  // the offers of zone a come first
-    Job& j = add_preemptor(4, !spread, spread);
+    Job& job = add_preemptor(4, !spread, spread);
     Machine& machine = add_machine("vm-" + held, held);
-    run(j, machine);
-    run(j, machine);
+    run(job, machine);
+    run(job, machine);
     cloud_capacity.refused.clear();
-    const Plan p = plan();
-    ASSERT_EQ(p.capacity_requests.size(), 1u);
-    EXPECT_EQ(p.capacity_requests[0].offer.zone, "b");
+    const Plan result_plan = plan();
+    ASSERT_EQ(result_plan.capacity_requests.size(), 1u);
+    EXPECT_EQ(result_plan.capacity_requests[0].offer.zone, "b");
     cluster.close_job("run-000002", false, now);
     cluster.remove_machine("vm-" + held, now);
   }
@@ -145,15 +145,15 @@
   gang.spread = true;
   add(gang);
   cloud_capacity.refused.clear();
-  Plan p = plan();
-  ASSERT_EQ(p.capacity_requests.size(), 1u);
-  EXPECT_EQ(p.capacity_requests[0].offer.zone, "a");
-  EXPECT_EQ(p.capacity_requests[0].count, 2u);
-  cloud_capacity.pending = {{p.capacity_requests[0].offer, 2}};
-  p = plan();
-  ASSERT_EQ(p.capacity_requests.size(), 1u);
-  EXPECT_EQ(p.capacity_requests[0].offer.zone, "b");
-  EXPECT_EQ(p.capacity_requests[0].count, 2u);
+  Plan result_plan = plan();
+  ASSERT_EQ(result_plan.capacity_requests.size(), 1u);
+  EXPECT_EQ(result_plan.capacity_requests[0].offer.zone, "a");
+  EXPECT_EQ(result_plan.capacity_requests[0].count, 2u);
+  cloud_capacity.pending = {{result_plan.capacity_requests[0].offer, 2}};
+  result_plan = plan();
+  ASSERT_EQ(result_plan.capacity_requests.size(), 1u);
+  EXPECT_EQ(result_plan.capacity_requests[0].offer.zone, "b");
+  EXPECT_EQ(result_plan.capacity_requests[0].count, 2u);
 }
 
 TEST_F(ZoneConstraints, RoomIsKeptForASpreadGangInSeveralZones) {
@@ -164,9 +164,9 @@
   gang.need = {8, 0, 4};
   gang.spread = true;
   add(gang);
-  const Plan p = plan();
-  EXPECT_EQ(p.held.size(), 2u);
-  EXPECT_TRUE(p.held.contains("vm-3"));
+  const Plan result_plan = plan();
+  EXPECT_EQ(result_plan.held.size(), 2u);
+  EXPECT_TRUE(result_plan.held.contains("vm-3"));
 }
 
 // Found while looking for decisions that miss what the cycle itself has placed: a record longer
@@ -181,10 +181,10 @@
   gang.gang = true;
   add(gang);
   platform.store_limits.write_rps = 0.1;  // work is queued on the machine
-  const Plan p = plan();
-  EXPECT_FALSE(p.placements.empty());
-  EXPECT_TRUE(p.gangs.empty());
-  (void)apply(p, state, now);
+  const Plan result_plan = plan();
+  EXPECT_FALSE(result_plan.placements.empty());
+  EXPECT_TRUE(result_plan.gangs.empty());
+  (void)apply(result_plan, state, now);
   EXPECT_LE(cluster.record_size(machine), cluster.record_limit());
 }
 
--- a/tests/zoned_cluster.hpp
+++ b/tests/zoned_cluster.hpp
@@ -37,9 +37,9 @@
     out.fencing_token = 1;
     return out;
   }
-  std::vector<Command> send(const Heartbeat& r) {
+  std::vector<Command> send(const Heartbeat& heartbeat) {
     cluster::Effects effects;
-    return cluster.handle_heartbeat(r, now, true, effects).commands;
+    return cluster.handle_heartbeat(heartbeat, now, true, effects).commands;
   }
   cluster::Machine& add_machine(const std::string& id, const std::string& zone) {
     send(heartbeat(id, zone));
@@ -51,15 +51,16 @@
     return *cluster.job(id);
   }
   // Allocates a task of the job there and writes the allocation down.
-  cluster::Allocation& allocate(cluster::Job& j, cluster::Machine& machine, uint64_t attempt = 0) {
+  cluster::Allocation& allocate(cluster::Job& job, cluster::Machine& machine,
+                                uint64_t attempt = 0) {
     cluster::Allocation* allocation = cluster.allocate(
-        machine, j, *j.pop_pending(), attempt != 0 ? attempt : cluster.next_attempt(), now);
+        machine, job, *job.pop_pending(), attempt != 0 ? attempt : cluster.next_attempt(), now);
     cluster::Effects effects;
     cluster.machine_stored(machine, cluster.record_of(machine), ++mod_revision, effects);
     return *allocation;
   }
-  void run(cluster::Job& j, cluster::Machine& machine) {
-    cluster::Allocation& allocation = allocate(j, machine);
+  void run(cluster::Job& job, cluster::Machine& machine) {
+    cluster::Allocation& allocation = allocate(job, machine);
     allocation.phase = cluster::Phase::seen;
     allocation.state = TaskState::running;
     allocation.running_since = now;
--- a/tools/handover_run.cpp
+++ b/tools/handover_run.cpp
@@ -76,7 +76,7 @@
     state_.on_change = [this](const std::string& key) { apply_change(key); };
     state_.on_removed = [this](const std::string& key) { apply_removed(key); };
     cloud_.on_act = [this](const ScriptedCloud::Act& act) { apply_act(act); };
-    cloud_.on_launched = [this](const ScriptedCloud::Machine& m) { add_worker(m); };
+    cloud_.on_launched = [this](const ScriptedCloud::Machine& machine) { add_worker(machine); };
     cloud_.on_deleted = [this](const std::string& id) { workers_.at(id)->power_off(); };
     cloud_.machine_address = "127.0.0.1:1";  // refuses: stops travel with the answers to reports
     cloud_.lag = seconds(3);
@@ -205,9 +205,9 @@
   }
 
   // --- machines
-  void add_worker(const ScriptedCloud::Machine& m) {
-    auto worker = std::make_unique<Worker>(loop_, m.id, cloud_.types.front(), m.zone, m.spot,
-                                           cloud_.machine_address, kWorkerLease);
+  void add_worker(const ScriptedCloud::Machine& machine) {
+    auto worker = std::make_unique<Worker>(loop_, machine.id, cloud_.types.front(), machine.zone,
+                                           machine.spot, cloud_.machine_address, kWorkerLease);
     worker->specs = &specs_;
     worker->run_time = [this](const TaskRef&) { return Nanos(Millis(500 + random_() % 2500)); };
     worker->on_start = [this](const TaskRef& task) { apply_start(task); };
@@ -215,7 +215,7 @@
       if (r.state != TaskState::fetching) running_.erase(r.task);
     };
     Worker* raw = worker.get();
-    workers_[m.id] = std::move(worker);
+    workers_[machine.id] = std::move(worker);
     const auto at = std::make_shared<size_t>(0);
     loop_.spawn(raw->run(
         [this, at](http::Request request) { return send_heartbeat(std::move(request), at); },
