--- a/tests/scripted_cloud.cpp
+++ b/tests/scripted_cloud.cpp
@@ -1,5 +1,5 @@
 // The scripted cloud: launches, deletions and a machine list that lags.
-#include "support.hpp"
+#include "scripted_cloud.hpp"
 
 namespace dunlinknot::test {
 
--- a/tests/scripted_store.cpp
+++ b/tests/scripted_store.cpp
@@ -1,10 +1,10 @@
 // The scripted key-value store: keys, transactions, leases and watches.
+#include "scripted_store.hpp"
+
 #include <algorithm>
 #include <iomanip>
 #include <sstream>
 
-#include "support.hpp"
-
 namespace dunlinknot::test {
 
 using http::Call;
--- /dev/null
+++ b/tests/scripted_transport.cpp
@@ -0,0 +1,32 @@
+// Replies and targets of the scripted services.
+#include "scripted_transport.hpp"
+
+namespace dunlinknot::test {
+
+using http::Call;
+using http::Outcome;
+using http::Reply;
+
+Reply reply(int status, std::string body) {
+  Reply reply;
+  reply.outcome = Outcome::ok;
+  reply.status = status;
+  reply.body = std::move(body);
+  return reply;
+}
+
+Reply within_limit(const Call& call, Reply reply) {
+  if (reply.body.size() <= call.max_body) return reply;
+  Reply none;
+  none.too_large = true;
+  return none;
+}
+
+std::string query_value(const std::string& target, const std::string& name) {
+  const auto at = target.find(name + "=");
+  if (at == std::string::npos) return "";
+  const auto begin = at + name.size() + 1;
+  return target.substr(begin, target.find('&', at) - begin);
+}
+
+}  // namespace dunlinknot::test
--- a/tests/scripted_worker.cpp
+++ b/tests/scripted_worker.cpp
@@ -1,5 +1,5 @@
 // The scripted worker: fencing tokens, incarnations, leases, and commands in the order they come.
-#include "support.hpp"
+#include "scripted_worker.hpp"
 
 namespace dunlinknot::test {
 
--- a/tests/support.cpp
+++ b/tests/site.cpp
@@ -1,5 +1,5 @@
 // The scripted site: controllers, workers, key-value store, cloud and users together.
-#include "support.hpp"
+#include "site.hpp"
 
 #include <gtest/gtest.h>
 
@@ -11,28 +11,6 @@
 using wire::Document;
 using wire::Writer;
 
-Reply reply(int status, std::string body) {
-  Reply reply;
-  reply.outcome = Outcome::ok;
-  reply.status = status;
-  reply.body = std::move(body);
-  return reply;
-}
-
-Reply within_limit(const Call& call, Reply reply) {
-  if (reply.body.size() <= call.max_body) return reply;
-  Reply none;
-  none.too_large = true;
-  return none;
-}
-
-std::string query_value(const std::string& target, const std::string& name) {
-  const auto at = target.find(name + "=");
-  if (at == std::string::npos) return "";
-  const auto begin = at + name.size() + 1;
-  return target.substr(begin, target.find('&', at) - begin);
-}
-
 Site::Node::Node(Site& s, size_t index) : site(s) {
   platform = Site::platform(index, 3);
   if (s.adjust_platform) s.adjust_platform(platform);
