--- a/src/dunlinknot/roles/intent_log.cpp
+++ b/src/dunlinknot/roles/intent_log.cpp
@@ -1,9 +1,12 @@
+// The intent log: guarded writes, and evidence about writes without an answer.
 #include "dunlinknot/roles/intent_log.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
+#include "dunlinknot/roles/list_all.hpp"
+
 namespace dunlinknot::roles {
 
 namespace {
@@ -11,8 +14,8 @@
 using http::Outcome;
 
 constexpr Millis kCallTime{1200};
-constexpr Millis kRetry{150};
-constexpr size_t kMostWrites = 16;  // of a transaction
+constexpr Millis kRetryPause{150};
+constexpr size_t kMaxWrites = 16;  // of a transaction, where the store's own limit is higher
 
 }  // namespace
 
@@ -26,44 +29,33 @@
 }
 
 size_t IntentLog::max_batch() const {
-  return std::min(store_.limits().txn_ops(), kMostWrites);
+  return std::min(store_.limits().txn_ops(), kMaxWrites);
 }
 
 Task<std::optional<OpenIntents>> IntentLog::load(uint64_t term) {
+  // A leader without the open intents could repeat what is decided: it retries until its term ends.
+  const ListRetry retry{kRetryPause, std::nullopt, [this, term] { return context_.in_term(term); }};
+  const auto pages = co_await list_all(context_.loop, store_, std::string(kIntentPrefix), retry);
+  if (!pages) co_return std::nullopt;
   OpenIntents open;
-  std::string after;
-  for (bool more = true; more;) {
-    const kv::ListResult list =
-        co_await store_.list(std::string(kIntentPrefix), after, std::chrono::seconds(3));
-    if (!context_.in_term(term)) co_return std::nullopt;
-    if (list.outcome != Outcome::ok) {
-      co_await context_.loop.sleep(kRetry);
-      if (!context_.in_term(term)) co_return std::nullopt;
-      continue;
-    }
-    for (const kv::KeyValue& item : list.items) {
-      const bool launch = !scale_out_name(item.key).empty();
-      const auto scale_out = read_scale_out_intent(item.key, item.value);
-      const auto scale_in = read_scale_in_intent(item.key, item.value);
-      if (launch && std::holds_alternative<ScaleOutIntent>(scale_out)) {
-        open.scale_out.push_back(std::get<ScaleOutIntent>(scale_out));
-      } else if (!launch && std::holds_alternative<ScaleInIntent>(scale_in)) {
-        open.scale_in.push_back(std::get<ScaleInIntent>(scale_in));
-      } else {
-        const RecordError error =
-            launch ? std::get<RecordError>(scale_out) : std::get<RecordError>(scale_in);
-        spdlog::error("singleton roles: the intent {} is left alone: {}", item.key, text(error));
-        open.unreadable.push_back({item.key, error});
-        continue;
-      }
-      mod_revisions_[item.key] = item.mod_revision;
-    }
-    more = list.more && !list.items.empty();
-    if (more) after = list.items.back().key;
+  for (const kv::ListResult& page : *pages) {
+    for (const kv::KeyValue& item : page.items) add_loaded(open, item);
   }
   co_return open;
 }
 
+void IntentLog::add_loaded(OpenIntents& open, const kv::KeyValue& item) {
+  const ReadIntent read = read_intent(item.key, item.value);
+  if (const auto* error = std::get_if<RecordError>(&read)) {
+    spdlog::error("singleton roles: the intent {} is left alone: {}", item.key, text(*error));
+    open.unreadable.push_back({item.key, *error});
+    return;
+  }
+  if (const auto* launch = std::get_if<ScaleOutIntent>(&read)) open.scale_out.push_back(*launch);
+  if (const auto* end = std::get_if<ScaleInIntent>(&read)) open.scale_in.push_back(*end);
+  mod_revisions_[item.key] = item.mod_revision;
+}
+
 Task<bool> IntentLog::record_scale_out(uint64_t term, std::vector<ScaleOutIntent> intents) {
   std::vector<Entry> entries;
   for (ScaleOutIntent& intent : intents) {
@@ -87,8 +79,19 @@
 Task<bool> IntentLog::record(uint64_t term, Role role, std::vector<Entry> entries) {
   std::erase_if(entries, [&](const Entry& entry) { return mod_revisions_.contains(entry.key); });
   if (entries.empty()) co_return true;
-  const bool settled = co_await holder_.settle_writes(term, role);
-  if (!settled || !holder_.may_act(role)) co_return false;
+  const bool ready = co_await holder_.settle_writes(term, role);
+  if (!ready || !holder_.may_act(role)) co_return false;
+  const Written written = co_await write(term, role, entries);
+  if (written != Written::unknown) co_return written == Written::yes;
+  // Found by a test: applied late, it brought back an intent that was settled and removed by then.
+  const bool final = co_await holder_.settle_writes(term, role);
+  if (!final) co_return false;
+  const bool durable = co_await read_back(term, entries);
+  co_return durable;
+}
+
+// One transaction that creates all entries, under the role's compares.
+Task<IntentLog::Written> IntentLog::write(uint64_t term, Role role, std::vector<Entry> entries) {
   kv::Transaction txn;
   txn.compares = holder_.compares(role);
   for (const Entry& entry : entries) {
@@ -97,28 +100,24 @@
   }
   const Instant sent = context_.loop.boot_now();
   const kv::TransactionResult result = co_await store_.commit(std::move(txn), kCallTime);
-  if (!context_.in_term(term)) co_return false;
+  if (!context_.in_term(term)) co_return Written::no;
   holder_.apply_result(role, result, sent);
   if (result.applied) {
     for (const Entry& entry : entries) mod_revisions_[entry.key] = result.revision;
-    co_return true;
+    co_return Written::yes;
   }
-  const bool stands_already = std::any_of(entries.begin(), entries.end(), [&](const Entry& entry) {
+  const bool exists = std::any_of(entries.begin(), entries.end(), [&](const Entry& entry) {
     return result.compare_failed(entry.key);
   });
-  if (result.outcome == Outcome::refused || (result.outcome == Outcome::ok && !stands_already)) {
-    co_return false;
+  if (result.outcome == Outcome::refused || (result.outcome == Outcome::ok && !exists)) {
+    co_return Written::no;
   }
-  // Found by a test: applied late, it brought back an intent that was settled and removed by then.
-  const bool final = co_await holder_.settle_writes(term, role);
-  if (!final) co_return false;
-  const bool durable = co_await read_back(term, entries);
-  co_return durable;
+  co_return Written::unknown;
 }
 
-// Nobody knows whether the transaction went through, or an earlier try of it did: what stands
-// counts, whichever attempt wrote it. A machine that a former holder decided to return stays so.
-Task<bool> IntentLog::read_back(uint64_t term, const std::vector<Entry>& entries) {
+// It is unknown whether the transaction was applied, or an earlier attempt of it: what is stored
+// counts, whichever attempt wrote it. A termination that a former holder decided stays decided.
+Task<bool> IntentLog::read_back(uint64_t term, std::vector<Entry> entries) {
   bool all = true;
   for (const Entry& entry : entries) {
     const kv::GetResult got = co_await store_.get(entry.key, kCallTime);
@@ -134,9 +133,9 @@
 
 void IntentLog::end(Role role, std::string key) {
   if (!mod_revisions_.contains(key)) return;
-  const bool waits = std::any_of(ended_.begin(), ended_.end(),
-                                 [&](const Ended& ended) { return ended.key == key; });
-  if (waits) return;
+  const bool listed = std::any_of(ended_.begin(), ended_.end(),
+                                  [&](const Ended& ended) { return ended.key == key; });
+  if (listed) return;
   ended_.push_back({role, std::move(key)});
   has_ended_.notify();
 }
@@ -147,7 +146,7 @@
     if (!context_.in_term(term)) co_return;
     if (ended_.empty()) continue;
     const bool removed = co_await remove_batch(term);
-    if (!removed && context_.in_term(term)) co_await context_.loop.sleep(kRetry);
+    if (!removed && context_.in_term(term)) co_await context_.loop.sleep(kRetryPause);
   }
 }
 
@@ -181,7 +180,9 @@
   co_return true;
 }
 
-Task<void> IntentLog::reread_ended(uint64_t term, const std::vector<Ended>& batch) {
+// After a removal that failed or had no answer: drops what is removed from the list, and compares
+// the present mod revision of the rest next time.
+Task<void> IntentLog::reread_ended(uint64_t term, std::vector<Ended> batch) {
   for (const Ended& ended : batch) {
     const kv::GetResult got = co_await store_.get(ended.key, kCallTime);
     if (!context_.in_term(term)) co_return;
--- a/src/dunlinknot/roles/overview.cpp
+++ b/src/dunlinknot/roles/overview.cpp
@@ -1,57 +1,37 @@
+// Reads and prints the overview of the singleton roles.
 #include "dunlinknot/roles/overview.hpp"
 
 #include <fmt/format.h>
 
+#include "dunlinknot/roles/list_all.hpp"
+
 namespace dunlinknot::roles {
 
 namespace {
 
-using http::Outcome;
-
-constexpr auto kCallTime = std::chrono::seconds(3);
-constexpr int kTries = 3;
-constexpr Millis kRetry{300};
-
-// All items under a prefix, page by page; nothing when a page did not come.
-Task<bool> list_all(EventLoop& loop, kv::Client& store, std::string prefix,
-                    std::vector<kv::ListResult>& pages) {
-  std::string after;
-  for (;;) {
-    kv::ListResult page;
-    for (int i = 0; i < kTries && page.outcome != Outcome::ok; ++i) {
-      if (i > 0) co_await loop.sleep(kRetry);
-      page = co_await store.list(prefix, after, kCallTime);
-    }
-    if (page.outcome != Outcome::ok) co_return false;
-    const bool last = !page.more || page.items.empty();
-    if (!last) after = page.items.back().key;
-    pages.push_back(std::move(page));
-    if (last) co_return true;
-  }
-}
+// An operator waits for the answer: few tries.
+constexpr int kTriesOfPage = 3;
+constexpr Millis kRetryPause{300};
 
-RoleStatus read_line(Role role, const std::vector<kv::ListResult>& pages) {
-  RoleStatus line{role, std::nullopt, std::nullopt};
+RoleStatus read_status(Role role, const std::vector<kv::ListResult>& pages) {
+  RoleStatus status{role, std::nullopt, std::nullopt};
   for (const kv::ListResult& page : pages) {
     for (const kv::KeyValue& item : page.items) {
       if (item.key != role_key(role)) continue;
       const auto read = read_holder(item.value);
-      if (const auto* record = std::get_if<RoleHolderRecord>(&read)) line.holder = *record;
-      if (const auto* error = std::get_if<RecordError>(&read)) line.error = *error;
+      if (const auto* record = std::get_if<RoleHolderRecord>(&read)) status.holder = *record;
+      if (const auto* error = std::get_if<RecordError>(&read)) status.error = *error;
     }
   }
-  return line;
+  return status;
 }
 
 void add_intent(Overview& overview, const kv::KeyValue& item) {
-  const auto scale_out = read_scale_out_intent(item.key, item.value);
-  const auto scale_in = read_scale_in_intent(item.key, item.value);
-  if (const auto* intent = std::get_if<ScaleOutIntent>(&scale_out);
-      intent && !scale_out_name(item.key).empty()) {
-    overview.scale_out.push_back(*intent);
-  } else if (const auto* back = std::get_if<ScaleInIntent>(&scale_in);
-             back && !scale_in_name(item.key).empty()) {
-    overview.scale_in.push_back(*back);
+  const ReadIntent read = read_intent(item.key, item.value);
+  if (const auto* launch = std::get_if<ScaleOutIntent>(&read)) {
+    overview.scale_out.push_back(*launch);
+  } else if (const auto* termination = std::get_if<ScaleInIntent>(&read)) {
+    overview.scale_in.push_back(*termination);
   } else {
     overview.unreadable.push_back(item.key);
   }
@@ -60,27 +40,26 @@
 }  // namespace
 
 Task<std::optional<Overview>> read_overview(EventLoop& loop, kv::Client& store) {
-  std::vector<kv::ListResult> role_pages;
-  std::vector<kv::ListResult> intent_pages;
-  const bool roles = co_await list_all(loop, store, std::string(kRolePrefix), role_pages);
-  if (!roles) co_return std::nullopt;
-  const bool intents = co_await list_all(loop, store, std::string(kIntentPrefix), intent_pages);
-  if (!intents) co_return std::nullopt;
+  const ListRetry retry{kRetryPause, kTriesOfPage, nullptr};
+  const auto role_pages = co_await list_all(loop, store, std::string(kRolePrefix), retry);
+  if (!role_pages) co_return std::nullopt;
+  const auto intent_pages = co_await list_all(loop, store, std::string(kIntentPrefix), retry);
+  if (!intent_pages) co_return std::nullopt;
   Overview overview;
-  for (const Role role : kAllRoles) overview.holders.push_back(read_line(role, role_pages));
-  for (const kv::ListResult& page : intent_pages) {
+  for (const Role role : kAllRoles) overview.holders.push_back(read_status(role, *role_pages));
+  for (const kv::ListResult& page : *intent_pages) {
     for (const kv::KeyValue& item : page.items) add_intent(overview, item);
   }
   co_return overview;
 }
 
 void print(std::ostream& out, const Overview& overview) {
-  for (const RoleStatus& line : overview.holders) {
-    std::string who = "nobody";
-    if (line.holder)
-      who = fmt::format("{} under token {}", line.holder->node, line.holder->fencing_token);
-    if (line.error) who = fmt::format("unreadable: {}", text(*line.error));
-    out << fmt::format("{:<8} {}\n", name(line.role), who);
+  for (const RoleStatus& status : overview.holders) {
+    std::string holder = "nobody";
+    if (status.holder)
+      holder = fmt::format("{} under token {}", status.holder->node, status.holder->fencing_token);
+    if (status.error) holder = fmt::format("unreadable: {}", text(*status.error));
+    out << fmt::format("{:<8} {}\n", name(status.role), holder);
   }
   for (const ScaleOutIntent& intent : overview.scale_out) {
     out << fmt::format("open: rent {} x {} {} in {} as {} (token {}) for {}\n", intent.count,
--- a/src/dunlinknot/roles/role.hpp
+++ b/src/dunlinknot/roles/role.hpp
@@ -1,4 +1,4 @@
-// The singleton roles of which each is done by one controller at a time.
+// The singleton roles: kinds of work that one controller at a time does for the whole cluster.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -6,15 +6,17 @@
 
 namespace dunlinknot::roles {
 
+// One kind of work with a single holder.
 enum class Role : uint8_t {
   scale_out,  // launching machines
-  scale_in,   // returning and reclaiming machines
-  cleanup,    // removing what is no longer needed from the key-value store
+  scale_in,   // terminating machines
+  cleanup,    // removing records that are no longer needed from the key-value store
 };
 
 inline constexpr std::array kAllRoles{Role::scale_out, Role::scale_in, Role::cleanup};
 
-// The role's name in keys, logs and on the command line.
+// The role's name in keys, in logs and in the output of `dunlinknot duties`. Stored records and
+// operators' scripts depend on these names, so they stay although the enumerators differ.
 constexpr std::string_view name(Role role) {
   constexpr std::array<std::string_view, kAllRoles.size()> kNames{"rent", "return", "cleanup"};
   return kNames[static_cast<size_t>(role)];
--- a/src/dunlinknot/roles/role_holder.cpp
+++ b/src/dunlinknot/roles/role_holder.cpp
@@ -1,3 +1,4 @@
+// Acquisition, renewal and loss of the singleton roles.
 #include "dunlinknot/roles/role_holder.hpp"
 
 #include <spdlog/spdlog.h>
@@ -11,8 +12,8 @@
 using http::Outcome;
 
 constexpr Millis kCallTime{700};
-constexpr Millis kRetry{150};
-constexpr Nanos kHaltedRetry = std::chrono::seconds(5);
+constexpr Millis kRetryPause{150};
+constexpr Nanos kHaltedRetryPause = std::chrono::seconds(5);
 constexpr int kLateWakeShare = 2;  // of the lease: a timer later than its half is distrusted
 
 kv::Compare epoch_compare(const cluster::LeaderContext& context) {
@@ -24,73 +25,81 @@
 RoleHolder::RoleHolder(cluster::LeaderContext& context, kv::Client& store)
     : context_(context),
       store_(store),
-      leases_{RoleLease(to_nanos(context.op.roles_ttl)), RoleLease(to_nanos(context.op.roles_ttl)),
-              RoleLease(to_nanos(context.op.roles_ttl))} {}
+      holdings_{Holding(to_nanos(context.op.roles_ttl)), Holding(to_nanos(context.op.roles_ttl)),
+                Holding(to_nanos(context.op.roles_ttl))} {}
 
 bool RoleHolder::may_act(Role role) const {
-  return lease(role).may_act(context_.loop.boot_now());
+  return holding(role).lease.may_act(context_.loop.boot_now());
 }
 
 LeaseState RoleHolder::state(Role role) const {
-  return lease(role).state(context_.loop.boot_now());
+  return holding(role).lease.state(context_.loop.boot_now());
 }
 
 std::vector<kv::Compare> RoleHolder::compares(Role role) const {
-  return {epoch_compare(context_), {role_key(role), lease(role).grant().mod_revision}};
+  return {epoch_compare(context_), {role_key(role), holding(role).lease.grant().mod_revision}};
 }
 
 void RoleHolder::lose() {
-  for (RoleLease& each : leases_) each.lose();
+  for (Holding& each : holdings_) each.lease.lose();
 }
 
 void RoleHolder::apply_result(Role role, const kv::TransactionResult& result, Instant sent) {
-  if (result.outcome == Outcome::unknown) writes_unsettled_[static_cast<size_t>(role)] = true;
+  Holding& held = holding(role);
+  if (result.outcome == Outcome::unknown) held.writes_unsettled = true;
   if (result.outcome != Outcome::ok) return;
   if (!result.compare_failed(role_key(role))) {
-    lease(role).proved(sent);
+    held.lease.proved(sent);
     return;
   }
-  // Our own new mod revision came between (settle_writes).
-  if (sent < rewritten_at_[static_cast<size_t>(role)]) return;
+  // Sent before `settle_writes` changed the mod revision itself: no sign of another holder.
+  if (sent < held.rewritten_at) return;
   spdlog::info("singleton roles: {} under fencing token {} is lost: its key was changed or removed",
                name(role), fencing_token(role));
-  lease(role).lose();
+  held.lease.lose();
 }
 
-Task<std::optional<RoleHolder::ModRevisions>> RoleHolder::read_mod_revisions(uint64_t term) {
-  ModRevisions mod_revisions;
+Task<std::optional<RoleHolder::StoredRoles>> RoleHolder::read_stored(uint64_t term) {
+  StoredRoles stored;
   const kv::ListResult list = co_await store_.list(std::string(kRolePrefix), "", kCallTime);
   if (!context_.in_term(term) || list.outcome != Outcome::ok || list.more) co_return std::nullopt;
   for (const kv::KeyValue& item : list.items) {
-    if (item.key == kFencingTokenKey) {
-      const auto read = read_fencing_token(item.value);
-      if (const auto* error = std::get_if<RecordError>(&read)) {
-        // Without it no fencing token is known to be higher than all before.
-        spdlog::error("singleton roles: {} is left alone, and no role is acquired: {}", item.key,
-                      text(*error));
-        halted_ = true;
-        co_return std::nullopt;
-      }
-      mod_revisions.fencing_token = std::get<uint64_t>(read);
-      mod_revisions.token_mod_revision = item.mod_revision;
-    }
+    if (item.key == kFencingTokenKey && !read_token(item, stored)) co_return std::nullopt;
     for (const Role role : kAllRoles) {
       if (item.key == role_key(role))
-        mod_revisions.role[static_cast<size_t>(role)] = item.mod_revision;
+        stored.mod_revisions[static_cast<size_t>(role)] = item.mod_revision;
     }
   }
-  co_return mod_revisions;
+  co_return stored;
+}
+
+// False, and halted, when the record of the last fencing token cannot be read: without it no token
+// is known to be higher than all before.
+bool RoleHolder::read_token(const kv::KeyValue& item, StoredRoles& stored) {
+  const auto read = read_fencing_token(item.value);
+  if (const auto* error = std::get_if<RecordError>(&read)) {
+    spdlog::error("singleton roles: {} is left alone, and no role is acquired: {}", item.key,
+                  text(*error));
+    halted_ = true;
+    return false;
+  }
+  stored.fencing_token = std::get<uint64_t>(read);
+  stored.token_mod_revision = item.mod_revision;
+  return true;
+}
+
+kv::Write RoleHolder::holder_write(Role role, uint64_t fencing_token) const {
+  return {role_key(role), write_holder({context_.platform.node, fencing_token}), store_lease_};
 }
 
-// Takes one role under the next fencing token. False when that is not known to have worked.
-Task<bool> RoleHolder::acquire_role(uint64_t term, Role role, ModRevisions& mod_revisions) {
-  const uint64_t fencing_token = mod_revisions.fencing_token + 1;
+// Acquires one role under the next fencing token. False when that is not known to have worked.
+Task<bool> RoleHolder::acquire_role(uint64_t term, Role role, StoredRoles& stored) {
+  const uint64_t fencing_token = stored.fencing_token + 1;
   kv::Transaction txn;
   txn.compares.push_back(epoch_compare(context_));
-  txn.compares.push_back({role_key(role), mod_revisions.role[static_cast<size_t>(role)]});
-  txn.compares.push_back({std::string(kFencingTokenKey), mod_revisions.token_mod_revision});
-  txn.writes.push_back(
-      {role_key(role), write_holder({context_.platform.node, fencing_token}), grant_});
+  txn.compares.push_back({role_key(role), stored.mod_revisions[static_cast<size_t>(role)]});
+  txn.compares.push_back({std::string(kFencingTokenKey), stored.token_mod_revision});
+  txn.writes.push_back(holder_write(role, fencing_token));
   txn.writes.push_back({std::string(kFencingTokenKey), write_fencing_token(fencing_token), 0});
   Instant sent = context_.loop.boot_now();
   const kv::TransactionResult result =
@@ -104,16 +113,17 @@
     if (!own) co_return false;
     mod_revision = *own;
   }
-  mod_revisions.fencing_token = fencing_token;
-  mod_revisions.token_mod_revision = mod_revision;
-  lease(role).acquired({fencing_token, mod_revision}, sent);
-  writes_unsettled_[static_cast<size_t>(role)] = false;
+  // The transaction wrote both keys, so they share one mod revision.
+  stored.fencing_token = fencing_token;
+  stored.token_mod_revision = mod_revision;
+  holding(role).lease.acquired({fencing_token, mod_revision}, sent);
+  holding(role).writes_unsettled = false;
   spdlog::info("singleton roles: {} held under fencing token {}", name(role), fencing_token);
   co_return true;
 }
 
 // The mod revision of the role's key if it is as this process wrote it under that fencing token:
-// the lease bound to the key tells our own attempt from any other.
+// the lease bound to the key distinguishes our own attempt from any other.
 Task<std::optional<uint64_t>> RoleHolder::own_mod_revision(uint64_t term, Role role,
                                                            uint64_t fencing_token) {
   const kv::GetResult got =
@@ -121,20 +131,19 @@
   if (!context_.in_term(term) || got.outcome != Outcome::ok || !got.found) co_return std::nullopt;
   const auto read = read_holder(got.item.value);
   const auto* record = std::get_if<RoleHolderRecord>(&read);
-  if (!record || record->fencing_token != fencing_token || got.item.lease != grant_)
+  if (!record || record->fencing_token != fencing_token || got.item.lease != store_lease_)
     co_return std::nullopt;
   co_return got.item.mod_revision;
 }
 
 Task<bool> RoleHolder::settle_writes(uint64_t term, Role role) {
-  bool& unsettled = writes_unsettled_[static_cast<size_t>(role)];
-  if (!unsettled) co_return true;
+  Holding& held = holding(role);
+  if (!held.writes_unsettled) co_return true;
   if (!may_act(role)) co_return false;
-  const RoleGrant before = lease(role).grant();
+  const RoleGrant before = held.lease.grant();
   kv::Transaction txn;
   txn.compares = compares(role);
-  txn.writes.push_back(
-      {role_key(role), write_holder({context_.platform.node, before.fencing_token}), grant_});
+  txn.writes.push_back(holder_write(role, before.fencing_token));
   const Instant sent = context_.loop.boot_now();
   const kv::TransactionResult result =
       co_await store_.commit(std::move(txn), kCallTime, kv::Importance::essential);
@@ -144,11 +153,11 @@
   if (result.applied) mod_revision = result.revision;
   if (result.outcome == Outcome::unknown)
     mod_revision = co_await own_mod_revision(term, role, before.fencing_token);
-  // An unchanged mod revision: this transaction, too, may yet be carried out.
+  // An unchanged mod revision: this transaction, too, may yet be applied.
   if (!mod_revision || *mod_revision == before.mod_revision || !may_act(role)) co_return false;
-  lease(role).acquired({before.fencing_token, *mod_revision}, sent);
-  rewritten_at_[static_cast<size_t>(role)] = context_.loop.boot_now();
-  unsettled = false;
+  held.lease.acquired({before.fencing_token, *mod_revision}, sent);
+  held.rewritten_at = context_.loop.boot_now();
+  held.writes_unsettled = false;
   co_return true;
 }
 
@@ -156,12 +165,12 @@
   const kv::LeaseResult granted =
       co_await store_.grant_lease(to_millis(to_nanos(context_.op.roles_ttl)), kCallTime);
   if (!context_.in_term(term) || granted.outcome != Outcome::ok) co_return false;
-  grant_ = granted.lease;
-  std::optional<ModRevisions> mod_revisions = co_await read_mod_revisions(term);
-  if (!mod_revisions) co_return false;
+  store_lease_ = granted.lease;
+  std::optional<StoredRoles> stored = co_await read_stored(term);
+  if (!stored) co_return false;
   for (const Role role : kAllRoles) {
-    const bool taken = co_await acquire_role(term, role, *mod_revisions);
-    if (!taken) co_return false;
+    const bool acquired = co_await acquire_role(term, role, *stored);
+    if (!acquired) co_return false;
   }
   co_return true;
 }
@@ -169,14 +178,14 @@
 Task<RoleHolder::Acquired> RoleHolder::acquire(uint64_t term) {
   halted_ = false;
   while (context_.in_term(term)) {
-    for (RoleLease& each : leases_) {
-      each.lose();
-      each.become_candidate();
+    for (Holding& each : holdings_) {
+      each.lease.lose();
+      each.lease.become_candidate();
     }
     const bool acquired = co_await try_acquire(term);
     if (acquired) co_return Acquired::held;
     if (halted_) co_return Acquired::halted;
-    if (context_.in_term(term)) co_await context_.loop.sleep(kRetry);
+    if (context_.in_term(term)) co_await context_.loop.sleep(kRetryPause);
   }
   co_return Acquired::term_over;
 }
@@ -187,35 +196,42 @@
   Instant planned = context_.loop.boot_now() + every;
   while (context_.in_term(term)) {
     co_await context_.loop.sleep(
-        std::max<Nanos>(planned - context_.loop.boot_now(), std::min<Nanos>(every, kRetry)));
+        std::max<Nanos>(planned - context_.loop.boot_now(), std::min<Nanos>(every, kRetryPause)));
     if (!context_.in_term(term)) co_return;
     const Instant woke = context_.loop.boot_now();
     if (woke > planned + ttl / kLateWakeShare) {
-      for (RoleLease& each : leases_) each.distrust();
+      for (Holding& each : holdings_) each.lease.distrust();
     }
-    const kv::LeaseResult renewed = co_await store_.renew_lease(grant_, kCallTime);
+    const Renewal renewal = co_await renew(term);
     if (!context_.in_term(term)) co_return;
-    bool proved = false;
-    if (renewed.outcome == Outcome::ok && !renewed.expired) proved = co_await prove();
-    if (!context_.in_term(term)) co_return;
-    planned = woke + (proved ? every : std::min<Nanos>(every, kRetry * 2));
-    if (!renewed.expired && all_held()) continue;
+    planned = woke + (renewal.proved ? every : std::min<Nanos>(every, kRetryPause * 2));
+    if (!renewal.expired && all_held()) continue;
     spdlog::info("singleton roles: not all are held while this node leads: they are taken again");
     const Acquired acquired = co_await acquire(term);
     if (acquired == Acquired::term_over) co_return;
-    planned = context_.loop.boot_now() + (acquired == Acquired::held ? every : kHaltedRetry);
+    planned = context_.loop.boot_now() + (acquired == Acquired::held ? every : kHaltedRetryPause);
+    // Launches and terminations were held back while the roles were not held.
     context_.scaling.notify();
   }
 }
 
+Task<RoleHolder::Renewal> RoleHolder::renew(uint64_t term) {
+  Renewal renewal;
+  const kv::LeaseResult renewed = co_await store_.renew_lease(store_lease_, kCallTime);
+  if (!context_.in_term(term)) co_return renewal;
+  renewal.expired = renewed.expired;
+  if (renewed.outcome == Outcome::ok && !renewed.expired) renewal.proved = co_await prove();
+  co_return renewal;
+}
+
 bool RoleHolder::all_held() const {
   return std::none_of(kAllRoles.begin(), kAllRoles.end(), [&](Role role) {
     return state(role) == LeaseState::lost || state(role) == LeaseState::candidate;
   });
 }
 
-// A renewed lease alone proves nothing: a successor may have put its own record under the keys. A
-// transaction that only compares shows that they stand as we wrote them.
+// A renewed lease alone proves nothing: a successor may have replaced the records under the keys.
+// A transaction that only compares shows that they are as this process wrote them.
 Task<bool> RoleHolder::prove() {
   kv::Transaction compare;
   compare.compares.push_back(epoch_compare(context_));
@@ -228,8 +244,8 @@
 }
 
 Task<void> RoleHolder::release() {
-  if (grant_ == 0) co_return;
-  (void)co_await store_.revoke_lease(std::exchange(grant_, 0), kCallTime);
+  if (store_lease_ == 0) co_return;
+  (void)co_await store_.revoke_lease(std::exchange(store_lease_, 0), kCallTime);
 }
 
 }  // namespace dunlinknot::roles
--- a/src/dunlinknot/roles/role_lease.cpp
+++ b/src/dunlinknot/roles/role_lease.cpp
@@ -1,3 +1,4 @@
+// The lease of one role: when it may be relied on.
 #include "dunlinknot/roles/role_lease.hpp"
 
 #include <algorithm>
@@ -14,7 +15,7 @@
 
 void RoleLease::acquired(const RoleGrant& grant, Instant sent) {
   phase_ = Phase::held;
-  grant_held_ = grant;
+  grant_ = grant;
   proof_ = sent;
 }
 
--- a/src/dunlinknot/roles/role_records.cpp
+++ b/src/dunlinknot/roles/role_records.cpp
@@ -1,3 +1,4 @@
+// Keys and packed form of the singleton roles' records.
 #include "dunlinknot/roles/role_records.hpp"
 
 namespace dunlinknot::roles {
@@ -9,20 +10,20 @@
 
 constexpr std::string_view kScaleOutPrefix = "intent/rent/";
 constexpr std::string_view kScaleInPrefix = "intent/return/";
-constexpr uint64_t kMostMachines = 50;  // that the cloud rents in one request
+constexpr uint64_t kMaxMachines = 50;  // the cloud launches no more for one request
 
-std::string join(std::string_view a, std::string_view b) {
-  std::string out(a);
-  out.append(b);
-  return out;
+std::string join(std::string_view prefix, std::string_view name) {
+  std::string key(prefix);
+  key.append(name);
+  return key;
 }
 
 std::string_view after_prefix(std::string_view key, std::string_view prefix) {
   return key.starts_with(prefix) ? key.substr(prefix.size()) : std::string_view();
 }
 
-// Why a record cannot be taken as it is, if its version or fencing token says so.
-std::optional<RecordError> check_version(View value) {
+// Checks the fields that all records have; empty when they are valid.
+std::optional<RecordError> check_header(View value) {
   const auto version = value["v"].count();
   if (!version || *version == 0) return RecordError::damaged;
   if (*version > kRecordVersion) return RecordError::newer;
@@ -60,7 +61,7 @@
 }
 
 Read<RoleHolderRecord> read_holder(View value) {
-  if (const auto error = check_version(value)) return *error;
+  if (const auto error = check_header(value)) return *error;
   const auto node = value["node"].text();
   if (!node) return RecordError::damaged;
   return RoleHolderRecord{std::string(*node), *value["token"].count()};
@@ -73,7 +74,7 @@
 }
 
 Read<uint64_t> read_fencing_token(View value) {
-  if (const auto error = check_version(value)) return *error;
+  if (const auto error = check_header(value)) return *error;
   return *value["token"].count();
 }
 
@@ -87,7 +88,7 @@
 }
 
 Read<ScaleOutIntent> read_scale_out_intent(std::string_view key, View value) {
-  if (const auto error = check_version(value)) return *error;
+  if (const auto error = check_header(value)) return *error;
   const auto request = value["request"].text();
   const auto type = value["type"].text();
   const auto zone = value["zone"].text();
@@ -96,7 +97,7 @@
   if (!request || *request != scale_out_name(key) || !type || !zone || !spot) {
     return RecordError::damaged;
   }
-  if (!count || *count == 0 || *count > kMostMachines) return RecordError::damaged;
+  if (!count || *count == 0 || *count > kMaxMachines) return RecordError::damaged;
   ScaleOutIntent intent;
   intent.request = *request;
   intent.type = *type;
@@ -116,11 +117,23 @@
 }
 
 Read<ScaleInIntent> read_scale_in_intent(std::string_view key, View value) {
-  if (const auto error = check_version(value)) return *error;
+  if (const auto error = check_header(value)) return *error;
   const auto machine = value["machine"].text();
   if (!machine || *machine != scale_in_name(key)) return RecordError::damaged;
   return ScaleInIntent{std::string(*machine), std::string(value["reason"].text().value_or("")),
                        *value["token"].count()};
 }
 
+ReadIntent read_intent(std::string_view key, View value) {
+  if (!scale_out_name(key).empty()) {
+    const auto read = read_scale_out_intent(key, value);
+    if (const auto* intent = std::get_if<ScaleOutIntent>(&read)) return *intent;
+    return std::get<RecordError>(read);
+  }
+  const auto read = read_scale_in_intent(key, value);
+  if (const auto* error = std::get_if<RecordError>(&read)) return *error;
+  if (scale_in_name(key).empty()) return RecordError::damaged;
+  return std::get<ScaleInIntent>(read);
+}
+
 }  // namespace dunlinknot::roles
--- a/src/dunlinknot/roles/role_records.hpp
+++ b/src/dunlinknot/roles/role_records.hpp
@@ -1,12 +1,15 @@
-// What the singleton roles keep in the key-value store:
+// The records of the singleton roles in the key-value store. Each is a map in the packed form:
 //
-//   duty/NAME         lease-bound: who holds the role, and under which fencing token
-//   duty/fencing token        the highest fencing token given to any holding so far
-//   intent/rent/NAME  a launch that is decided and not settled
-//   intent/return/VM  a machine that is decided to be returned
+//   key                 fields                                           bound to a lease
+//   duty/NAME           v, token, node                                   yes
+//   duty/token          v, token: the highest fencing token so far       no
+//   intent/rent/NAME    v, token, request, type, zone, spot, count, job  no
+//   intent/return/VM    v, token, machine, reason                        no
 //
-// Each record bears the version of its form. A record of a later version, or one that cannot be
-// read, is never guessed at or overwritten.
+// NAME is a role (rent, return, cleanup) or the name of a launch request, VM the id of a machine.
+// `v` is the version of the format and `token` the fencing token under which it was written. Fields
+// that are not known are ignored. A record of a later version, or one that cannot be read, is never
+// guessed at or overwritten.
 #pragma once
 #include <optional>
 #include <string>
@@ -22,40 +25,54 @@
 inline constexpr std::string_view kFencingTokenKey = "duty/token";
 inline constexpr std::string_view kIntentPrefix = "intent/";
 
+// duty/NAME: the controller that holds a role.
 struct RoleHolderRecord {
   std::string node;
   uint64_t fencing_token = 0;
 };
 
+// intent/rent/NAME: a launch request that is decided and not settled.
 struct ScaleOutIntent {
-  std::string request;  // the name under which the cloud is asked
+  std::string request;  // the idempotency name that the cloud is given
   std::string type;
   std::string zone;
   bool spot = false;
-  uint32_t count = 0;
-  std::string job;  // that it is for, first of all
+  uint32_t count = 0;  // machines, at most what the cloud launches for one request
+  std::string job;     // the first job that it is for; shown to operators only
   uint64_t fencing_token = 0;
 };
 
+// intent/return/VM: a machine that is decided to be terminated.
 struct ScaleInIntent {
   std::string machine;
-  std::string reason;
+  std::string reason;  // shown to operators only
   uint64_t fencing_token = 0;
 };
 
-enum class RecordError : uint8_t { damaged, newer };
+// Why a record cannot be used.
+enum class RecordError : uint8_t {
+  damaged,  // not a record of this kind, or a field is missing or out of range
+  newer,    // written by a later version of this program
+};
+// For log lines and the overview.
 std::string_view text(RecordError error);
 
+// A record, or why it cannot be used.
 template <class Record>
 using Read = std::variant<Record, RecordError>;
 
+// Either kind of intent, or why it cannot be used.
+using ReadIntent = std::variant<ScaleOutIntent, ScaleInIntent, RecordError>;
+
 std::string role_key(Role role);
 std::string scale_out_key(std::string_view request);
 std::string scale_in_key(std::string_view machine);
-// The request's or machine's name in a key of that kind; empty for any other key.
+// The request's or machine's name in a key of that kind; empty for any other key. A view into
+// `key`.
 std::string_view scale_out_name(std::string_view key);
 std::string_view scale_in_name(std::string_view key);
 
+// Packed records. Reading an intent needs its key: a record under the key of another is damaged.
 std::string write_holder(const RoleHolderRecord& record);
 Read<RoleHolderRecord> read_holder(wire::View value);
 std::string write_fencing_token(uint64_t fencing_token);
@@ -64,5 +81,7 @@
 Read<ScaleOutIntent> read_scale_out_intent(std::string_view key, wire::View value);
 std::string write_scale_in_intent(const ScaleInIntent& intent);
 Read<ScaleInIntent> read_scale_in_intent(std::string_view key, wire::View value);
+// The intent under `key`, whose kind the key says. Under any other key it is damaged.
+ReadIntent read_intent(std::string_view key, wire::View value);
 
 }  // namespace dunlinknot::roles
