--- a/src/dunlinknot/leadership/elector.cpp
+++ b/src/dunlinknot/leadership/elector.cpp
@@ -1,3 +1,4 @@
+// Leader election: follow the key, campaign for it, renew the lease on it.
 #include "dunlinknot/leadership/elector.hpp"
 
 #include <spdlog/spdlog.h>
@@ -10,35 +11,26 @@
 
 namespace {
 
-constexpr double kDrift = 1.001;  // two clocks, each off by up to 0.05%
-constexpr Seconds kMargin{1.0};
-constexpr auto kCallTime = Millis(700);
-constexpr auto kRetry = Millis(150);
-constexpr auto kWatchBlock = Millis(10'000);
-constexpr auto kResignationBackoff = std::chrono::seconds(20);
+using http::Outcome;
 
-}  // namespace
-
-Nanos renewal_window(const settings::Platform& platform) {
-  const Seconds left = platform.cancel - platform.lease * kDrift - kMargin * 2;
-  return to_nanos(std::max(Seconds(0), left / kDrift));
-}
+constexpr auto kCallTime = Millis(700);  // for one call: several fit into the lease on `leader`
+constexpr auto kRetry = Millis(150);     // after a call that was refused or got no answer
+constexpr auto kWatchBlock = Millis(10'000);      // how long an idle watch stays open
+constexpr auto kLeastWatchBlock = Millis(50);     // of the last watch before a campaign is allowed
+constexpr auto kUnansweredRenewal = Millis(300);  // between renewals while they get no answer
+constexpr auto kLeastRenewalPause = Millis(20);   // after a renewal that took all its time
+constexpr int kReadBackTries = 20;                // of a campaign with an unknown outcome
+constexpr auto kResignationBackoff = std::chrono::seconds(20);  // a head start for the other nodes
 
-Nanos former_leader_renewal_window(const settings::Platform& platform) {
-  return to_nanos(to_seconds(renewal_window(platform)) * kDrift);
-}
-
-Nanos worker_lease_bound(const settings::Platform& platform) {
-  return to_nanos(platform.lease * kDrift + kMargin / 2);
-}
+}  // namespace
 
 Elector::Elector(EventLoop& loop, kv::Client& store, const settings::Platform& platform, Nanos ttl,
-                 Hooks hooks)
+                 LeadershipObserver& observer)
     : loop_(loop),
       store_(store),
       platform_(platform),
       ttl_(ttl),
-      hooks_(std::move(hooks)),
+      observer_(observer),
       renewal_window_(renewal_window(platform)),
       changed_(loop) {}
 
@@ -48,12 +40,13 @@
          now - cancellations_read_at_ < ttl_ * 2;
 }
 
-// Safety 2. A cancellation that we do not know of was told at C, after `evidence` or after what the
-// other nodes vouched for; call that E, so E < C. We answer no heartbeat from E + window on, a
-// worker counts its lease from the sending of the heartbeat that was answered, so every lease we
-// renewed is over by E + window + lease, drift included: before C + cancel_s. A successor won after
-// E as well: our lease on `leader` stood then, and whoever vouched had won nothing. So it waits for
-// the same window from its own election (former_leader_window).
+// Safety 2. A cancellation that we do not know of was acknowledged at C, after
+// renewal_window_start() or after what the other nodes confirmed; call that E, so E < C. We answer
+// no heartbeat from E + window on, a worker counts its lease from the sending of the heartbeat that
+// was answered, so every lease we renewed has expired by E + window + lease, drift included: before
+// C + cancel_s. A successor was elected after E as well: our lease on `leader` existed then, and
+// whoever confirmed had won nothing. So it waits for the same window from its own election
+// (former_leader_renewal_window).
 bool Elector::may_renew(std::optional<Instant> confirmed_until) const {
   if (!leading_) return false;
   Instant from = renewal_window_start();
@@ -93,10 +86,11 @@
   leading_ = false;
   if (known_leader_ == platform_.node && known_epoch_ <= term_.epoch) known_leader_.reset();
   spdlog::info("leadership: epoch {} ended here: {}", term_.epoch, why);
-  hooks_.deposed(term_.epoch, why);
+  observer_.deposed();
   changed_.notify();
 }
 
+// `asked`: when the request was sent that proved that we hold the key.
 void Elector::become_leader(uint64_t epoch, uint64_t mod_revision, Instant asked) {
   leading_ = true;
   lease_proven_at_ = asked;
@@ -106,7 +100,16 @@
   known_epoch_ = epoch;
   known_leader_ = platform_.node;
   spdlog::info("leadership: leading epoch {}", epoch);
-  hooks_.elected(term_);
+  observer_.elected(term_);
+}
+
+// Leadership is never held back by the budget.
+Task<kv::GetResult> Elector::get_essential(std::string_view key) {
+  return store_.get(std::string(key), kCallTime, kv::Importance::essential);
+}
+
+kv::Write Elector::leader_write(uint64_t epoch, uint64_t lease) const {
+  return {std::string(wire::kLeaderKey), wire::write_leader({platform_.node, epoch}), lease};
 }
 
 Task<void> Elector::run() {
@@ -117,101 +120,119 @@
   }
 }
 
-// Watches the key until nobody holds it (or only this node's former process does).
+bool Elector::vacant() const {
+  return !leader_mod_revision_ || leader_is_previous_process_;
+}
+
+// Returns when nobody holds the key (or only this node's former process does) and this node may
+// campaign.
 Task<void> Elector::follow() {
-  bool fresh = false;
+  bool current = false;  // what we know of the key is that of revision_
   for (;;) {
-    if (!fresh) {
-      kv::GetResult got =
-          co_await store_.get(std::string(wire::kLeaderKey), kCallTime, kv::Importance::essential);
-      if (got.outcome != http::Outcome::ok) {
-        co_await loop_.sleep(kRetry);
-        continue;
-      }
-      leader_mod_revision_.reset();
-      leader_is_previous_process_ = false;
-      revision_ = got.revision;
-      if (got.found) {
-        leader_mod_revision_ = got.item.mod_revision;
-        revision_ = got.item.mod_revision;
-        if (const auto r = wire::read_leader(got.item.value)) {
-          observe_epoch(r->epoch, r->node, "the key-value store");
-          leader_is_previous_process_ = r->node == platform_.node && got.item.lease != lease_;
-        }
-      }
-      fresh = true;
-    }
-    const bool vacant = !leader_mod_revision_ || leader_is_previous_process_;
-    if (vacant && loop_.now() >= not_before_) co_return;
-    const Millis block =
-        vacant ? std::clamp(to_millis(not_before_ - loop_.now()), Millis(50), kWatchBlock)
+    if (!current) current = co_await read_leader();
+    if (!current) continue;
+    if (vacant() && loop_.now() >= not_before_) co_return;
+    current = co_await watch_leader();
+  }
+}
+
+// Reads the key anew. False, after a pause, when there was no answer.
+Task<bool> Elector::read_leader() {
+  const kv::GetResult got = co_await get_essential(wire::kLeaderKey);
+  if (got.outcome != Outcome::ok) {
+    co_await loop_.sleep(kRetry);
+    co_return false;
+  }
+  leader_mod_revision_.reset();
+  leader_is_previous_process_ = false;
+  revision_ = got.revision;
+  if (!got.found) co_return true;
+  leader_mod_revision_ = got.item.mod_revision;
+  revision_ = got.item.mod_revision;
+  if (const auto record = wire::read_leader(got.item.value)) {
+    observe_epoch(record->epoch, record->node, "the key-value store");
+    leader_is_previous_process_ = record->node == platform_.node && got.item.lease != lease_;
+  }
+  co_return true;
+}
+
+// Waits for a change of the key, at most until this node may campaign. False when the key has to be
+// read anew.
+Task<bool> Elector::watch_leader() {
+  const Millis block =
+      vacant() ? std::clamp(to_millis(not_before_ - loop_.now()), kLeastWatchBlock, kWatchBlock)
                : kWatchBlock;
-    kv::WatchResult watch = co_await store_.watch(std::string(wire::kLeaderKey), revision_, block);
-    if (watch.outcome != http::Outcome::ok) {
-      fresh = false;
-      co_await loop_.sleep(kRetry);
-      continue;
-    }
-    if (watch.too_old) {
-      fresh = false;
-      continue;
-    }
-    revision_ = std::max(revision_, watch.revision);
-    for (const auto& c : watch.changes) {
-      if (c.key != wire::kLeaderKey) continue;
-      leader_is_previous_process_ = false;
-      if (c.deleted) {
-        leader_mod_revision_.reset();
-        known_leader_.reset();
-      } else {
-        leader_mod_revision_ = c.mod_revision;
-        if (const auto r = wire::read_leader(c.value)) {
-          observe_epoch(r->epoch, r->node, "the key-value store");
-        }
-      }
-    }
+  const kv::WatchResult watch =
+      co_await store_.watch(std::string(wire::kLeaderKey), revision_, block);
+  if (watch.outcome != Outcome::ok) {
+    co_await loop_.sleep(kRetry);
+    co_return false;
+  }
+  if (watch.too_old) co_return false;
+  revision_ = std::max(revision_, watch.revision);
+  for (const kv::Change& change : watch.changes) {
+    // The watch is on a prefix.
+    if (change.key == wire::kLeaderKey) apply_leader_change(change);
   }
+  co_return true;
 }
 
+void Elector::apply_leader_change(const kv::Change& change) {
+  leader_is_previous_process_ = false;
+  if (change.deleted) {
+    leader_mod_revision_.reset();
+    known_leader_.reset();
+    return;
+  }
+  leader_mod_revision_ = change.mod_revision;
+  if (const auto record = wire::read_leader(change.value)) {
+    observe_epoch(record->epoch, record->node, "the key-value store");
+  }
+}
+
+// One attempt to acquire the key, under a new lease and the next epoch.
 Task<void> Elector::campaign() {
-  // A node that cannot serve well for the moment leaves the others a head start.
-  kv::LeaseResult lease = co_await store_.grant_lease(to_millis(ttl_), kCallTime);
-  if (lease.outcome != http::Outcome::ok) {
+  // A node that the key-value store does not answer now leaves the others a head start.
+  const kv::LeaseResult lease = co_await store_.grant_lease(to_millis(ttl_), kCallTime);
+  if (lease.outcome != Outcome::ok) {
     co_await loop_.sleep(kRetry);
     co_return;
   }
   lease_ = lease.lease;
-  kv::GetResult epoch =
-      co_await store_.get(std::string(wire::kEpochKey), kCallTime, kv::Importance::essential);
-  if (epoch.outcome != http::Outcome::ok) {
+  const kv::GetResult stored = co_await get_essential(wire::kEpochKey);
+  if (stored.outcome != Outcome::ok) {
     co_await loop_.sleep(kRetry);
     co_return;
   }
-  const uint64_t before = epoch.found ? wire::read_epoch(epoch.item.value).value_or(0) : 0;
-  const uint64_t mine = std::max(before, known_epoch_) + 1;
+  const uint64_t last = stored.found ? wire::read_epoch(stored.item.value).value_or(0) : 0;
+  const uint64_t epoch = std::max(last, known_epoch_) + 1;
   kv::Transaction txn;
   txn.compares.push_back({std::string(wire::kLeaderKey), leader_mod_revision_.value_or(0)});
-  txn.compares.push_back({std::string(wire::kEpochKey), epoch.found ? epoch.item.mod_revision : 0});
-  txn.writes.push_back(
-      {std::string(wire::kLeaderKey), wire::write_leader({platform_.node, mine}), lease_});
-  txn.writes.push_back({std::string(wire::kEpochKey), wire::write_epoch(mine), 0});
+  txn.compares.push_back(
+      {std::string(wire::kEpochKey), stored.found ? stored.item.mod_revision : 0});
+  txn.writes.push_back(leader_write(epoch, lease_));
+  txn.writes.push_back({std::string(wire::kEpochKey), wire::write_epoch(epoch), 0});
   const Instant asked = loop_.now();
-  kv::TransactionResult result = co_await store_.commit(txn, kCallTime, kv::Importance::essential);
+  const kv::TransactionResult result =
+      co_await store_.commit(std::move(txn), kCallTime, kv::Importance::essential);
   if (result.applied) {
-    become_leader(mine, result.revision, asked);
-    co_return;
+    become_leader(epoch, result.revision, asked);
+  } else if (result.outcome == Outcome::unknown) {
+    co_await read_back_campaign(epoch);
   }
-  if (result.outcome != http::Outcome::unknown) co_return;
-  // Nobody knows whether it went through: read back before anything else is tried. The lease bound
-  // to the key tells our own attempt from any other.
-  for (int i = 0; i < 20; ++i) {
-    const Instant read = loop_.now();
-    kv::GetResult got =
-        co_await store_.get(std::string(wire::kLeaderKey), kCallTime, kv::Importance::essential);
-    if (got.outcome == http::Outcome::ok) {
+}
+
+// It is unknown whether the campaign's transaction was applied: nothing else may be tried before
+// the key has been read back. The lease bound to the key distinguishes our own attempt from any
+// other.
+Task<void> Elector::read_back_campaign(uint64_t epoch) {
+  for (int i = 0; i < kReadBackTries; ++i) {
+    const Instant asked = loop_.now();
+    const kv::GetResult got = co_await get_essential(wire::kLeaderKey);
+    if (got.outcome == Outcome::ok) {
       const auto record = got.found ? wire::read_leader(got.item.value) : std::nullopt;
-      if (record && got.item.lease == lease_ && record->epoch == mine) {
-        become_leader(mine, got.item.mod_revision, read);
+      if (record && got.item.lease == lease_ && record->epoch == epoch) {
+        become_leader(epoch, got.item.mod_revision, asked);
       }
       co_return;
     }
@@ -219,51 +240,54 @@
   }
 }
 
+// Renews the lease four times in its duration, until the term ends.
 Task<void> Elector::lead() {
   const Nanos pace = ttl_ / 4;
   while (leading_) {
     const Instant started = loop_.now();
-    kv::LeaseResult lease = co_await store_.renew_lease(lease_, kCallTime);
+    const kv::LeaseResult renewal = co_await store_.renew_lease(lease_, kCallTime);
     if (!leading_) break;
-    if (lease.outcome == http::Outcome::ok && !lease.expired) lease_proven_at_ = started;
-    if (lease.outcome == http::Outcome::ok && lease.expired) {
-      // The lease ran out while the service did not serve us. If nobody took over meanwhile, the
-      // same epoch goes on under a new lease; the guard on `epoch` decides that.
-      kv::LeaseResult again = co_await store_.grant_lease(to_millis(ttl_), kCallTime);
-      if (!leading_) break;
-      if (again.outcome == http::Outcome::ok) {
-        kv::Transaction txn;
-        txn.compares.push_back({std::string(wire::kLeaderKey), 0});
-        txn.compares.push_back({std::string(wire::kEpochKey), term_.epoch_mod_revision});
-        txn.writes.push_back({std::string(wire::kLeaderKey),
-                              wire::write_leader({platform_.node, term_.epoch}), again.lease});
-        const Instant asked = loop_.now();
-        kv::TransactionResult result =
-            co_await store_.commit(txn, kCallTime, kv::Importance::essential);
-        if (!leading_) break;
-        if (result.applied) {
-          lease_ = again.lease;
-          lease_proven_at_ = asked;
-          spdlog::info("leadership: epoch {} goes on under a new lease", term_.epoch);
-        } else if (result.outcome == http::Outcome::ok) {
-          step_down("another node took over while the key-value store did not serve us");
-          break;
-        } else if (result.outcome == http::Outcome::unknown) {
-          kv::GetResult got = co_await store_.get(std::string(wire::kLeaderKey), kCallTime,
-                                                  kv::Importance::essential);
-          if (!leading_) break;
-          if (got.outcome == http::Outcome::ok && got.found && got.item.lease == again.lease) {
-            lease_ = again.lease;
-          }
-        }
-      }
-    }
-    const Nanos wait =
-        lease.outcome == http::Outcome::ok ? pace : std::min<Nanos>(pace, Millis(300));
-    (void)co_await changed_.wait_until(std::max(started + wait, loop_.now() + Millis(20)));
+    const bool answered = renewal.outcome == Outcome::ok;
+    if (answered && !renewal.expired) lease_proven_at_ = started;
+    if (answered && renewal.expired) co_await reacquire_leader_key();
+    if (!leading_) break;
+    const Nanos wait = answered ? pace : std::min<Nanos>(pace, kUnansweredRenewal);
+    (void)co_await changed_.wait_until(std::max(started + wait, loop_.now() + kLeastRenewalPause));
   }
+  // The others need not wait for the lease to expire.
   if (resigning_) (void)co_await store_.revoke_lease(lease_, kCallTime);
   resigning_ = false;
 }
 
+// The lease expired while the key-value store did not answer us. If nobody took over meanwhile, the
+// same epoch continues under a new lease; the compare on `epoch` decides that.
+Task<void> Elector::reacquire_leader_key() {
+  const kv::LeaseResult grant = co_await store_.grant_lease(to_millis(ttl_), kCallTime);
+  if (!leading_ || grant.outcome != Outcome::ok) co_return;
+  kv::Transaction txn;
+  txn.compares.push_back({std::string(wire::kLeaderKey), 0});
+  txn.compares.push_back({std::string(wire::kEpochKey), term_.epoch_mod_revision});
+  txn.writes.push_back(leader_write(term_.epoch, grant.lease));
+  const Instant asked = loop_.now();
+  const kv::TransactionResult result =
+      co_await store_.commit(std::move(txn), kCallTime, kv::Importance::essential);
+  if (!leading_) co_return;
+  if (result.applied) {
+    lease_ = grant.lease;
+    lease_proven_at_ = asked;
+    spdlog::info("leadership: epoch {} continues under a new lease", term_.epoch);
+  } else if (result.outcome == Outcome::ok) {
+    step_down("another node took over while the key-value store did not serve us");
+  } else if (result.outcome == Outcome::unknown) {
+    co_await read_back_reacquisition(grant.lease);
+  }
+}
+
+// The next renewal proves the lease, if it is ours.
+Task<void> Elector::read_back_reacquisition(uint64_t lease) {
+  const kv::GetResult got = co_await get_essential(wire::kLeaderKey);
+  if (!leading_) co_return;
+  if (got.outcome == Outcome::ok && got.found && got.item.lease == lease) lease_ = lease;
+}
+
 }  // namespace dunlinknot::leadership
--- a/src/dunlinknot/leadership/elector.hpp
+++ b/src/dunlinknot/leadership/elector.hpp
@@ -1,96 +1,120 @@
-// Who leads. The key `leader` is bound to a short lease; taking it also bumps `epoch`, and the
-// epoch's number is the fencing token the workers see. Every transaction of a leader guards the mod
-// revision of `epoch`, so whatever a former leader still has in flight fails.
+// Leader election. The key `leader` is bound to a short lease; acquiring it also increments
+// `epoch`, and the epoch's number is the fencing token that the workers see. Every transaction of a
+// leader compares the mod revision of `epoch`, so whatever a former leader still has in flight
+// fails.
 #pragma once
 #include <algorithm>
-#include <functional>
 #include <optional>
 #include <string>
+#include <string_view>
 
 #include "dunlinknot/kv/client.hpp"
+#include "dunlinknot/leadership/lease_bounds.hpp"
 #include "dunlinknot/settings/settings.hpp"
 
 namespace dunlinknot::leadership {
 
+// The time for which this process leads under one epoch.
 struct Term {
   uint64_t epoch = 0;
-  uint64_t epoch_mod_revision = 0;
+  uint64_t epoch_mod_revision = 0;  // what the term's transactions compare the key `epoch` with
   Instant since{};
 };
 
-// How long after its last evidence (see Elector::evidence) a leader may go on renewing the workers'
-// leases: a cancellation it cannot hear of must still be over on every machine within cancel_s.
-Nanos renewal_window(const settings::Platform& platform);
-// The same window as another node has to wait for it, the two clocks drifting apart: no leader
-// renews a lease later than this after its successor's election.
-Nanos former_leader_renewal_window(const settings::Platform& platform);
-// The time after which a worker that was last answered at `t` has certainly killed its tasks.
-Nanos worker_lease_bound(const settings::Platform& platform);
+// Is notified of the beginning and the end of this node's terms. Both calls come from the event
+// loop, strictly in turns, and must not suspend: the elector's state has changed already.
+class LeadershipObserver {
+ public:
+  virtual ~LeadershipObserver() = default;
+  // This node has won `term`. It leads, but has not loaded any state yet.
+  virtual void elected(const Term& term) = 0;
+  // The term is over, whatever ended it; nothing may be started under its epoch any more.
+  virtual void deposed() = 0;
+};
 
+// Campaigns for the key `leader`, keeps the lease on it while leading, and follows who holds it
+// otherwise. All functions run on the event loop that it was given.
 class Elector {
  public:
-  struct Hooks {
-    std::function<void(const Term&)> elected;
-    std::function<void(uint64_t epoch, std::string_view why)> deposed;
-  };
+  // `ttl`: of the lease on the key `leader`. `store`, `platform` and `observer` must outlive it.
   Elector(EventLoop& loop, kv::Client& store, const settings::Platform& platform, Nanos ttl,
-          Hooks hooks);
+          LeadershipObserver& observer);
 
+  // Follows, campaigns and leads in turn, for ever. Spawned once, by the daemon.
   Task<void> run();
 
   bool leading() const { return leading_; }
+  // The present term, or the last one.
   const Term& term() const { return term_; }
-  // The highest epoch heard of, and who leads it, if known.
+  // The highest epoch known, and the node that leads it if that is known.
   uint64_t known_epoch() const { return known_epoch_; }
   const std::optional<std::string>& known_leader() const { return known_leader_; }
 
-  // News of a leadership from elsewhere: a peer, a worker's fencing token, a failed guard.
+  // Applies what another source shows of the leadership: a peer's status, a worker's fencing token,
+  // a failed compare. A higher epoch than ours ends the term. `from` is for the log.
   void observe_epoch(uint64_t epoch, std::optional<std::string> leader, std::string_view from);
-  // Gives the leadership up so that another node may take it; stays out of the race for a while.
+  // Gives up the leadership so that another node may win it; this one does not campaign for a
+  // while. Does nothing when not leading. `why` is for the log.
   void resign(std::string_view why);
 
-  // A read sent at `sent` was answered and showed every cancellation that stood by then, and all of
-  // them have been carried out here (the horizon).
+  // A read sent at `sent` was answered and showed every cancellation that existed by then, and all
+  // of them have been carried out here.
   void cancellations_read(Instant sent);
-  // Until when it is certain that no cancellation stands that we do not know of, and that nobody
-  // else was elected. A request that was served, but shows neither, proves nothing of it.
+  // Until when it is certain that no cancellation exists that we do not know of, and that nobody
+  // else was elected; the renewal window is counted from here. An answered request that shows
+  // neither proves nothing of the kind.
   Instant renewal_window_start() const {
     return std::min(cancellations_read_at_, lease_proven_at_);
   }
-  // Served by the key-value store, and cancellations seen, recently enough to start work.
+  // Whether new work may be started: the key-value store answered us, and showed the cancellations,
+  // recently enough.
   bool may_start() const;
-  // May still renew the workers' leases. `vouched`: until when all nodes were known to have told
-  // of no cancellation since `evidence` that we do not know of.
+  // Whether the workers' leases may be renewed. `confirmed_until`: until when all other nodes are
+  // known to have accepted no cancellation that we do not know of; empty when that is not known.
   bool may_renew(std::optional<Instant> confirmed_until) const;
 
  private:
   Task<void> follow();
+  Task<bool> read_leader();
+  Task<bool> watch_leader();
+  void apply_leader_change(const kv::Change& change);
+  bool vacant() const;
+
   Task<void> campaign();
+  Task<void> read_back_campaign(uint64_t epoch);
+  void become_leader(uint64_t epoch, uint64_t mod_revision, Instant asked);
+
   Task<void> lead();
+  Task<void> reacquire_leader_key();
+  Task<void> read_back_reacquisition(uint64_t lease);
   void step_down(std::string_view why);
-  void become_leader(uint64_t epoch, uint64_t mod_revision, Instant asked);
+
+  Task<kv::GetResult> get_essential(std::string_view key);
+  kv::Write leader_write(uint64_t epoch, uint64_t lease) const;
 
   EventLoop& loop_;
   kv::Client& store_;
   const settings::Platform& platform_;
   Nanos ttl_;
-  Hooks hooks_;
+  LeadershipObserver& observer_;
   Nanos renewal_window_;
 
   bool leading_ = false;
   Term term_;
   Instant cancellations_read_at_{};
-  Instant
-      lease_proven_at_{};  // the sending of the last request that proved that our lease still stood
-  uint64_t lease_ = 0;
+  // When the last request was sent that proved that our lease on `leader` still existed.
+  Instant lease_proven_at_{};
+  uint64_t lease_ = 0;  // that `leader` is bound to when this process holds it
   uint64_t known_epoch_ = 0;
   std::optional<std::string> known_leader_;
-  std::optional<uint64_t> leader_mod_revision_;  // of the key, when it exists
-  bool leader_is_previous_process_ = false;
-  uint64_t revision_ = 0;
-  Instant not_before_{};
-  bool resigning_ = false;
-  AutoResetEvent changed_;
+
+  std::optional<uint64_t> leader_mod_revision_;  // of the key `leader`; empty: it does not exist
+  bool leader_is_previous_process_ = false;      // this node wrote it, under a lease we do not have
+  uint64_t revision_ = 0;                        // up to which the key has been followed
+
+  Instant not_before_{};    // no campaign before this, after a resignation
+  bool resigning_ = false;  // the lease is revoked at the end of the term
+  AutoResetEvent changed_;  // wakes lead() when the term ends
 };
 
 }  // namespace dunlinknot::leadership
--- a/src/dunlinknot/leadership/peers.cpp
+++ b/src/dunlinknot/leadership/peers.cpp
@@ -1,3 +1,4 @@
+// The links between the controllers; the frames themselves are formed in wire/peer.
 #include "dunlinknot/leadership/peers.hpp"
 
 #include <spdlog/spdlog.h>
@@ -7,24 +8,88 @@
 namespace dunlinknot::leadership {
 
 namespace {
-constexpr auto kPace = Millis(500);
-constexpr auto kAnswerTime = Millis(1500);
-constexpr auto kFresh = Millis(2500);
-constexpr auto kRedial = Millis(1000);
-constexpr auto kIdle = std::chrono::seconds(10);
-constexpr size_t kMaxServed = 32;
-constexpr size_t kMaxCancelled = 64;  // hints that wait for their connection
-constexpr double kSlowest = 0.999;    // of our clock: two clocks, each off by up to 0.05%
-}  // namespace
 
 using wire::peer::Kind;
 using wire::peer::Status;
 
-Peers::Peers(EventLoop& loop, const settings::Platform& platform, Hooks hooks)
-    : loop_(loop), platform_(platform), hooks_(std::move(hooks)) {
-  for (const auto& p : platform.peers) {
-    Link& link = links_[p.node];
-    link.peer = p;
+constexpr auto kPace = Millis(500);         // between two statuses
+constexpr auto kAnswerTime = Millis(1500);  // to connect, and to answer a status
+constexpr auto kRedial = Millis(1000);      // after a connection that failed or ended
+constexpr auto kIdle =
+    std::chrono::seconds(10);      // without a frame an incoming connection is closed
+constexpr size_t kMaxServed = 32;  // incoming connections: stale ones of restarted peers included
+constexpr size_t kMaxCancelled = 64;  // hints that wait for their connection
+constexpr size_t kReadBytes = 512;
+constexpr double kSlowestClock = 0.999;  // of ours: two clocks, each off by up to 0.05%
+
+constexpr auto kRecent = Millis(2500);        // a status older than this shows nothing any more
+constexpr auto kStoreReached = Millis(1500);  // since the key-value store answered the peer
+constexpr auto kWorkersReach = Millis(2000);  // since a heartbeat reached the peer
+
+struct Frame {
+  Kind kind = Kind::status;
+  std::string body;
+};
+
+// Empty when the connection ended, the deadline passed or the bytes are not a frame of this
+// version. `socket` belongs to the awaiting coroutine.
+Task<std::optional<Frame>> read_frame(http::Socket& socket, Instant deadline) {
+  std::string bytes;
+  std::array<char, kReadBytes> chunk;
+  std::optional<wire::peer::Header> header;
+  size_t want = wire::peer::kHeaderBytes;
+  while (bytes.size() < want) {
+    const ssize_t n = co_await socket.read_some(
+        chunk.data(), std::min(chunk.size(), want - bytes.size()), deadline);
+    if (n <= 0) co_return std::nullopt;
+    bytes.append(chunk.data(), static_cast<size_t>(n));
+    if (!header && bytes.size() == wire::peer::kHeaderBytes) {
+      header = wire::peer::read_header(bytes);
+      if (!header) {
+        spdlog::info(
+            "a peer sent a frame of another version or an unknown kind; connection closed");
+        co_return std::nullopt;
+      }
+      want += header->length;
+    }
+  }
+  co_return Frame{header->kind, bytes.substr(wire::peer::kHeaderBytes)};
+}
+
+// Progress and cancellations get no answer. Returns whether the frame was one of these.
+bool apply_unanswered(const Frame& frame, PeerHandler& handler) {
+  if (frame.kind == Kind::progress) {
+    if (const auto progress = wire::peer::read_progress(frame.body)) {
+      handler.on_peer_progress(*progress);
+    }
+    return true;
+  }
+  if (frame.kind == Kind::cancelled) {
+    if (const auto job = wire::peer::read_cancelled(frame.body)) handler.on_peer_cancellation(*job);
+    return true;
+  }
+  return false;
+}
+
+// Counts a connection for as long as it is served.
+class ServedConnection {
+ public:
+  explicit ServedConnection(size_t& count) : count_(count) { ++count_; }
+  ~ServedConnection() { --count_; }
+  ServedConnection(const ServedConnection&) = delete;
+  ServedConnection& operator=(const ServedConnection&) = delete;
+
+ private:
+  size_t& count_;
+};
+
+}  // namespace
+
+Peers::Peers(EventLoop& loop, const settings::Platform& platform, PeerHandler& handler)
+    : loop_(loop), platform_(platform), handler_(handler) {
+  for (const settings::Peer& peer : platform.peers) {
+    Link& link = links_[peer.node];
+    link.peer = peer;
     link.wake = std::make_unique<AutoResetEvent>(loop);
   }
 }
@@ -35,17 +100,20 @@
   for (auto& [name, link] : links_) loop_.spawn(dial(link));
 }
 
-// Safety 2: whatever a peer's process told before its answer, it had read or written before, and
-// says so in `cancel_revision`. What a process before it told stood before `since`.
+// Safety 2: whatever cancellation a peer's process acknowledged before its answer, it had read or
+// written before, and states so in `cancel_revision`. What a process before it acknowledged existed
+// before `since`.
 std::optional<Instant> Peers::no_unknown_cancellation_until(Instant since,
                                                             uint64_t revision) const {
   Instant until = Instant::max();
   if (links_.empty()) return std::nullopt;
   for (const auto& [name, link] : links_) {
-    if (!link.last || link.confirmed_to < since) return std::nullopt;
-    const Nanos up = to_nanos(Seconds(link.last->up) * kSlowest);
-    if (link.received_at - up > since || link.last->cancel_revision > revision) return std::nullopt;
-    until = std::min(until, link.confirmed_to);
+    if (!link.last_answer || link.last_answer->asked_at < since) return std::nullopt;
+    const Answer& answer = *link.last_answer;
+    const Nanos up = to_nanos(Seconds(answer.status.up) * kSlowestClock);
+    if (answer.received_at - up > since || answer.status.cancel_revision > revision)
+      return std::nullopt;
+    until = std::min(until, answer.asked_at);
   }
   return until;
 }
@@ -53,14 +121,12 @@
 void Peers::apply_status(const Status& status, Instant sent) {
   const auto it = links_.find(status.node);
   if (it == links_.end()) return;
-  it->second.last = status;
-  it->second.received_at = loop_.now();
-  it->second.confirmed_to = sent;
-  hooks_.status_received(status);
+  it->second.last_answer = Answer{status, loop_.now(), sent};
+  handler_.on_peer_status(status);
 }
 
 void Peers::announce_cancellation(const std::string& job) {
-  const std::string leader = hooks_.status().leader;
+  const std::string leader = handler_.status().leader;
   for (auto& [name, link] : links_) {
     if (!leader.empty() && name != leader) continue;
     if (link.cancelled.size() >= kMaxCancelled) link.cancelled.pop_front();
@@ -69,49 +135,28 @@
   }
 }
 
-bool Peers::any_peer_reaches_store() const {
+template <class Predicate>
+bool Peers::any_recent_status(Predicate predicate) const {
   const Instant now = loop_.now();
   for (const auto& [name, link] : links_) {
-    if (link.last && now - link.received_at < kFresh && link.last->store_known &&
-        link.last->store_silent < Millis(1500)) {
+    if (link.last_answer && now - link.last_answer->received_at < kRecent &&
+        predicate(link.last_answer->status)) {
       return true;
     }
   }
   return false;
 }
 
-bool Peers::any_peer_receives_heartbeats() const {
-  const Instant now = loop_.now();
-  for (const auto& [name, link] : links_) {
-    if (link.last && now - link.received_at < kFresh && link.last->heartbeats_known &&
-        link.last->heartbeats_silent < Millis(2000)) {
-      return true;
-    }
-  }
-  return false;
+bool Peers::any_peer_reaches_store() const {
+  return any_recent_status([](const Status& status) {
+    return status.store_known && status.store_silent < kStoreReached;
+  });
 }
 
-Task<std::optional<std::pair<Kind, std::string>>> Peers::read_frame(http::Socket& socket,
-                                                                    Instant deadline) {
-  std::string bytes;
-  std::array<char, 512> chunk;
-  std::optional<wire::peer::Header> header;
-  size_t want = wire::peer::kHeaderBytes;
-  while (bytes.size() < want) {
-    const ssize_t n = co_await socket.read_some(
-        chunk.data(), std::min(chunk.size(), want - bytes.size()), deadline);
-    if (n <= 0) co_return std::nullopt;
-    bytes.append(chunk.data(), static_cast<size_t>(n));
-    if (!header && bytes.size() == wire::peer::kHeaderBytes) {
-      header = wire::peer::read_header(bytes);
-      if (!header) {
-        spdlog::info("a peer sent a frame of another version or none of ours; connection closed");
-        co_return std::nullopt;
-      }
-      want += header->length;
-    }
-  }
-  co_return std::pair{header->kind, bytes.substr(wire::peer::kHeaderBytes)};
+bool Peers::any_peer_receives_heartbeats() const {
+  return any_recent_status([](const Status& status) {
+    return status.heartbeats_known && status.heartbeats_silent < kWorkersReach;
+  });
 }
 
 Task<void> Peers::listen() {
@@ -121,37 +166,51 @@
   }
 }
 
-// Answers a peer's statuses with our own.
+// Answers a peer's statuses with our own, until the connection ends.
 Task<void> Peers::serve(http::Socket socket) {
-  ++served_;
-  struct Done {
-    size_t& n;
-    ~Done() { --n; }
-  } done{served_};
+  const ServedConnection counted(served_);
   for (;;) {
-    const Instant deadline = loop_.now() + kIdle;
-    const auto frame = co_await read_frame(socket, deadline);
+    const Instant read_by = loop_.now() + kIdle;
+    const auto frame = co_await read_frame(socket, read_by);
     if (!frame) co_return;
-    if (frame->first == Kind::progress) {
-      if (const auto p = wire::peer::read_progress(frame->second)) hooks_.progress_received(*p);
-      continue;
-    }
-    if (frame->first == Kind::cancelled) {
-      if (const auto job = wire::peer::read_cancelled(frame->second))
-        hooks_.cancellation_received(*job);
-      continue;
-    }
-    const auto s = wire::peer::read_status(frame->second);
-    if (!s) co_return;
-    hooks_.status_received(*s);
-    Status mine = hooks_.status();
-    mine.echo = s->sequence;
-    const std::string bytes = wire::peer::write_status(mine);
+    if (apply_unanswered(*frame, handler_)) continue;
+    const auto theirs = wire::peer::read_status(frame->body);
+    if (!theirs) co_return;
+    handler_.on_peer_status(*theirs);
+    Status ours = handler_.status();
+    ours.echo = theirs->sequence;
+    const std::string bytes = wire::peer::write_status(ours);
     const Instant write_by = loop_.now() + kAnswerTime;
     if (!co_await socket.write_all(bytes, write_by)) co_return;
   }
 }
 
+// Our status, and with it what else the peer has not been sent yet.
+std::string Peers::next_frames(Link& link) {
+  Status ours = handler_.status();
+  ours.sequence = ++link.sequence;
+  std::string bytes = wire::peer::write_status(ours);
+  const wire::peer::Progress progress = handler_.progress();
+  if (!progress.entries.empty()) bytes += wire::peer::write_progress(progress);
+  for (const std::string& job : link.cancelled) bytes += wire::peer::write_cancelled(job);
+  link.cancelled.clear();
+  return bytes;
+}
+
+// Sends our status at `sent` and applies the answer. False when the connection is of no more use.
+Task<bool> Peers::exchange_status(Link& link, http::Socket& socket, Instant sent) {
+  const std::string bytes = next_frames(link);
+  const Instant answer_by = sent + kAnswerTime;
+  if (!co_await socket.write_all(bytes, answer_by)) co_return false;
+  const auto frame = co_await read_frame(socket, answer_by);
+  if (!frame || frame->kind != Kind::status) co_return false;
+  const auto theirs = wire::peer::read_status(frame->body);
+  // An answer to an earlier status would count as evidence from too late a moment.
+  if (!theirs || theirs->node != link.peer.node || theirs->echo != link.sequence) co_return false;
+  apply_status(*theirs, sent);
+  co_return true;
+}
+
 // Keeps one connection to a peer, with a status every half second.
 Task<void> Peers::dial(Link& link) {
   for (;;) {
@@ -159,21 +218,9 @@
     http::Socket socket = co_await http::Socket::connect(loop_, link.peer.address, connect_by);
     while (socket.open()) {
       const Instant sent = loop_.now();
-      Status mine = hooks_.status();
-      mine.sequence = ++link.sequence;
-      std::string bytes = wire::peer::write_status(mine);
-      const wire::peer::Progress progress = hooks_.progress();
-      if (!progress.entries.empty()) bytes += wire::peer::write_progress(progress);
-      for (const auto& job : link.cancelled) bytes += wire::peer::write_cancelled(job);
-      link.cancelled.clear();
-      const Instant answer_by = sent + kAnswerTime;
-      if (!co_await socket.write_all(bytes, answer_by)) break;
-      const auto frame = co_await read_frame(socket, answer_by);
-      if (!frame || frame->first != Kind::status) break;
-      const auto s = wire::peer::read_status(frame->second);
-      if (!s || s->node != link.peer.node || s->echo != link.sequence) break;
-      apply_status(*s, sent);
-      // A cancellation goes out at once, with a status of its own.
+      const bool answered = co_await exchange_status(link, socket, sent);
+      if (!answered) break;
+      // A cancellation is sent at once, with a status of its own.
       if (link.cancelled.empty()) (void)co_await link.wake->wait_until(sent + kPace);
     }
     socket.close();
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -50,22 +50,8 @@
              kv::Limits(platform.store_limits, platform.next_store_limits), kBudgetShare),
       cloud_(loop, transport, platform.cloud, platform.cloud_rps),
       context_(loop, platform, operator_settings),
-      elector_(loop, store_, platform, to_nanos(operator_settings.leader_ttl),
-               {[this](const leadership::Term& term) { elected(term); },
-                [this](uint64_t epoch, std::string_view) { deposed(epoch); }}),
-      peers_(loop, platform,
-             {[this] { return status(); },
-              [this](const wire::peer::Status& status) {
-                elector_.observe_epoch(
-                    status.epoch,
-                    status.leader.empty() ? std::nullopt : std::optional(status.leader),
-                    status.node);
-              },
-              [this] { return progress(); },
-              [this](const wire::peer::Progress& progress) {
-                if (!elector_.leading()) jobs_.progress().replace(progress);
-              },
-              [this](const std::string& id) { on_peer_cancellation(id); }}),
+      elector_(loop, store_, platform, to_nanos(operator_settings.leader_ttl), *this),
+      peers_(loop, platform, *this),
       jobs_(loop, store_, platform, operator_settings, seed,
             [this](const std::string& id) { on_user_cancellation(id); }),
       workers_(
@@ -194,6 +180,16 @@
   if (elector_.leading() && context_.loaded) allocation_store_.cancelled(id);
 }
 
+void Daemon::on_peer_status(const wire::peer::Status& status) {
+  elector_.observe_epoch(status.epoch,
+                         status.leader.empty() ? std::nullopt : std::optional(status.leader),
+                         status.node);
+}
+
+void Daemon::on_peer_progress(const wire::peer::Progress& progress) {
+  if (!elector_.leading()) jobs_.progress().replace(progress);
+}
+
 wire::peer::Progress Daemon::progress() {
   wire::peer::Progress progress;
   if (!elector_.leading() || !context_.loaded) return progress;
@@ -278,7 +274,7 @@
   if (roles_) roles_->holder.apply_result(roles::Role::cleanup, result, sent);
 }
 
-void Daemon::deposed(uint64_t) {
+void Daemon::deposed() {
   if (roles_) {
     roles_->holder.lose();
     loop_.spawn(roles_->holder.release());
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -18,7 +18,7 @@
 size_t server_connections(const settings::Platform& platform,
                           const settings::Operator& operator_settings);
 
-class Daemon {
+class Daemon : private leadership::LeadershipObserver, private leadership::PeerHandler {
  public:
   Daemon(EventLoop& loop, const settings::Platform& platform,
          const settings::Operator& operator_settings, http::Transport& transport, uint32_t seed);
@@ -32,12 +32,12 @@
   cluster::LeaderContext& context() { return context_; }
   leadership::Peers& peers() { return peers_; }
   const roles::SingletonRoles* roles() const { return roles_.get(); }
-  wire::peer::Status status() const;
-  void on_peer_cancellation(const std::string& id);  // a peer told its user so
+  wire::peer::Status status() const override;
+  void on_peer_cancellation(const std::string& id) override;
 
  private:
-  void elected(const leadership::Term& term);
-  void deposed(uint64_t epoch);
+  void elected(const leadership::Term& term) override;
+  void deposed() override;
   Task<void> fail_over(uint64_t term);
   Task<void> scheduling_loop(uint64_t term);
   void run_scheduling_cycle(Instant now);
@@ -49,7 +49,9 @@
   Task<bool> ready();
   std::optional<std::vector<kv::Compare>> cleanup_compares() const;
   void apply_cleanup_result(const kv::TransactionResult& result, Instant sent);
-  wire::peer::Progress progress();
+  wire::peer::Progress progress() override;
+  void on_peer_status(const wire::peer::Status& status) override;
+  void on_peer_progress(const wire::peer::Progress& progress) override;
   bool may_renew() const;
   void on_user_cancellation(const std::string& id);
 
