--- a/src/dunlinknot/kv/client.cpp
+++ b/src/dunlinknot/kv/client.cpp
@@ -1,3 +1,4 @@
+// The calls of the key-value store; what they send and get is formed in wire/store_messages.
 #include "dunlinknot/kv/client.hpp"
 
 #include <spdlog/spdlog.h>
@@ -10,30 +11,43 @@
 
 using wire::Document;
 using wire::View;
-using wire::Writer;
+namespace store = wire::store;
 
-constexpr double kUserShare = 0.5;  // of the writes
-constexpr size_t kListBody = size_t{600} * 1024;
+constexpr double kUserShare = 0.5;    // of the writes
+constexpr double kUserRequests = 2;   // in the budget, that users are accepted
+constexpr double kMostReserved = 10;  // writes that must be in the budget; more may overdraw it
+
+// The largest bodies that are accepted as answers, in bytes.
+constexpr size_t kItemBody = size_t{64} * 1024;  // one value, or a transaction's result
+constexpr size_t kLeaseBody = 4096;
+constexpr size_t kListBody = size_t{600} * 1024;  // the store sends at most 512 KiB
 constexpr size_t kWatchBody = size_t{4} * 1024 * 1024;
 
+constexpr auto kWatchAnswerTime = std::chrono::seconds(3);  // after the time that it may block
+
+constexpr int kOk = 200;
+constexpr int kBadRequest = 400;
+constexpr int kNotFound = 404;
+constexpr int kConflict = 409;
+constexpr int kGone = 410;
+constexpr int kTooManyRequests = 429;
+constexpr int kUnavailable = 503;
+
 std::shared_ptr<Document> parse(const std::string& body) {
-  auto d = Document::parse(body);
-  if (!d) return nullptr;
-  return std::make_shared<Document>(std::move(*d));
+  auto document = Document::parse(body);
+  if (!document) return nullptr;
+  return std::make_shared<Document>(std::move(*document));
 }
 
-std::optional<KeyValue> read_item(View value) {
-  const auto key = value["key"].text();
-  const auto mod_revision = value["stamp"].count();
-  if (!key || !mod_revision) return std::nullopt;
-  return KeyValue{std::string(*key), value["v"], *mod_revision,
-                  value["tenancy"].count().value_or(0)};
+View root_of(const std::shared_ptr<Document>& document) {
+  return document ? document->root() : View();
 }
 
-// A reply that should not have come as it did tells nothing about what was done.
-void log_odd(const char* what, int status) {
+// An answer of an unexpected form shows nothing of what was carried out.
+Outcome unreadable(const char* what, int status) {
   spdlog::info("key-value store: unreadable answer to {} (status {}), taken as unknown", what,
                status);
+  return Outcome::unknown;
 }
 
 }  // namespace
@@ -61,8 +75,8 @@
   user_writes_.set_rate(now, limits_.write_rps() * share_ * kUserShare);
 }
 
-// A 400 that the announced limits explain: whoever sent the transaction forms a smaller one.
-void Client::on_malformed(const Transaction& txn) {
+// When the announced limits explain the refusal, whoever sent the transaction forms a smaller one.
+void Client::on_refused_transaction(const Transaction& txn) {
   size_t largest = 0;
   for (const Write& write : txn.writes) {
     const auto value = Document::parse(write.value);
@@ -78,202 +92,176 @@
 
 bool Client::has_room_for_users(double writes) {
   const Instant now = loop_.now();
-  return requests_.level(now) >= 2 && user_writes_.level(now) >= writes;
+  return requests_.level(now) >= kUserRequests && user_writes_.level(now) >= writes;
+}
+
+// Takes a request and its writes out of the budget; false when it has no room for them.
+bool Client::reserve_budget(Instant now, double writes, Importance importance) {
+  const bool user = importance == Importance::user;
+  if (importance != Importance::essential) {
+    const double level = user ? user_writes_.level(now) : writes_.level(now);
+    if (requests_.level(now) < 1) return false;
+    if (writes > 0 && level < std::min(writes, kMostReserved)) return false;
+  }
+  requests_.force(now);
+  if (writes > 0) writes_.force(now, writes);
+  if (user) user_writes_.force(now, writes);
+  return true;
 }
 
-Task<http::Reply> Client::call(std::string method, std::string target, std::string body,
-                               Nanos within, size_t max_body, double writes, Importance how) {
+Task<http::Reply> Client::call(Request request) {
   const Instant sent = loop_.now();
-  if (how == Importance::essential) {
-    requests_.force(sent);
-    if (writes > 0) writes_.force(sent, writes);
-  } else {
-    const bool user = how == Importance::user;
-    const double level = user ? user_writes_.level(sent) : writes_.level(sent);
-    if (requests_.level(sent) < 1 || (writes > 0 && level < std::min(writes, 10.0))) {
-      ++throttled_;
-      http::Reply refused;
-      refused.outcome = Outcome::refused;
-      refused.status = 429;
-      co_return refused;
-    }
-    requests_.force(sent);
-    if (writes > 0) writes_.force(sent, writes);
-    if (user) user_writes_.force(sent, writes);
+  if (!reserve_budget(sent, request.writes, request.importance)) {
+    ++throttled_;
+    http::Reply refused;
+    refused.outcome = Outcome::refused;
+    refused.status = kTooManyRequests;
+    co_return refused;
   }
   http::Call call;
   call.to = at_;
-  call.method = std::move(method);
-  call.target = std::move(target);
-  call.body = std::move(body);
-  call.deadline = sent + within;
-  call.max_body = max_body;
+  call.method = std::move(request.method);
+  call.target = std::move(request.target);
+  call.body = std::move(request.body);
+  call.deadline = sent + request.within;
+  call.max_body = request.max_body;
   http::Reply reply = co_await transport_.exchange(std::move(call));
-  if (reply.outcome == Outcome::ok) {
-    if (reply.status == 429 || reply.status == 503) {
-      reply.outcome = Outcome::refused;
-      if (reply.status == 429) on_throttled(writes > 0);
-    } else {
-      ever_served_ = true;
-      last_served_ = loop_.now();
-      last_served_sent_ = std::max(last_served_sent_, sent);
-    }
+  if (reply.outcome != Outcome::ok) co_return reply;
+  if (reply.status == kTooManyRequests || reply.status == kUnavailable) {
+    reply.outcome = Outcome::refused;
+    if (reply.status == kTooManyRequests) on_throttled(request.writes > 0);
+  } else {
+    ever_served_ = true;
+    last_served_ = loop_.now();
+    last_served_sent_ = std::max(last_served_sent_, sent);
   }
   co_return reply;
 }
 
 Task<GetResult> Client::get(std::string key, Nanos within, Importance how) {
+  Request request{"GET", store::key_path(key), "", within, kItemBody, 0, how};
+  const http::Reply reply = co_await call(std::move(request));
   GetResult out;
-  http::Reply reply = co_await call("GET", "/keys/" + key, "", within, size_t{64} * 1024, 0, how);
   out.outcome = reply.outcome;
   if (reply.outcome != Outcome::ok) co_return out;
   out.document = parse(reply.body);
-  if (out.document && reply.status == 200) {
-    if (auto item = read_item(out.document->root())) {
+  const View root = root_of(out.document);
+  if (reply.status == kOk) {
+    if (auto item = store::read_key_value(root)) {
       out.found = true;
       out.item = std::move(*item);
       co_return out;
     }
-  } else if (out.document && reply.status == 404) {
-    if (const auto rev = out.document->root()["ledgerRev"].count()) {
-      out.revision = *rev;
+  } else if (reply.status == kNotFound) {
+    if (const auto revision = store::read_revision(root)) {
+      out.revision = *revision;
       co_return out;
     }
   }
-  log_odd("a read", reply.status);
-  out.outcome = Outcome::unknown;
+  out.outcome = unreadable("a read", reply.status);
   co_return out;
 }
 
 Task<ListResult> Client::list(std::string prefix, std::string after, Nanos within) {
+  Request request{"GET", store::list_path(prefix, after), "", within, kListBody};
+  const http::Reply reply = co_await call(std::move(request));
   ListResult out;
-  std::string target = "/keys?starts=" + prefix;
-  if (!after.empty()) target += "&since=" + after;
-  target += "&most=500";
-  http::Reply reply = co_await call("GET", target, "", within, kListBody, 0, Importance::essential);
   out.outcome = reply.outcome;
   if (reply.outcome != Outcome::ok) co_return out;
   out.document = parse(reply.body);
-  const View root = out.document ? out.document->root() : View();
-  const auto rev = root["ledgerRev"].count();
-  if (reply.status != 200 || !rev || !root["rows"].is_list()) {
-    log_odd("a listing", reply.status);
-    out.outcome = Outcome::unknown;
+  auto listing = store::read_listing(root_of(out.document));
+  if (reply.status != kOk || !listing) {
+    out.outcome = unreadable("a listing", reply.status);
     co_return out;
   }
-  out.revision = *rev;
-  out.more = root["more"].flag().value_or(false);
-  const View rows = root["rows"];
-  for (size_t i = 0; i < rows.size(); ++i) {
-    auto item = read_item(rows.at(i));
-    if (!item) {
-      log_odd("a listing", reply.status);
-      out.outcome = Outcome::unknown;
-      co_return out;
-    }
-    out.items.push_back(std::move(*item));
-  }
+  out.items = std::move(listing->items);
+  out.more = listing->more;
+  out.revision = listing->revision;
   co_return out;
 }
 
 Task<TransactionResult> Client::commit(Transaction txn, Nanos within, Importance how) {
+  Request request{"POST",
+                  std::string(store::kTransactionPath),
+                  store::write_transaction(txn),
+                  within,
+                  kItemBody,
+                  static_cast<double>(txn.writes.size()),
+                  how};
+  const http::Reply reply = co_await call(std::move(request));
   TransactionResult out;
-  Writer writer;
-  writer.map(2).key("guards").list(txn.compares.size());
-  for (const auto& g : txn.compares)
-    writer.map(2).key("key").text(g.key).key("stamp").count(g.mod_revision);
-  writer.key("writes").list(txn.writes.size());
-  for (const auto& op : txn.writes) {
-    if (op.value.empty()) {
-      writer.map(1).key("delete").text(op.key);
-    } else {
-      writer.map(op.lease ? 3 : 2).key("put").text(op.key).key("v").raw(op.value);
-      if (op.lease) writer.key("tenancy").count(op.lease);
-    }
-  }
-  http::Reply reply = co_await call("POST", "/multi", writer.take(), within, size_t{64} * 1024,
-                                    static_cast<double>(txn.writes.size()), how);
   out.outcome = reply.outcome;
   if (reply.outcome != Outcome::ok) co_return out;
-  const auto doc = parse(reply.body);
-  const View root = doc ? doc->root() : View();
-  const auto rev = root["ledgerRev"].count();
-  if (reply.status == 200 && rev) {
+  const auto document = parse(reply.body);
+  const View root = root_of(document);
+  const auto revision = store::read_revision(root);
+  auto failed = store::read_failed_compares(root);
+  if (reply.status == kOk && revision) {
     out.applied = true;
-    out.revision = *rev;
-  } else if (reply.status == 409 && root["failed"].is_list()) {
-    out.revision = rev.value_or(0);
-    const View failed = root["failed"];
-    for (size_t i = 0; i < failed.size(); ++i) {
-      if (const auto k = failed.at(i).text()) out.failed.emplace_back(*k);
-    }
-  } else if (reply.status == 400) {
-    const std::string error(root["error"].text().value_or("?"));
-    out.lease_expired = error == "no such lease";
+    out.revision = *revision;
+  } else if (reply.status == kConflict && failed) {
+    out.revision = revision.value_or(0);
+    out.failed = std::move(*failed);
+  } else if (reply.status == kBadRequest) {
+    out.outcome = Outcome::refused;
+    const std::string error = store::read_error(root);
+    out.lease_expired = store::is_expired_lease(error);
     if (!out.lease_expired) {
       spdlog::error("key-value store refused a transaction: {}", error);
-      on_malformed(txn);
+      on_refused_transaction(txn);
     }
-    out.outcome = Outcome::refused;
   } else {
-    log_odd("a transaction", reply.status);
-    out.outcome = Outcome::unknown;
+    out.outcome = unreadable("a transaction", reply.status);
   }
   co_return out;
 }
 
 Task<LeaseResult> Client::grant_lease(Millis ttl, Nanos within) {
+  Request request{"POST", std::string(store::kLeasesPath), store::write_lease_request(ttl), within,
+                  kLeaseBody};
+  const http::Reply reply = co_await call(std::move(request));
   LeaseResult out;
-  Writer writer;
-  writer.map(1).key("ttlMs").count(static_cast<uint64_t>(ttl.count()));
-  http::Reply reply =
-      co_await call("POST", "/leases", writer.take(), within, 4096, 0, Importance::essential);
   out.outcome = reply.outcome;
   if (reply.outcome != Outcome::ok) co_return out;
-  const auto doc = parse(reply.body);
-  const auto id = doc ? doc->root()["tenancy"].count() : std::nullopt;
-  if (reply.status != 200 || !id) {
-    log_odd("a lease request", reply.status);
-    out.outcome = Outcome::unknown;
-    co_return out;
+  const auto document = parse(reply.body);
+  const auto lease = store::read_lease(root_of(document));
+  if (reply.status == kOk && lease) {
+    out.lease = *lease;
+  } else {
+    out.outcome = unreadable("a lease request", reply.status);
   }
-  out.lease = *id;
   co_return out;
 }
 
 Task<LeaseResult> Client::renew_lease(uint64_t lease, Nanos within) {
+  Request request{"POST", store::lease_renewal_path(lease), "", within, kLeaseBody};
+  const http::Reply reply = co_await call(std::move(request));
   LeaseResult out;
   out.lease = lease;
-  http::Reply reply = co_await call("POST", "/leases/" + std::to_string(lease) + "/extend", "",
-                                    within, 4096, 0, Importance::essential);
   out.outcome = reply.outcome;
-  if (reply.outcome == Outcome::ok) out.expired = reply.status == 404;
-  if (reply.outcome == Outcome::ok && reply.status != 200 && reply.status != 404) {
-    log_odd("a renewal", reply.status);
-    out.outcome = Outcome::unknown;
-  }
+  if (reply.outcome != Outcome::ok) co_return out;
+  out.expired = reply.status == kNotFound;
+  if (reply.status != kOk && !out.expired) out.outcome = unreadable("a renewal", reply.status);
   co_return out;
 }
 
 Task<LeaseResult> Client::revoke_lease(uint64_t lease, Nanos within) {
+  Request request{"DELETE", store::lease_path(lease), "", within, kLeaseBody};
+  const http::Reply reply = co_await call(std::move(request));
   LeaseResult out;
-  http::Reply reply = co_await call("DELETE", "/leases/" + std::to_string(lease), "", within, 4096,
-                                    0, Importance::essential);
   out.outcome = reply.outcome;
   co_return out;
 }
 
 Task<WatchResult> Client::watch(std::string prefix, uint64_t since, Millis block) {
+  Request request{"GET", store::changes_path(prefix, since, block), "", block + kWatchAnswerTime,
+                  kWatchBody};
+  const http::Reply reply = co_await call(std::move(request));
   WatchResult out;
-  const std::string target = "/changes?starts=" + prefix + "&since=" + std::to_string(since) +
-                             "&blockMs=" + std::to_string(block.count());
-  const Nanos within = block + std::chrono::seconds(3);
-  http::Reply reply =
-      co_await call("GET", target, "", within, kWatchBody, 0, Importance::essential);
   out.outcome = reply.outcome;
   if (reply.too_large) {
-    // Asking again would bring the same answer and more. What stands is listed page by page
-    // instead, as when the service no longer has the changes.
+    // Asking again would bring the same answer and more. The keys are listed page by page instead,
+    // as when the service no longer has the changes.
     spdlog::info("key-value store: the changes of {} since {} are too many for one answer", prefix,
                  since);
     out.outcome = Outcome::ok;
@@ -281,35 +269,18 @@
     co_return out;
   }
   if (reply.outcome != Outcome::ok) co_return out;
-  if (reply.status == 410) {
+  if (reply.status == kGone) {
     out.too_old = true;
     co_return out;
   }
   out.document = parse(reply.body);
-  const View root = out.document ? out.document->root() : View();
-  const auto rev = root["ledgerRev"].count();
-  if (reply.status != 200 || !rev) {
-    log_odd("a watch", reply.status);
-    out.outcome = Outcome::unknown;
+  auto read = store::read_changes(root_of(out.document));
+  if (reply.status != kOk || !read) {
+    out.outcome = unreadable("a watch", reply.status);
     co_return out;
   }
-  out.revision = *rev;
-  const View changes = root["news"];
-  for (size_t i = 0; i < changes.size(); ++i) {
-    const View value = changes.at(i);
-    Change change;
-    if (const auto put = value["put"].text()) {
-      change.key = *put;
-    } else if (const auto removed = value["delete"].text()) {
-      change.key = *removed;
-      change.deleted = true;
-    } else {
-      continue;
-    }
-    change.value = value["v"];
-    change.mod_revision = value["stamp"].count().value_or(0);
-    out.changes.push_back(std::move(change));
-  }
+  out.revision = read->revision;
+  out.changes = std::move(read->changes);
   co_return out;
 }
 
--- a/src/dunlinknot/kv/limits.cpp
+++ b/src/dunlinknot/kv/limits.cpp
@@ -1,3 +1,4 @@
+// Which of the key-value store's limits are in force.
 #include "dunlinknot/kv/limits.hpp"
 
 #include <spdlog/spdlog.h>
--- a/src/dunlinknot/kv/limits.hpp
+++ b/src/dunlinknot/kv/limits.hpp
@@ -7,14 +7,19 @@
 
 namespace dunlinknot::kv {
 
+// Once the announced limits are in force they stay so. Not synchronized: belongs to a client, on
+// its event loop.
 class Limits {
  public:
   Limits(const settings::StoreLimits& present,
          const std::optional<settings::StoreLimits>& next = std::nullopt);
 
   // Values are kept below both limits from the start: what is stored small never has to shrink.
+  // In bytes, of a value in its form as JSON.
   size_t value_bytes() const;
+  // The most writes of one transaction.
   size_t txn_ops() const { return in_force().txn_ops; }
+  // Requests, and writes, a second.
   double rps() const { return in_force().rps; }
   double write_rps() const { return in_force().write_rps; }
 
