--- /dev/null
+++ b/src/dunlinknot/cluster/allocation_store/job_records.cpp
@@ -0,0 +1,67 @@
+// Applying the stored records of jobs to the leader's state.
+#include "dunlinknot/cluster/allocation_store/job_records.hpp"
+
+#include <spdlog/spdlog.h>
+
+namespace dunlinknot::cluster {
+
+using http::Outcome;
+
+void JobRecords::apply(const kv::KeyValue& item) const {
+  auto record = wire::read_job_record(item.value);
+  if (!record || item.key != wire::job_key(record->spec.id)) {
+    spdlog::error("the record {} cannot be read and is left alone", item.key);
+    return;
+  }
+  spdlog::debug("job {}: {} x {} of {}, estimate {:.0f} s", record->spec.id, record->spec.tasks,
+                record->spec.job_class, record->spec.team, record->spec.estimate.count());
+  const Instant now = access_.context.loop.now();
+  access_.context.leader_state.with([&](LeaderState& leader) {
+    leader.cluster.load_job(std::move(*record), item.mod_revision, now);
+  });
+}
+
+// The jobs that this node finished are closed when their transaction is answered, which may be
+// later: then the tasks are all done, and stopping what is left of the job does no harm.
+Effects JobRecords::close_removed(LeaderState& leader, const std::string& id) const {
+  const Job* job = leader.cluster.job(id);
+  if (!job) return {};
+  if (!job->all_done()) spdlog::info("job {} was cancelled", id);
+  const Effects effects = leader.cluster.close_job(id, true, access_.context.loop.now());
+  leader.nominations.job_closed(id);
+  return effects;
+}
+
+Task<void> JobRecords::reread(uint64_t term, std::string id) const {
+  LeaderContext& context = access_.context;
+  const kv::GetResult open =
+      co_await access_.store.get(wire::job_key(id), StoreAccess::kCommitTime);
+  if (!context.in_term(term) || open.outcome != Outcome::ok) co_return;
+  if (open.found) {
+    // Only the watch adds a job: this answer may be older than the job's end.
+    context.leader_state.with([&](LeaderState& leader) {
+      if (Job* job = leader.cluster.job(id)) job->mod_revision = open.item.mod_revision;
+    });
+    co_return;
+  }
+  const kv::GetResult end =
+      co_await access_.store.get(wire::final_key(id), StoreAccess::kCommitTime);
+  if (!context.in_term(term) || end.outcome != Outcome::ok) co_return;
+  close(id, end);
+}
+
+// `end`: the record of how the job ended. Without one that can be read it counts as cancelled.
+void JobRecords::close(const std::string& id, const kv::GetResult& end) const {
+  LeaderContext& context = access_.context;
+  const auto record = end.found ? wire::read_final(end.item.value) : std::nullopt;
+  const bool cancelled = !record || record->cancelled;
+  const Effects effects = context.leader_state.with([&](LeaderState& leader) {
+    const Effects closed = leader.cluster.close_job(id, cancelled, context.loop.now());
+    leader.nominations.job_closed(id);
+    return closed;
+  });
+  if (!cancelled) access_.handler.on_job_finished(id, record->tasks);
+  context.follow_up(effects);
+}
+
+}  // namespace dunlinknot::cluster
--- /dev/null
+++ b/src/dunlinknot/cluster/allocation_store/job_watcher.cpp
@@ -0,0 +1,90 @@
+// Following the open jobs while leading.
+#include "dunlinknot/cluster/allocation_store/job_watcher.hpp"
+
+#include <algorithm>
+#include <set>
+#include <vector>
+
+namespace dunlinknot::cluster {
+
+namespace {
+
+// How long a watch waits for changes: its answer moves the beginning of the leader's renewal window
+// also when there were none, so it has to come often.
+constexpr Millis kWatchBlock{1000};
+
+}  // namespace
+
+void JobWatcher::begin(const ListingStart& start) {
+  revision_ = start.revision;
+  access_.handler.on_cancellations_applied(start.sent);
+}
+
+void JobWatcher::cancelled(const std::string& id) const {
+  access_.context.follow_up(access_.context.leader_state.with(
+      [&](LeaderState& leader) { return jobs_.close_removed(leader, id); }));
+}
+
+Effects JobWatcher::apply(const kv::Change& change) const {
+  if (change.deleted) {
+    const std::string id(wire::after_prefix(change.key, wire::kJobPrefix));
+    return access_.context.leader_state.with(
+        [&](LeaderState& leader) { return jobs_.close_removed(leader, id); });
+  }
+  jobs_.apply({change.key, change.value, change.mod_revision, 0});
+  Effects effects;
+  effects.schedule = true;
+  return effects;
+}
+
+Task<void> JobWatcher::run(uint64_t term) {
+  LeaderContext& context = access_.context;
+  while (context.in_term(term)) {
+    const Instant sent = context.loop.now();
+    const kv::WatchResult watch =
+        co_await access_.store.watch(std::string(wire::kJobPrefix), revision_, kWatchBlock);
+    if (!context.in_term(term)) co_return;
+    if (watch.outcome != kv::Outcome::ok) {
+      co_await context.loop.sleep(StoreAccess::kRetry);
+      continue;
+    }
+    if (watch.too_old) {
+      const bool relisted = co_await relist(term);
+      if (!relisted) co_return;
+      continue;
+    }
+    Effects effects;
+    for (const kv::Change& change : watch.changes) effects |= apply(change);
+    revision_ = std::max(revision_, watch.revision);
+    access_.handler.on_cancellations_applied(sent);
+    context.follow_up(effects);
+  }
+}
+
+// The changes since revision_ cannot be had any more. False when the term ended.
+Task<bool> JobWatcher::relist(uint64_t term) {
+  std::set<std::string> listed;
+  const StateLoader::Visit visit = [&](const kv::KeyValue& item) {
+    listed.insert(std::string(wire::after_prefix(item.key, wire::kJobPrefix)));
+    jobs_.apply(item);
+  };
+  const auto start = co_await loader_.list(term, std::string(wire::kJobPrefix), visit);
+  if (!start) co_return false;
+  // Only this watch adds jobs, so all known ones existed before the listing: one that is not in it
+  // is over. Reading for each how it ended could fail, and its cancellation would stay unknown.
+  Effects effects = access_.context.leader_state.with([&](LeaderState& leader) {
+    std::vector<std::string> removed;
+    for (const auto& [id, job] : leader.cluster.jobs()) {
+      if (!listed.contains(id)) removed.push_back(id);
+    }
+    Effects closed;
+    for (const std::string& id : removed) closed |= jobs_.close_removed(leader, id);
+    return closed;
+  });
+  effects.schedule = true;
+  access_.context.follow_up(effects);
+  begin(*start);
+  co_return true;
+}
+
+}  // namespace dunlinknot::cluster
--- /dev/null
+++ b/src/dunlinknot/cluster/allocation_store/machine_record_writer.cpp
@@ -0,0 +1,237 @@
+// Writing what is allocated on each machine.
+#include "dunlinknot/cluster/allocation_store/machine_record_writer.hpp"
+
+#include <algorithm>
+
+namespace dunlinknot::cluster {
+
+namespace {
+
+using http::Outcome;
+
+constexpr size_t kMostPassedOver = 8;  // machines whose jobs one transaction cannot compare
+constexpr size_t kBatchBytes = size_t{40} * 1024;  // the key-value store takes 64 KiB, all included
+constexpr size_t kJsonPerPackedByte = 2;           // an upper estimate
+constexpr size_t kComparesPerWrite = 4;  // the key-value store's limit, in writes of a transaction
+
+// The jobs with an allocation on the machine that is not durable yet.
+std::set<std::string> newly_allocated_jobs(const Cluster& cluster, const Machine& machine) {
+  std::set<std::string> jobs;
+  for (const Allocation& allocation : machine.allocations) {
+    if (allocation.phase == Phase::planned && cluster.job(allocation.task.job)) {
+      jobs.insert(allocation.task.job);
+    }
+  }
+  return jobs;
+}
+
+// Takes the new allocations of all but these jobs out of a record.
+void leave_out_new_allocations(wire::MachineRecord& record, const Machine& machine,
+                               const std::set<std::string>& but_of) {
+  for (const Allocation& allocation : machine.allocations) {
+    if (allocation.phase != Phase::planned || but_of.contains(allocation.task.job)) continue;
+    for (auto& group : record.groups) {
+      if (group.job != allocation.task.job) continue;
+      std::erase(group.tasks, std::pair(allocation.task.index, allocation.attempt));
+    }
+  }
+  std::erase_if(record.groups, [](const auto& group) { return group.tasks.empty(); });
+}
+
+}  // namespace
+
+std::vector<std::string> MachineRecordWriter::unknown_machines() const {
+  return access_.context.leader_state.with([](LeaderState& leader) {
+    std::vector<std::string> ids;
+    for (const auto& [id, machine] : leader.cluster.machines()) {
+      if (!machine->mod_revision_known) ids.push_back(id);
+    }
+    return ids;
+  });
+}
+
+// What the record contains is what is durable, whichever attempt wrote it.
+Effects MachineRecordWriter::apply_stored(const std::string& id, const kv::GetResult& got) const {
+  Effects effects;
+  access_.context.leader_state.with([&](LeaderState& leader) {
+    Machine* machine = leader.cluster.find_machine(id);
+    if (!machine) return;
+    const auto record = got.found ? wire::read_machine_record(got.item.value) : std::nullopt;
+    leader.cluster.machine_stored(*machine, record.value_or(wire::MachineRecord{}),
+                                  got.found ? got.item.mod_revision : 0, effects);
+  });
+  return effects;
+}
+
+// Machines whose record may have been changed by a transaction with an unknown outcome.
+Task<void> MachineRecordWriter::reread_unknown(uint64_t term) {
+  mod_revisions_unknown_ = false;
+  const std::vector<std::string> ids = unknown_machines();
+  for (const std::string& id : ids) {
+    const kv::GetResult got =
+        co_await access_.store.get(wire::machine_key(id), StoreAccess::kCommitTime);
+    if (!access_.context.in_term(term)) co_return;
+    if (got.outcome != Outcome::ok) {
+      mod_revisions_unknown_ = true;
+      continue;
+    }
+    access_.context.follow_up(apply_stored(id, got));
+  }
+}
+
+// How many more compares the transaction takes, beside that on a machine's record.
+size_t MachineRecordWriter::compares_left(const Batch& batch) const {
+  const size_t most = access_.max_writes() * kComparesPerWrite;
+  const size_t taken = batch.txn.compares.size() + batch.jobs.size() + 1;
+  return most > taken ? most - taken : 0;
+}
+
+bool MachineRecordWriter::full(const Batch& batch) const {
+  return batch.machines.size() >= access_.max_writes() || batch.bytes > kBatchBytes ||
+         compares_left(batch) == 0;
+}
+
+// Adds the machine's record to the transaction; false when it does not fit into it any more.
+bool MachineRecordWriter::add_record(Batch& batch, Cluster& cluster, Machine& machine) const {
+  // A record that another version stored large has to shrink first, as what is allocated there
+  // ends. What was to be added goes elsewhere. The larger record in the store allocates too much,
+  // never too little (safety 1).
+  if (cluster.record_size(machine) > access_.store.limits().value_bytes()) {
+    (void)cluster.drop_planned(machine, access_.context.loop.now());
+    machine.dirty = false;
+    return true;
+  }
+  // Safety 3: an allocation is refused when its job was cancelled or is over.
+  std::set<std::string> added_jobs = newly_allocated_jobs(cluster, machine);
+  for (const std::string& id : batch.jobs) added_jobs.erase(id);
+  const size_t room = compares_left(batch);
+  if (added_jobs.size() > room && !batch.machines.empty()) return false;
+  MachineWrite write{machine.id, machine.mod_revision, cluster.record_of(machine)};
+  if (added_jobs.size() > room) {
+    // More jobs than one transaction compares: the rest follows with the next one.
+    while (added_jobs.size() > room) added_jobs.erase(std::prev(added_jobs.end()));
+    leave_out_new_allocations(write.record, machine, added_jobs);
+  }
+  std::string value;
+  if (!write.record.groups.empty()) value = wire::write_machine_record(write.record);
+  if (value.empty() && write.mod_revision == 0) {
+    machine.dirty = machine.trailing = false;
+    return true;
+  }
+  batch.jobs.insert(added_jobs.begin(), added_jobs.end());
+  batch.bytes += value.size() * kJsonPerPackedByte;
+  batch.txn.compares.push_back({wire::machine_key(machine.id), write.mod_revision});
+  batch.txn.writes.push_back({wire::machine_key(machine.id), std::move(value), 0});
+  machine.storing = true;
+  batch.machines.push_back(std::move(write));
+  return true;
+}
+
+// Records that gained entries, in the order in which they wait. Those that cannot be written now
+// keep waiting.
+void MachineRecordWriter::collect_dirty(Batch& batch, Cluster& cluster) const {
+  std::vector<Machine*> unwritable;  // being written, or to be reread
+  std::vector<Machine*> too_many_jobs;
+  while (!full(batch) && unwritable.size() + too_many_jobs.size() < kMostPassedOver) {
+    Machine* machine = cluster.next_dirty_machine();
+    if (!machine) break;
+    if (!machine->mod_revision_known || machine->storing) {
+      unwritable.push_back(machine);
+    } else if (!add_record(batch, cluster, *machine)) {
+      too_many_jobs.push_back(machine);
+    }
+  }
+  for (Machine* machine : unwritable) cluster.mark_dirty(*machine);
+  while (!too_many_jobs.empty()) {
+    cluster.requeue_dirty_machine(*too_many_jobs.back());
+    too_many_jobs.pop_back();
+  }
+}
+
+void MachineRecordWriter::collect_shrunk(Batch& batch, Cluster& cluster) const {
+  for (auto& [id, machine] : cluster.machines()) {
+    if (full(batch)) break;
+    const bool shrank =
+        machine->trailing && !machine->dirty && machine->mod_revision_known && !machine->storing;
+    if (shrank && !add_record(batch, cluster, *machine)) break;
+  }
+}
+
+// The records that wait to be written, as many as one transaction takes.
+MachineRecordWriter::Batch MachineRecordWriter::collect(Cluster& cluster,
+                                                        bool include_shrunk) const {
+  Batch batch;
+  batch.txn.compares.push_back(access_.context.epoch_compare());
+  collect_dirty(batch, cluster);
+  if (include_shrunk && cluster.dirty_machine_count() == 0) collect_shrunk(batch, cluster);
+  for (const std::string& id : batch.jobs) {
+    batch.txn.compares.push_back({wire::job_key(id), cluster.job(id)->mod_revision});
+  }
+  return batch;
+}
+
+Effects MachineRecordWriter::apply_write(Cluster& cluster, const MachineWrite& write,
+                                         const kv::TransactionResult& result) {
+  Effects effects;
+  const std::string key = wire::machine_key(write.id);
+  const bool deleted = write.record.groups.empty();
+  Machine* machine = cluster.find_machine(write.id);
+  if (!machine) {
+    if (result.applied && !deleted) cleaner_.add({key, result.revision});
+    return effects;
+  }
+  machine->storing = false;
+  if (result.applied) {
+    cluster.machine_stored(*machine, write.record, deleted ? 0 : result.revision, effects);
+  } else if (result.outcome == Outcome::unknown || result.compare_failed(key)) {
+    machine->mod_revision_known = false;
+    mod_revisions_unknown_ = true;
+  }
+  if (!result.applied && machine->dirty) cluster.mark_dirty(*machine);
+  return effects;
+}
+
+MachineRecordWriter::Applied MachineRecordWriter::apply_result(
+    Cluster& cluster, const Batch& batch, const kv::TransactionResult& result) {
+  Applied applied;
+  for (const MachineWrite& write : batch.machines) {
+    applied.effects |= apply_write(cluster, write, result);
+  }
+  for (const std::string& id : batch.jobs) {
+    if (!result.compare_failed(wire::job_key(id))) continue;
+    applied.effects |= cluster.drop_unsent(id, access_.context.loop.now());
+    applied.changed_jobs.push_back(id);
+  }
+  return applied;
+}
+
+Task<bool> MachineRecordWriter::write_some(uint64_t term, bool include_shrunk) {
+  LeaderContext& context = access_.context;
+  if (mod_revisions_unknown_) {
+    co_await reread_unknown(term);
+    if (!context.in_term(term)) co_return false;
+  }
+  const size_t waiting = context.leader_state.with(
+      [](LeaderState& leader) { return leader.cluster.dirty_machine_count(); });
+  if (waiting == 0 && !include_shrunk) co_return false;
+  // Records that only shrank are rewritten with what is left of the budget: an entry too many costs
+  // a new leader a moment, an allocation that waits costs a machine.
+  if (waiting == 0 && !access_.has_slack()) co_return false;
+  co_await access_.await_budget(term, static_cast<double>(std::min(waiting, access_.max_writes())));
+  if (!context.in_term(term)) co_return false;
+  Batch batch = context.leader_state.with(
+      [&](LeaderState& leader) { return collect(leader.cluster, include_shrunk); });
+  if (batch.machines.empty()) co_return false;
+  const kv::TransactionResult result =
+      co_await access_.store.commit(std::move(batch.txn), StoreAccess::kCommitTime);
+  if (!context.in_term(term)) co_return false;
+  const Applied applied = context.leader_state.with(
+      [&](LeaderState& leader) { return apply_result(leader.cluster, batch, result); });
+  if (access_.superseded(result)) co_return false;
+  context.follow_up(applied.effects);
+  for (const std::string& id : applied.changed_jobs) co_await jobs_.reread(term, id);
+  if (result.outcome != Outcome::ok) co_await context.loop.sleep(StoreAccess::kRetry);
+  co_return true;
+}
+
+}  // namespace dunlinknot::cluster
--- /dev/null
+++ b/src/dunlinknot/cluster/allocation_store/progress_writer.hpp
@@ -0,0 +1,53 @@
+// Writing how far jobs are, and how they ended.
+#pragma once
+#include <set>
+#include <string>
+#include <vector>
+
+#include "dunlinknot/cluster/allocation_store/job_records.hpp"
+
+namespace dunlinknot::cluster {
+
+// Writes completed tasks, in chunks, and the ends of jobs. Both are durable before a user or a
+// worker is told of them. A transaction compares `epoch`, the records it writes, and those of the
+// jobs.
+class ProgressWriter {
+ public:
+  ProgressWriter(const StoreAccess& access, const JobRecords& jobs)
+      : access_(access), jobs_(jobs) {}
+  // Runs until the term ends.
+  Task<void> run(uint64_t term);
+
+ private:
+  struct ChunkWrite {
+    std::string job;
+    uint32_t chunk = 0;
+    std::vector<bool> bits;  // of all the job's tasks, as written
+  };
+  struct FinishedJob {
+    std::string id;
+    uint32_t tasks = 0;
+  };
+  struct Batch {  // one transaction
+    std::vector<ChunkWrite> chunks;
+    std::vector<FinishedJob> finished;
+    std::set<std::string> jobs;
+    kv::Transaction txn;
+  };
+  Task<bool> write_some(uint64_t term);
+  Batch collect(const Cluster& cluster, bool include_open) const;
+  void add_end(Batch& batch, const Job& job) const;
+  void add_chunks(Batch& batch, const Job& job) const;
+  void schedule_next_open(const Batch& batch);
+
+  void apply_stored(const Batch& batch, uint64_t revision) const;
+  Task<bool> reread(uint64_t term, Batch batch, kv::TransactionResult result) const;
+  void apply_reread(const ChunkWrite& chunk, const kv::GetResult& got) const;
+
+  const StoreAccess& access_;
+  const JobRecords& jobs_;
+  Instant next_open_{};        // when the progress of open jobs is written next
+  std::string last_open_job_;  // the last one whose progress was written
+};
+
+}  // namespace dunlinknot::cluster
--- /dev/null
+++ b/src/dunlinknot/cluster/allocation_store/record_cleaner.cpp
@@ -0,0 +1,71 @@
+// Deleting records that nothing refers to any more.
+#include "dunlinknot/cluster/allocation_store/record_cleaner.hpp"
+
+#include <algorithm>
+
+namespace dunlinknot::cluster {
+
+namespace {
+
+using http::Outcome;
+
+constexpr size_t kMostDeletions = 12;  // of a transaction
+
+}  // namespace
+
+void RecordCleaner::collect_dead() {
+  auto dead = access_.context.leader_state.with(
+      [](LeaderState& leader) { return leader.cluster.drain_dead_records(); });
+  for (auto& [key, mod_revision] : dead) dead_.push_back({std::move(key), mod_revision});
+}
+
+// Deletions are conditional on the record being the one that we knew: a machine's name may be in
+// use again, and its record with it.
+RecordCleaner::Batch RecordCleaner::next_batch(std::vector<kv::Compare> compares) {
+  Batch batch;
+  batch.txn.compares = std::move(compares);
+  const size_t most = std::min(access_.max_writes(), kMostDeletions);
+  while (!dead_.empty() && batch.records.size() < most) {
+    const DeadRecord& record = dead_.front();
+    batch.txn.compares.push_back({record.key, record.mod_revision});
+    batch.txn.writes.push_back({record.key, "", 0});
+    batch.records.push_back(std::move(dead_.front()));
+    dead_.pop_front();
+  }
+  return batch;
+}
+
+Task<bool> RecordCleaner::delete_some(uint64_t term) {
+  collect_dead();
+  if (dead_.empty() || !access_.has_slack()) co_return false;
+  std::optional<std::vector<kv::Compare>> compares = access_.handler.cleanup_compares();
+  if (!compares) co_return false;
+  Batch batch = next_batch(std::move(*compares));
+  const Instant sent = access_.context.loop.boot_now();
+  kv::TransactionResult result =
+      co_await access_.store.commit(std::move(batch.txn), StoreAccess::kCommitTime);
+  if (!access_.context.in_term(term)) co_return false;
+  access_.handler.apply_cleanup_result(result, sent);
+  if (access_.superseded(result)) co_return false;
+  if (result.applied) co_return !dead_.empty();
+  co_await requeue(term, std::move(batch), std::move(result));
+  co_return false;
+}
+
+// After a transaction that was not applied, or with an unknown outcome.
+Task<void> RecordCleaner::requeue(uint64_t term, Batch batch, kv::TransactionResult result) {
+  for (DeadRecord& record : batch.records) {
+    if (!result.compare_failed(record.key)) {
+      dead_.push_back(std::move(record));
+      continue;
+    }
+    // Deleted already, or written by a transaction whose answer we never had.
+    const kv::GetResult got = co_await access_.store.get(record.key, StoreAccess::kCommitTime);
+    if (!access_.context.in_term(term)) co_return;
+    if (got.outcome == Outcome::ok && got.found) {
+      dead_.push_back({std::move(record.key), got.item.mod_revision});
+    }
+  }
+}
+
+}  // namespace dunlinknot::cluster
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -56,18 +56,7 @@
             [this](const std::string& id) { on_user_cancellation(id); }),
       workers_(
           context_, elector_, [this] { return may_renew(); }, transport),
-      allocation_store_(context_, store_,
-                        {[this](std::string_view why) {
-                           elector_.observe_epoch(context_.epoch + 1, std::nullopt, why);
-                         },
-                         [this](const std::string& id, uint32_t tasks) {
-                           jobs_.finals().put(id, {false, tasks});
-                         },
-                         [this](Instant sent) { elector_.cancellations_read(sent); },
-                         [this] { return cleanup_compares(); },
-                         [this](const kv::TransactionResult& result, Instant sent) {
-                           apply_cleanup_result(result, sent);
-                         }}),
+      allocation_store_(context_, store_, *this),
       roles_(operator_settings.roles ? std::make_unique<roles::SingletonRoles>(context_, store_)
                                      : nullptr),
       autoscaler_(context_, cloud_, roles_.get()) {}
@@ -238,7 +227,7 @@
         co_return;
       }
       kv::Transaction txn;
-      txn.compares.push_back({std::string(wire::kEpochKey), context_.epoch_mod_revision});
+      txn.compares.push_back(context_.epoch_compare());
       txn.compares.push_back({std::string(wire::kCatalogKey), 0});
       txn.writes.push_back({std::string(wire::kCatalogKey), value, 0});
       kv::TransactionResult result =
@@ -263,9 +252,21 @@
   loop_.spawn(fail_over(context_.term));
 }
 
+void Daemon::on_epoch_superseded() {
+  elector_.observe_epoch(context_.epoch + 1, std::nullopt, "a transaction met a later epoch");
+}
+
+void Daemon::on_job_finished(const std::string& id, uint32_t tasks) {
+  jobs_.finals().put(id, {false, tasks});
+}
+
+void Daemon::on_cancellations_applied(Instant sent) {
+  elector_.cancellations_read(sent);
+}
+
 // What a removal of records has to guard; nothing while this node may not do it.
 std::optional<std::vector<kv::Compare>> Daemon::cleanup_compares() const {
-  if (!roles_) return {{{std::string(wire::kEpochKey), context_.epoch_mod_revision}}};
+  if (!roles_) return {{context_.epoch_compare()}};
   if (!roles_->holder.may_act(roles::Role::cleanup)) return std::nullopt;
   return roles_->holder.compares(roles::Role::cleanup);
 }
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -18,7 +18,9 @@
 size_t server_connections(const settings::Platform& platform,
                           const settings::Operator& operator_settings);
 
-class Daemon : private leadership::LeadershipObserver, private leadership::PeerHandler {
+class Daemon : private leadership::LeadershipObserver,
+               private leadership::PeerHandler,
+               private cluster::AllocationStoreHandler {
  public:
   Daemon(EventLoop& loop, const settings::Platform& platform,
          const settings::Operator& operator_settings, http::Transport& transport, uint32_t seed);
@@ -47,8 +49,11 @@
   Task<void> log_counters();
   void log_cluster_summary();
   Task<bool> ready();
-  std::optional<std::vector<kv::Compare>> cleanup_compares() const;
-  void apply_cleanup_result(const kv::TransactionResult& result, Instant sent);
+  void on_epoch_superseded() override;
+  void on_job_finished(const std::string& id, uint32_t tasks) override;
+  void on_cancellations_applied(Instant sent) override;
+  std::optional<std::vector<kv::Compare>> cleanup_compares() const override;
+  void apply_cleanup_result(const kv::TransactionResult& result, Instant sent) override;
   wire::peer::Progress progress() override;
   void on_peer_status(const wire::peer::Status& status) override;
   void on_peer_progress(const wire::peer::Progress& progress) override;
