--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -50,38 +50,13 @@
              kv::Limits(platform.store_limits, platform.next_store_limits), kBudgetShare),
       cloud_(loop, transport, platform.cloud, platform.cloud_rps),
       context_(loop, platform, operator_settings),
-      elector_(loop, store_, platform, to_nanos(operator_settings.leader_ttl),
-               {[this](const leadership::Term& term) { elected(term); },
-                [this](uint64_t epoch, std::string_view) { deposed(epoch); }}),
-      peers_(loop, platform,
-             {[this] { return status(); },
-              [this](const wire::peer::Status& status) {
-                elector_.observe_epoch(
-                    status.epoch,
-                    status.leader.empty() ? std::nullopt : std::optional(status.leader),
-                    status.node);
-              },
-              [this] { return progress(); },
-              [this](const wire::peer::Progress& progress) {
-                if (!elector_.leading()) jobs_.progress().replace(progress);
-              },
-              [this](const std::string& id) { on_peer_cancellation(id); }}),
+      elector_(loop, store_, platform, to_nanos(operator_settings.leader_ttl), *this),
+      peers_(loop, platform, *this),
       jobs_(loop, store_, platform, operator_settings, seed,
             [this](const std::string& id) { on_user_cancellation(id); }),
       workers_(
           context_, elector_, [this] { return may_renew(); }, transport),
-      allocation_store_(context_, store_,
-                        {[this](std::string_view why) {
-                           elector_.observe_epoch(context_.epoch + 1, std::nullopt, why);
-                         },
-                         [this](const std::string& id, uint32_t tasks) {
-                           jobs_.finals().put(id, {false, tasks});
-                         },
-                         [this](Instant sent) { elector_.cancellations_read(sent); },
-                         [this] { return cleanup_compares(); },
-                         [this](const kv::TransactionResult& result, Instant sent) {
-                           apply_cleanup_result(result, sent);
-                         }}),
+      allocation_store_(context_, store_, *this),
       roles_(operator_settings.roles ? std::make_unique<roles::SingletonRoles>(context_, store_)
                                      : nullptr),
       autoscaler_(context_, cloud_, roles_.get()) {}
@@ -194,6 +169,16 @@
   if (elector_.leading() && context_.loaded) allocation_store_.cancelled(id);
 }
 
+void Daemon::on_peer_status(const wire::peer::Status& status) {
+  elector_.observe_epoch(status.epoch,
+                         status.leader.empty() ? std::nullopt : std::optional(status.leader),
+                         status.node);
+}
+
+void Daemon::on_peer_progress(const wire::peer::Progress& progress) {
+  if (!elector_.leading()) jobs_.progress().replace(progress);
+}
+
 wire::peer::Progress Daemon::progress() {
   wire::peer::Progress progress;
   if (!elector_.leading() || !context_.loaded) return progress;
@@ -242,7 +227,7 @@
         co_return;
       }
       kv::Transaction txn;
-      txn.compares.push_back({std::string(wire::kEpochKey), context_.epoch_mod_revision});
+      txn.compares.push_back(context_.epoch_compare());
       txn.compares.push_back({std::string(wire::kCatalogKey), 0});
       txn.writes.push_back({std::string(wire::kCatalogKey), value, 0});
       kv::TransactionResult result =
@@ -267,9 +252,21 @@
   loop_.spawn(fail_over(context_.term));
 }
 
+void Daemon::on_epoch_superseded() {
+  elector_.observe_epoch(context_.epoch + 1, std::nullopt, "a transaction met a later epoch");
+}
+
+void Daemon::on_job_finished(const std::string& id, uint32_t tasks) {
+  jobs_.finals().put(id, {false, tasks});
+}
+
+void Daemon::on_cancellations_applied(Instant sent) {
+  elector_.cancellations_read(sent);
+}
+
 // What a removal of records has to guard; nothing while this node may not do it.
 std::optional<std::vector<kv::Compare>> Daemon::cleanup_compares() const {
-  if (!roles_) return {{{std::string(wire::kEpochKey), context_.epoch_mod_revision}}};
+  if (!roles_) return {{context_.epoch_compare()}};
   if (!roles_->holder.may_act(roles::Role::cleanup)) return std::nullopt;
   return roles_->holder.compares(roles::Role::cleanup);
 }
@@ -278,7 +275,7 @@
   if (roles_) roles_->holder.apply_result(roles::Role::cleanup, result, sent);
 }
 
-void Daemon::deposed(uint64_t) {
+void Daemon::deposed() {
   if (roles_) {
     roles_->holder.lose();
     loop_.spawn(roles_->holder.release());
