--- a/src/dunlinknot/cluster/allocation_store_machines.cpp
+++ b/src/dunlinknot/cluster/allocation_store_machines.cpp
@@ -80,7 +80,8 @@
 void leave_out_new_allocations(wire::MachineRecord& record, const Machine& machine,
                                const std::set<std::string>& but_of) {
   for (const Allocation& allocation : machine.allocations) {
-    if (allocation.phase != Phase::planned || but_of.contains(allocation.task.job)) continue;
+    if (allocation.phase != AllocationPhase::planned || but_of.contains(allocation.task.job))
+      continue;
     for (auto& group : record.groups) {
       if (group.job != allocation.task.job) continue;
       std::erase(group.tasks, std::pair(allocation.task.index, allocation.attempt));
@@ -112,7 +113,7 @@
   // Safety 3: an allocation is refused when its job was cancelled or is over.
   std::set<std::string> fresh;
   for (const Allocation& allocation : machine.allocations) {
-    if (allocation.phase == Phase::planned && cluster.job(allocation.task.job))
+    if (allocation.phase == AllocationPhase::planned && cluster.job(allocation.task.job))
       fresh.insert(allocation.task.job);
   }
   for (const std::string& id : batch.jobs) fresh.erase(id);
@@ -248,7 +249,7 @@
 Task<bool> AllocationStore::delete_some_records(uint64_t term) {
   auto dead = context_.leader_state.with(
       [](LeaderState& leader) { return leader.cluster.drain_dead_records(); });
-  for (auto& d : dead) garbage_.push_back(std::move(d));
+  for (auto& d : dead) garbage_.emplace_back(std::move(d.key), d.mod_revision);
   if (garbage_.empty() || store_.write_level() < store_.write_burst() * kSlackLevel)
     co_return false;
   std::optional<std::vector<kv::Compare>> compares = hooks_.cleanup_compares();
--- /dev/null
+++ b/src/dunlinknot/cluster/demand_forecasts.cpp
@@ -0,0 +1,55 @@
+// How submissions are turned into forecasts.
+#include "dunlinknot/cluster/demand_forecasts.hpp"
+
+#include <algorithm>
+#include <optional>
+
+namespace dunlinknot::cluster {
+
+namespace {
+
+constexpr Millis kRecent = std::chrono::minutes(4);  // submissions older than this are forgotten
+// Of a decaying maximum, with each new value; they add up to one.
+constexpr double kWeightOfMaximum = 0.95;
+constexpr double kWeightOfValue = 0.05;
+
+// Large values of long ago should not count for ever.
+void update_decaying_maximum(double& maximum, double value) {
+  maximum = std::max(value, maximum * kWeightOfMaximum + value * kWeightOfValue);
+}
+
+// The shortest time to start that any objective sets for the class.
+std::optional<Seconds> shortest_wait(const settings::Platform& platform,
+                                     const std::string& job_class) {
+  std::optional<Seconds> within;
+  for (const settings::Objective& objective : platform.objectives) {
+    if (objective.kind != "wait" || objective.job_class != job_class) continue;
+    within = within ? std::min(*within, objective.within) : objective.within;
+  }
+  return within;
+}
+
+}  // namespace
+
+void DemandForecasts::add_resources_per_gpu(const Resources& need) {
+  if (need.gpus <= 0) return;
+  update_decaying_maximum(resources_per_gpu_.cpus, need.cpus / need.gpus);
+  update_decaying_maximum(resources_per_gpu_.memory_gb, need.memory_gb / need.gpus);
+}
+
+void DemandForecasts::add(const JobSpec& spec, WallTime submitted) {
+  add_resources_per_gpu(spec.need);
+  const std::optional<Seconds> within = shortest_wait(platform_, spec.job_class);
+  if (!within) return;
+  DemandForecast& forecast = by_class_[spec.job_class];
+  forecast.sample = spec;
+  forecast.within = *within;
+  forecast.images[spec.image] = submitted;
+  forecast.arrivals.push_back({submitted, spec.tasks});
+  const WallTime oldest = submitted - kRecent;
+  std::erase_if(forecast.arrivals,
+                [&](const DemandArrival& arrival) { return arrival.submitted < oldest; });
+  std::erase_if(forecast.images, [&](const auto& image) { return image.second < oldest; });
+}
+
+}  // namespace dunlinknot::cluster
--- /dev/null
+++ b/src/dunlinknot/cluster/failure_detector.cpp
@@ -0,0 +1,106 @@
+// Suspicions against machines, and backing off of jobs that fail everywhere.
+#include "dunlinknot/cluster/failure_detector.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+namespace dunlinknot::cluster {
+
+namespace {
+
+constexpr size_t kMaxFailedOn = 32;      // machines remembered for each job, to bound memory
+constexpr uint32_t kSuspicions = 3;      // lost responses before a machine is unreachable
+constexpr size_t kFewUnreachable = 2;    // may be unreachable at once in a cluster of any size
+constexpr size_t kUnreachableShare = 8;  // and one in so many of those that report
+
+}  // namespace
+
+void FailureDetector::on_run_obeyed(Machine& machine) const {
+  machine.suspicions = 0;
+  machine.unreachable = false;
+}
+
+void FailureDetector::on_response_lost(Machine& machine, Instant now) const {
+  if (machine.suspicions == 0 || now - machine.last_suspicion > lease_ * 2) {
+    machine.suspicions = 0;
+    machine.first_suspicion = now;
+  }
+  machine.last_suspicion = now;
+  if (++machine.suspicions < kSuspicions || now - machine.first_suspicion < lease_ / 3 ||
+      machine.unreachable)
+    return;
+  machine.unreachable = true;
+  spdlog::info("machine {}: its heartbeats arrive, but our responses do not reach it", machine.id);
+}
+
+// An incarnation that outlives a lease since the last suspicion shows that our responses renew it.
+// Found by random scenarios: machines that had been unreachable for a while got no `run` that they
+// could obey, were too many to be deleted, and the only job that fitted them waited for ever.
+void FailureDetector::on_heartbeat(Machine& machine, Instant now) const {
+  if (!machine.unreachable ||
+      now - std::max(machine.incarnation_since, machine.last_suspicion) < lease_)
+    return;
+  machine.suspicions = 0;
+  machine.unreachable = false;
+  spdlog::info("machine {}: our responses reach it again", machine.id);
+}
+
+std::vector<std::string> FailureDetector::unreachable(const MachineTable& machines) {
+  std::vector<std::string> found;
+  size_t reporting = 0;
+  for (const auto& [id, machine] : machines) {
+    if (!machine->has_heartbeat || machine->lost) continue;
+    ++reporting;
+    if (machine->unreachable) found.push_back(id);
+  }
+  if (found.size() > std::max(kFewUnreachable, reporting / kUnreachableShare)) found.clear();
+  return found;
+}
+
+void FailureDetector::on_task_completed(Machine& machine) {
+  machine.error_streak = 0;
+  machine.error_jobs.clear();
+}
+
+// Safety 6: a machine that fails what other machines complete is drained; a job that fails on
+// every machine backs off.
+void FailureDetector::on_task_error(Machine& machine, Job* job, const JobTable& jobs,
+                                    Instant now) const {
+  ++machine.error_streak;
+  if (!job) return;
+  if (job->failed_on.size() < kMaxFailedOn) job->failed_on.insert(machine.id);
+  machine.error_jobs.insert(job->spec().id);
+  back_off_if_failing(*job, now);
+  drain_if_faulty(machine, *job, jobs);
+}
+
+void FailureDetector::back_off_if_failing(Job& job, Instant now) const {
+  if (job.failed_on.size() < op_.failing_machines || job.done_count() > 0 || job.proven) return;
+  if (!job.failing) spdlog::info("job {} fails on every machine: backing off", job.spec().id);
+  job.failing = true;
+  job.backoff = job.backoff == Nanos(0) ? to_nanos(op_.backoff_first)
+                                        : std::min(job.backoff * 2, to_nanos(op_.backoff_most));
+  job.not_before = now + job.backoff;
+}
+
+// Errors of jobs that fail everywhere say nothing about the machine. One job's errors do when the
+// job is known to succeed elsewhere, two jobs' errors in any case.
+void FailureDetector::drain_if_faulty(Machine& machine, const Job& job,
+                                      const JobTable& jobs) const {
+  if (machine.draining) return;
+  size_t blamed = 0;
+  for (const std::string& id : machine.error_jobs) {
+    const auto it = jobs.find(id);
+    if (it == jobs.end() || !it->second->failing) ++blamed;
+  }
+  const bool completed_elsewhere = job.done_count() > 0 || job.proven;
+  if (machine.error_streak < op_.faults_to_drain) return;
+  if (blamed < 2 && !(blamed == 1 && completed_elsewhere)) return;
+  machine.draining = true;
+  machine.drain_reason = "fails the tasks that it starts";
+  spdlog::info("machine {} drained: {} errors in a row, {} jobs", machine.id, machine.error_streak,
+               blamed);
+}
+
+}  // namespace dunlinknot::cluster
--- /dev/null
+++ b/src/dunlinknot/cluster/heartbeat_reconciler.hpp
@@ -0,0 +1,65 @@
+// Reconciles the allocations of a machine with what its worker reports.
+#pragma once
+#include <cstdint>
+
+#include "dunlinknot/cluster/allocation_table.hpp"
+#include "dunlinknot/cluster/failure_detector.hpp"
+#include "dunlinknot/cluster/record_write_queue.hpp"
+#include "dunlinknot/cluster/replica_backoff.hpp"
+
+namespace dunlinknot::cluster {
+
+// A status of a worker that is newer than all that were read before.
+struct ReceivedStatus {
+  const Heartbeat& heartbeat;
+  Instant now;
+  uint64_t epoch = 0;  // of this leader: its fencing token
+  // Sent by the worker of its own accord, so that tasks it does not list are gone. An answer to a
+  // direct call proves nothing about what is not in it.
+  bool complete = false;
+};
+
+// What the statuses say is carried out on the allocations, and judged by the failure detector. Has
+// no state of its own; called by `Cluster` under the leader state's lock.
+class HeartbeatReconciler {
+ public:
+  // `lease`: an upper bound of how long a worker runs its tasks without a response.
+  HeartbeatReconciler(AllocationTable& allocations, RecordWriteQueue& write_queue,
+                      ReplicaBackoff& replica_backoff, const FailureDetector& failure_detector,
+                      Nanos lease)
+      : allocations_(allocations),
+        write_queue_(write_queue),
+        replica_backoff_(replica_backoff),
+        failure_detector_(failure_detector),
+        lease_(lease) {}
+
+  void apply(Machine& machine, const ReceivedStatus& status, Effects& effects);
+
+ private:
+  void apply_machine_state(Machine& machine, const ReceivedStatus& status, Effects& effects) const;
+  Effects end_allocations_before(Machine& machine, uint64_t incarnation, Instant now);
+  bool end_unlisted(Machine& machine, const ReceivedStatus& status, Effects& effects);
+
+  // The job of the task if it is open and has such a task, else null.
+  Job* job_of(const TaskRef& task);
+  bool apply_task(Machine& machine, const TaskStatus& task, Instant now, Effects& effects);
+  void apply_state_change(const Machine& machine, Allocation& allocation, Job* job, TaskState state,
+                          Instant now) const;
+  void note_replica_running(const Machine& machine, const Allocation& allocation, Job* job,
+                            Instant now) const;
+  Allocation& allocate_orphan(Machine& machine, const TaskStatus& task, const Job* job, Instant now,
+                              Effects& effects);
+  bool may_adopt(const Machine& machine, const Job& job, uint32_t index) const;
+
+  Effects apply_exit(Machine& machine, const TaskStatus& task, Instant now);
+  static bool complete_task(Job& job, uint32_t index);
+  static void note_refusal(const Machine& machine, const TaskStatus& task, Job* job, Instant now);
+
+  AllocationTable& allocations_;
+  RecordWriteQueue& write_queue_;
+  ReplicaBackoff& replica_backoff_;
+  const FailureDetector& failure_detector_;
+  Nanos lease_;
+};
+
+}  // namespace dunlinknot::cluster
--- a/src/dunlinknot/cluster/job.cpp
+++ b/src/dunlinknot/cluster/job.cpp
@@ -1,3 +1,4 @@
+// The states of a job's tasks and their records.
 #include "dunlinknot/cluster/job.hpp"
 
 #include <algorithm>
@@ -17,27 +18,34 @@
       durable_(spec_.tasks),
       storable_in_chunk_(storable_in_chunk) {}
 
+bool Job::is_pending(uint32_t index) const {
+  return !done_[index] && !is_live(index) && !backed_off_until_.contains(index);
+}
+
 std::optional<uint32_t> Job::pop_pending() {
   while (!requeued_.empty()) {
-    const uint32_t i = requeued_.back();
+    const uint32_t index = requeued_.back();
     requeued_.pop_back();
-    if (!done_[i] && !is_live(i) && !backed_off_until_.contains(i)) return i;
+    if (is_pending(index)) return index;
   }
   while (next_fresh_ < spec_.tasks) {
-    const uint32_t i = next_fresh_++;
-    if (!done_[i] && !is_live(i) && !backed_off_until_.contains(i)) return i;
+    const uint32_t index = next_fresh_++;
+    if (is_pending(index)) return index;
   }
   return std::nullopt;
 }
 
-void Job::mark_done(uint32_t index) {
-  if (done_[index] || spec_.service) return;  // a service is never done, nor is any replica of it
+void Job::count_done(uint32_t index) {
   done_[index] = true;
   ++done_count_;
   if (is_live(index)) --unfinished_live_;
-  if (index % wire::kChunkTasks < storable_in_chunk_) {
+}
+
+void Job::mark_done(uint32_t index) {
+  if (done_[index] || spec_.service) return;
+  count_done(index);
+  if (index % wire::kChunkTasks < storable_in_chunk_)
     dirty_chunks_.insert(index / wire::kChunkTasks);
-  }
 }
 
 void Job::add_allocation(uint32_t index) {
@@ -83,11 +91,7 @@
   const size_t end = std::min<size_t>(done.size(), begin + wire::kChunkTasks);
   for (size_t i = begin; i < end; ++i) {
     if (!done[i]) continue;
-    if (!done_[i]) {
-      done_[i] = true;
-      ++done_count_;
-      if (is_live(static_cast<uint32_t>(i))) --unfinished_live_;
-    }
+    if (!done_[i]) count_done(static_cast<uint32_t>(i));
     durable_[i] = true;
   }
 }
--- /dev/null
+++ b/src/dunlinknot/cluster/replica_backoff.cpp
@@ -0,0 +1,40 @@
+// Exponential back-off of replicas.
+#include "dunlinknot/cluster/replica_backoff.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+namespace dunlinknot::cluster {
+
+namespace {
+
+constexpr uint32_t kFreeRetries = 1;     // early exits that are followed by a restart at once
+constexpr uint32_t kMostDoublings = 16;  // keeps the shift in range; `backoff_most` caps the pause
+
+}  // namespace
+
+void ReplicaBackoff::on_replica_end(Job& job, uint32_t index, bool soon, Instant now) {
+  const uint32_t ends = job.note_replica_end(index, soon);
+  if (ends <= kFreeRetries) return;
+  const uint32_t doublings = std::min(ends - kFreeRetries - 1, kMostDoublings);
+  const Nanos pause =
+      std::min(to_nanos(op_.backoff_first) * (1 << doublings), to_nanos(op_.backoff_most));
+  job.back_off(index, now + pause);
+  jobs_.insert(job.spec().id);
+  spdlog::info("{} ended soon after its start {} times in a row: backing off {:.0f} s",
+               TaskRef{job.spec().id, index}.text(), ends, to_seconds(pause).count());
+}
+
+bool ReplicaBackoff::release_due(const JobTable& jobs, Instant now) {
+  bool released = false;
+  std::erase_if(jobs_, [&](const std::string& id) {
+    const auto it = jobs.find(id);
+    if (it == jobs.end()) return true;
+    released |= it->second->release_backed_off(now);
+    return !it->second->any_backed_off();
+  });
+  return released;
+}
+
+}  // namespace dunlinknot::cluster
--- /dev/null
+++ b/src/dunlinknot/cluster/team_usage.cpp
@@ -0,0 +1,31 @@
+// Usage of teams and the check of their limits.
+#include "dunlinknot/cluster/team_usage.hpp"
+
+namespace dunlinknot::cluster {
+
+void TeamUsageTable::clear() {
+  usage_.assign(teams_.size(), TeamUsage{});
+  reserved_.clear();
+}
+
+void TeamUsageTable::add(int team, const Resources& need) {
+  if (team >= 0) usage_[static_cast<size_t>(team)].used += need;
+}
+
+void TeamUsageTable::remove(int team, const Resources& need) {
+  if (team >= 0) usage_[static_cast<size_t>(team)].used -= need;
+}
+
+bool TeamUsageTable::allows(int team, const Resources& need) const {
+  if (team < 0) return true;
+  const auto index = static_cast<size_t>(team);
+  Resources used = usage_[index].used + need;
+  if (index < reserved_.size()) used += reserved_[index];
+  const auto over = [](double most, double in_use, double needed) {
+    return most > 0 && needed > 0 && in_use > most + Resources::kSlack;
+  };
+  const settings::Team& limit = teams_[index];
+  return !over(limit.cpus_max, used.cpus, need.cpus) && !over(limit.gpus_max, used.gpus, need.gpus);
+}
+
+}  // namespace dunlinknot::cluster
--- a/src/dunlinknot/node/cluster_summary.cpp
+++ b/src/dunlinknot/node/cluster_summary.cpp
@@ -8,7 +8,7 @@
 
 using cluster::Allocation;
 using cluster::Machine;
-using cluster::Phase;
+using Phase = cluster::AllocationPhase;
 
 bool is_up(const Machine& machine) {
   return machine.has_heartbeat && !machine.lost;
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -419,7 +419,7 @@
     send(heartbeat(vm));
     Allocation& allocation =
         *c.allocate(*c.find_machine(vm), job, *job.pop_pending(), attempt, now);
-    allocation.phase = Phase::seen;
+    allocation.phase = AllocationPhase::seen;
     allocation.state = TaskState::running;
   }
   Heartbeat r = heartbeat("vm-1");
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -12,7 +12,7 @@
 using cluster::Effects;
 using cluster::Job;
 using cluster::Machine;
-using cluster::Phase;
+using Phase = cluster::AllocationPhase;
 using std::chrono::seconds;
 using test::job;
 
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -221,7 +221,7 @@
   cluster::Allocation& run(cluster::Machine& machine, cluster::Job& job) {
     cluster::Allocation& allocation =
         *c.allocate(machine, job, *job.pop_pending(), c.next_attempt(), now);
-    allocation.phase = cluster::Phase::seen;
+    allocation.phase = cluster::AllocationPhase::seen;
     allocation.state = TaskState::running;
     allocation.running_since = now;
     return allocation;
--- a/tests/zoned_cluster.hpp
+++ b/tests/zoned_cluster.hpp
@@ -61,7 +61,7 @@
   }
   void run(cluster::Job& job, cluster::Machine& machine) {
     cluster::Allocation& allocation = allocate(job, machine);
-    allocation.phase = cluster::Phase::seen;
+    allocation.phase = cluster::AllocationPhase::seen;
     allocation.state = TaskState::running;
     allocation.running_since = now;
   }
