--- a/src/dunlinknot/cluster/allocation_store/machine_record_writer.cpp
+++ b/src/dunlinknot/cluster/allocation_store/machine_record_writer.cpp
@@ -18,7 +18,7 @@
 std::set<std::string> newly_allocated_jobs(const Cluster& cluster, const Machine& machine) {
   std::set<std::string> jobs;
   for (const Allocation& allocation : machine.allocations) {
-    if (allocation.phase == Phase::planned && cluster.job(allocation.task.job)) {
+    if (allocation.phase == AllocationPhase::planned && cluster.job(allocation.task.job)) {
       jobs.insert(allocation.task.job);
     }
   }
@@ -29,7 +29,7 @@
 void leave_out_new_allocations(wire::MachineRecord& record, const Machine& machine,
                                const std::set<std::string>& but_of) {
   for (const Allocation& allocation : machine.allocations) {
-    if (allocation.phase != Phase::planned || but_of.contains(allocation.task.job)) continue;
+    if (allocation.phase != AllocationPhase::planned || but_of.contains(allocation.task.job)) continue;
     for (auto& group : record.groups) {
       if (group.job != allocation.task.job) continue;
       std::erase(group.tasks, std::pair(allocation.task.index, allocation.attempt));
--- a/src/dunlinknot/cluster/allocation_store/record_cleaner.cpp
+++ b/src/dunlinknot/cluster/allocation_store/record_cleaner.cpp
@@ -16,7 +16,7 @@
 void RecordCleaner::collect_dead() {
   auto dead = access_.context.leader_state.with(
       [](LeaderState& leader) { return leader.cluster.drain_dead_records(); });
-  for (auto& [key, mod_revision] : dead) dead_.push_back({std::move(key), mod_revision});
+  for (DeadRecord& record : dead) dead_.push_back(std::move(record));
 }
 
 // Deletions are conditional on the record being the one that we knew: a machine's name may be in
--- a/src/dunlinknot/cluster/allocation_store/store_access.hpp
+++ b/src/dunlinknot/cluster/allocation_store/store_access.hpp
@@ -27,12 +27,6 @@
   virtual void apply_cleanup_result(const kv::TransactionResult& result, Instant sent) = 0;
 };
 
-// A dead record: a key to delete as long as it was not changed since.
-struct DeadRecord {
-  std::string key;
-  uint64_t mod_revision = 0;
-};
-
 // References that outlive all parts, and the limits that all parts keep to.
 struct StoreAccess {
   static constexpr Millis kCommitTime{1200};  // for one call of the key-value store
