--- a/src/dunlinknot/preemption/fit.cpp
+++ b/src/dunlinknot/preemption/fit.cpp
@@ -1,3 +1,4 @@
+// Capacity with holds and victims, and the simulation that chooses victims on one machine.
 #include "dunlinknot/preemption/fit.hpp"
 
 #include <algorithm>
@@ -7,154 +8,205 @@
 
 namespace {
 
+using cluster::Allocation;
+
+// How long one replica of a service is missing while it moves: until another has started.
 constexpr Seconds kReplicaGap{15};
+// An accelerator counts as so many cores when lost work is weighed.
+constexpr double kCoresPerGpu = 8;
+// Tasks that need (almost) no cores still lose something when they are stopped.
+constexpr double kLeastWeight = 0.1;
+
+// An allocation that may be stopped for the preemptor.
+struct Removable {
+  size_t index;    // into Machine::allocations
+  bool is_victim;  // already on the machine's victim list
+  double lost;     // see lost_work
+};
 
-bool on_list(const std::vector<Victim>* list, const cluster::Allocation& allocation) {
-  return list && std::any_of(list->begin(), list->end(), [&](const Victim& victim) {
+bool on_list(const std::vector<Victim>* victims, const Allocation& allocation) {
+  return victims && std::any_of(victims->begin(), victims->end(), [&](const Victim& victim) {
            return victim.attempt == allocation.attempt && victim.task == allocation.task;
          });
 }
 
-bool exceeds(const Resources& beyond, const Resources& need) {
-  // Only what the team has beyond its guarantee may go, and it must have some of what is taken.
-  return (need.cpus > 0 && beyond.cpus + Resources::kSlack >= need.cpus) ||
-         (need.gpus > 0 && beyond.gpus + Resources::kSlack >= need.gpus);
+// Only what a team has beyond its guarantee may be taken back, and it must have some of the kind
+// of resource that the allocation uses.
+bool covers(const Resources& over_guarantee, const Resources& need) {
+  return (need.cpus > 0 && over_guarantee.cpus + Resources::kSlack >= need.cpus) ||
+         (need.gpus > 0 && over_guarantee.gpus + Resources::kSlack >= need.gpus);
+}
+
+// Takes the allocation out of what its team has beyond its guarantee; false when it may not go.
+// Jobs within their guarantee stay: else two teams, both with work within their guarantees, would
+// preempt one another for ever.
+bool reclaim(const Allocation& allocation, const Eligibility& preemptor,
+             std::vector<Resources>& over_guarantee) {
+  if (!preemptor.within_guarantee || allocation.team < 0 || allocation.team == preemptor.team)
+    return false;
+  if (preemptor.guaranteed_jobs && preemptor.guaranteed_jobs->contains(allocation.task.job))
+    return false;
+  Resources& over = over_guarantee[static_cast<size_t>(allocation.team)];
+  if (!covers(over, allocation.need)) return false;
+  over -= allocation.need;
+  return true;
+}
+
+std::vector<Removable> removable_allocations(const cluster::Machine& machine,
+                                             const std::vector<Victim>* victims,
+                                             const cluster::Cluster& cluster,
+                                             const Eligibility& preemptor, Instant now) {
+  std::vector<Removable> removable;
+  std::vector<Resources> over_guarantee;
+  if (preemptor.over_guarantee) over_guarantee = *preemptor.over_guarantee;
+  for (size_t i = 0; i < machine.allocations.size(); ++i) {
+    const Allocation& allocation = machine.allocations[i];
+    // Gangs are never victims, and what is queued on the machine takes no room.
+    if (allocation.gang || allocation.queued) continue;
+    const bool is_victim = on_list(victims, allocation);
+    // Leaves for another reason and in its own time: not to be counted on.
+    if (allocation.stopping() && !is_victim) continue;
+    const bool allowed = allocation.priority < preemptor.priority || is_victim ||
+                         reclaim(allocation, preemptor, over_guarantee);
+    if (!allowed) continue;
+    removable.push_back(
+        {i, is_victim, lost_work(allocation, cluster.job(allocation.task.job), now)});
+  }
+  return removable;
+}
+
+// Highest priority first, then the most work lost.
+void sort_most_costly_first(std::vector<Removable>& removable, const cluster::Machine& machine) {
+  std::sort(removable.begin(), removable.end(), [&](const Removable& a, const Removable& b) {
+    const Priority priority_a = machine.allocations[a.index].priority;
+    const Priority priority_b = machine.allocations[b.index].priority;
+    if (priority_a != priority_b) return priority_a > priority_b;
+    if (a.lost != b.lost) return a.lost > b.lost;
+    return a.index < b.index;
+  });
 }
 
 }  // namespace
 
 uint32_t tasks_in(const Resources& room, const Resources& need, uint32_t most) {
-  const auto dim = [&](double have, double each) {
+  const auto limit = [&](double have, double each) {
     if (have + Resources::kSlack < each) most = 0;
     if (most == 0 || each <= 0) return;
-    const double n = std::floor((have + Resources::kSlack) / each);
-    if (n < most) most = static_cast<uint32_t>(n);
+    const double fitting = std::floor((have + Resources::kSlack) / each);
+    if (fitting < most) most = static_cast<uint32_t>(fitting);
   };
-  dim(room.cpus, need.cpus);
-  dim(room.gpus, need.gpus);
-  dim(room.memory_gb, need.memory_gb);
+  limit(room.cpus, need.cpus);
+  limit(room.gpus, need.gpus);
+  limit(room.memory_gb, need.memory_gb);
   return most;
 }
 
-Room::Room(const cluster::Machine& machine, const Nominations& nominations, const Resources& size)
+MachineCapacity::MachineCapacity(const cluster::Machine& machine, const Nominations& nominations,
+                                 const Resources& size)
     : machine_(&machine), free_(size - machine.used) {
-  if (const auto* list = nominations.victims_on(machine.id)) {
-    for (const auto& b : machine.allocations) {
-      if (on_list(list, b)) victims_ += b.need;
+  if (const auto* victims = nominations.victims_on(machine.id)) {
+    for (const Allocation& allocation : machine.allocations) {
+      if (on_list(victims, allocation)) victims_ += allocation.need;
     }
   }
   for (const uint64_t id : nominations.on(machine.id)) {
     const Nomination& nomination = nominations.all().at(id);
-    holds_.push_back({id, nomination.room, nomination.priority});
+    add_hold(id, nomination.room, nomination.priority);
   }
 }
 
-bool Room::fits(const Resources& need, Priority priority, uint64_t except, const Resources& removed,
-                const Resources& removed_victims) const {
-  const Resources plain = free_ + removed;
-  if (!need.fits_in(plain)) return false;  // pass 2: without the holds
-  Resources held;
-  bool any = false;
+std::optional<Resources> MachineCapacity::held_against(Priority priority,
+                                                       uint64_t ignored_nomination) const {
+  std::optional<Resources> held;
   for (const Hold& hold : holds_) {
-    if (hold.id == except || hold.priority < priority) continue;
-    held += hold.room;
-    any = true;
+    if (hold.nomination == ignored_nomination || hold.priority < priority) continue;
+    if (!held) held.emplace();
+    *held += hold.room;
   }
-  if (!any) return true;
+  return held;
+}
+
+bool MachineCapacity::fits(const Resources& need, Priority priority, uint64_t ignored_nomination,
+                           const Resources& removed, const Resources& removed_victims) const {
+  const Resources plain = free_ + removed;
+  if (!need.fits_in(plain)) return false;  // pass 2: without the holds
+  const std::optional<Resources> held = held_against(priority, ignored_nomination);
+  if (!held) return true;
   // Pass 1: victims that are still allocated are subtracted (each once: those the simulation
   // removed already are not subtracted again), the holds are added.
-  return need.fits_in(plain + (victims_ - removed_victims) - held);
+  return need.fits_in(plain + (victims_ - removed_victims) - *held);
 }
 
-uint32_t Room::count(const Resources& need, Priority priority, uint32_t most) const {
+uint32_t MachineCapacity::count(const Resources& need, Priority priority, uint32_t most) const {
   most = tasks_in(free_, need, most);  // pass 2
-  Resources held;
-  bool any = false;
-  for (const Hold& hold : holds_) {
-    if (hold.priority < priority) continue;
-    held += hold.room;
-    any = true;
-  }
-  return any ? tasks_in(free_ + victims_ - held, need, most) : most;
+  // No nomination has the id 0, so none is left out.
+  const std::optional<Resources> held = held_against(priority, 0);
+  return held ? tasks_in(free_ + victims_ - *held, need, most) : most;
+}
+
+Resources MachineCapacity::held() const {
+  Resources sum;
+  for (const Hold& hold : holds_) sum += hold.room;
+  return sum;
 }
 
-void Room::end_hold(uint64_t id) {
-  std::erase_if(holds_, [&](const Hold& hold) { return hold.id == id; });
+void MachineCapacity::add_hold(uint64_t nomination, const Resources& room, Priority priority) {
+  holds_.push_back({nomination, room, priority});
 }
 
-double lost_work(const cluster::Allocation& allocation, const cluster::Job* job, Instant now) {
+void MachineCapacity::end_hold(uint64_t nomination) {
+  std::erase_if(holds_, [&](const Hold& hold) { return hold.nomination == nomination; });
+}
+
+double lost_work(const Allocation& allocation, const cluster::Job* job, Instant now) {
   if (allocation.running_since == Instant{}) return 0;
   // Of a replica only the time until it runs elsewhere is lost, however long it ran.
-  if (allocation.service) return kReplicaGap.count() * std::max(allocation.need.cpus, 0.1);
+  if (allocation.service) return kReplicaGap.count() * std::max(allocation.need.cpus, kLeastWeight);
   const double ran = std::max(0.0, to_seconds(now - allocation.running_since).count());
-  const double weight = std::max({allocation.need.cpus, allocation.need.gpus * 8, 0.1});
+  const double weight =
+      std::max({allocation.need.cpus, allocation.need.gpus * kCoresPerGpu, kLeastWeight});
   if (job && job->spec().checkpoint > Seconds(0)) return job->spec().save.count() * weight;
   return ran * weight;
 }
 
-std::optional<Candidate> simulate(const Room& room, const Nominations& nominations,
+std::optional<VictimSet> simulate(const MachineCapacity& capacity, const Nominations& nominations,
                                   const cluster::Cluster& cluster, const Resources& need,
-                                  uint64_t except, const Eligibility& who, Instant now) {
-  const cluster::Machine& machine = room.machine();
-  const auto* list = nominations.victims_on(machine.id);
-  struct Item {
-    size_t index;
-    bool listed;
-    double lost;
-  };
-  std::vector<Item> removable;
+                                  uint64_t ignored_nomination, const Eligibility& preemptor,
+                                  Instant now) {
+  const cluster::Machine& machine = capacity.machine();
+  std::vector<Removable> removable =
+      removable_allocations(machine, nominations.victims_on(machine.id), cluster, preemptor, now);
+  if (removable.empty()) return std::nullopt;
   Resources removed, removed_victims;
-  std::vector<Resources> beyond;
-  if (who.beyond) beyond = *who.beyond;
-  for (size_t i = 0; i < machine.allocations.size(); ++i) {
-    const cluster::Allocation& allocation = machine.allocations[i];
-    if (allocation.gang || allocation.queued)
-      continue;  // gangs are never victims; what waits there holds no room
-    const bool listed = on_list(list, allocation);
-    if (allocation.stopping() && !listed) continue;  // leaves for another reason, on its own time
-    bool allowed = allocation.priority < who.priority || listed;
-    // A team that is beyond its guarantee gives back what is beyond it: jobs within it stay. Else
-    // two teams, both with work within their guarantees, preempt one another for ever.
-    if (!allowed && who.within_guarantee && allocation.team >= 0 && allocation.team != who.team &&
-        !(who.guaranteed && who.guaranteed->contains(allocation.task.job))) {
-      Resources& over = beyond[static_cast<size_t>(allocation.team)];
-      if (exceeds(over, allocation.need)) {
-        over -= allocation.need;
-        allowed = true;
-      }
-    }
-    if (!allowed) continue;
-    removable.push_back({i, listed, lost_work(allocation, cluster.job(allocation.task.job), now)});
-    removed += allocation.need;
-    if (listed) removed_victims += allocation.need;
+  for (const Removable& each : removable) {
+    const Resources& freed = machine.allocations[each.index].need;
+    removed += freed;
+    if (each.is_victim) removed_victims += freed;
   }
-  if (removable.empty()) return std::nullopt;
-  if (!room.fits(need, who.priority, except, removed, removed_victims)) return std::nullopt;
-  // Take back what need not go: higher priorities first, then what would lose most work. Tasks that
-  // are being stopped already cost nothing and stay removed.
-  std::sort(removable.begin(), removable.end(), [&](const Item& a, const Item& b) {
-    const auto& x = machine.allocations[a.index];
-    const auto& y = machine.allocations[b.index];
-    if (x.priority != y.priority) return x.priority > y.priority;
-    if (a.lost != b.lost) return a.lost > b.lost;
-    return a.index < b.index;
-  });
-  Candidate out;
-  for (const Item& item : removable) {
-    const cluster::Allocation& allocation = machine.allocations[item.index];
-    if (!item.listed) {
+  const auto fits_with = [&](const Resources& freed) {
+    return capacity.fits(need, preemptor.priority, ignored_nomination, freed, removed_victims);
+  };
+  if (!fits_with(removed)) return std::nullopt;
+  // Take back what need not go, the most costly first. Tasks that are being stopped already cost
+  // nothing more and stay removed.
+  sort_most_costly_first(removable, machine);
+  VictimSet chosen;
+  for (const Removable& each : removable) {
+    const Allocation& allocation = machine.allocations[each.index];
+    if (!each.is_victim) {
       const Resources fewer = removed - allocation.need;
-      if (room.fits(need, who.priority, except, fewer, removed_victims)) {
+      if (fits_with(fewer)) {
         removed = fewer;
         continue;
       }
-      out.lost_seconds += item.lost;
+      chosen.lost_seconds += each.lost;
     }
-    out.victims.push_back({allocation.task, allocation.attempt});
-    out.victim_indices.push_back(item.index);
-    out.highest = std::max(out.highest, static_cast<int>(allocation.priority));
+    chosen.victims.push_back({allocation.task, allocation.attempt});
+    chosen.allocation_indices.push_back(each.index);
+    chosen.highest_priority =
+        std::max(chosen.highest_priority, static_cast<int>(allocation.priority));
   }
-  return out;
+  return chosen;
 }
 
 }  // namespace dunlinknot::preemption
--- a/src/dunlinknot/preemption/nominations.cpp
+++ b/src/dunlinknot/preemption/nominations.cpp
@@ -1,3 +1,4 @@
+// The book-keeping of nominations and of the victims on each machine.
 #include "dunlinknot/preemption/nominations.hpp"
 
 #include <spdlog/spdlog.h>
@@ -7,8 +8,8 @@
 namespace dunlinknot::preemption {
 
 namespace {
-const char* text(End e) {
-  switch (e) {
+const char* text(End reason) {
+  switch (reason) {
     case End::placed:
       return "placed";
     case End::cancelled:
@@ -27,11 +28,11 @@
 uint64_t Nominations::add(std::string job, std::string machine, Resources room, Priority priority,
                           const std::vector<Victim>& victims) {
   auto& list = victims_[machine];
-  for (const auto& v : victims) {
-    if (std::find(list.begin(), list.end(), v) == list.end()) list.push_back(v);
+  for (const Victim& victim : victims) {
+    if (std::find(list.begin(), list.end(), victim) == list.end()) list.push_back(victim);
   }
   if (list.empty()) victims_.erase(machine);
-  const uint64_t id = next_++;
+  const uint64_t id = next_id_++;
   by_machine_[machine].push_back(id);
   by_job_[job].push_back(id);
   nominations_[id] = Nomination{id, std::move(job), std::move(machine), room, priority};
@@ -62,7 +63,7 @@
   const auto it = victims_.find(machine);
   if (it == victims_.end()) return;
   bool any = false;
-  for (const auto& v : victims) any |= std::erase(it->second, v) > 0;
+  for (const Victim& victim : victims) any |= std::erase(it->second, victim) > 0;
   if (it->second.empty()) victims_.erase(it);
   if (!any) return;
   for (const uint64_t id : std::vector(on(machine))) end(id, End::stop_failed);
@@ -70,13 +71,13 @@
 
 void Nominations::settle(const cluster::Cluster& cluster) {
   for (auto it = victims_.begin(); it != victims_.end();) {
-    const auto h = cluster.machines().find(it->first);
-    if (h == cluster.machines().end()) {
+    const auto machine = cluster.machines().find(it->first);
+    if (machine == cluster.machines().end()) {
       it = victims_.erase(it);
       continue;
     }
     std::erase_if(it->second, [&](const Victim& victim) {
-      return !h->second->find(victim.task, victim.attempt);
+      return !machine->second->find(victim.task, victim.attempt);
     });
     it = it->second.empty() ? victims_.erase(it) : std::next(it);
   }
--- a/src/dunlinknot/scheduler/apply.cpp
+++ b/src/dunlinknot/scheduler/apply.cpp
@@ -1,3 +1,4 @@
+// What each part of a plan changes in the leader's state.
 #include "dunlinknot/scheduler/apply.hpp"
 
 #include <spdlog/spdlog.h>
--- /dev/null
+++ b/src/dunlinknot/scheduler/arrays.hpp
@@ -0,0 +1,38 @@
+// The stage that schedules arrays and services: on machines with room, on those that are coming or
+// are requested, by preemption, and queued on busy machines.
+#pragma once
+#include "dunlinknot/scheduler/job_nominations.hpp"
+#include "dunlinknot/scheduler/job_queue.hpp"
+#include "dunlinknot/scheduler/machine_queueing.hpp"
+#include "dunlinknot/scheduler/preemption.hpp"
+#include "dunlinknot/scheduler/scale_out.hpp"
+
+namespace dunlinknot::scheduler {
+
+// Schedules the arrays and services of one cycle.
+class ArrayScheduling {
+ public:
+  ArrayScheduling(CycleState& state, ScaleOutRequests& scale_out, PreemptionStage& preemption,
+                  MachineQueueing& machine_queueing)
+      : state_(state),
+        scale_out_(scale_out),
+        preemption_(preemption),
+        machine_queueing_(machine_queueing) {}
+
+  // At the job's turn. Adds it to the plan's waiting jobs when nothing of it was placed.
+  void schedule(const QueueEntry& entry);
+
+ private:
+  // For `open` tasks that found no place: machines, or victims. Returns what the job waits for.
+  WaitCause provide_for(const QueueEntry& entry, uint32_t open, JobNominations& nominations,
+                        PlacementConstraints& constraints);
+  // Sees to it that the replicas on interrupted machines, which move late, will find room.
+  void prepare_move(const QueueEntry& entry);
+
+  CycleState& state_;
+  ScaleOutRequests& scale_out_;
+  PreemptionStage& preemption_;
+  MachineQueueing& machine_queueing_;
+};
+
+}  // namespace dunlinknot::scheduler
--- /dev/null
+++ b/src/dunlinknot/scheduler/candidates.cpp
@@ -0,0 +1,109 @@
+// Which machines can be given work, and which are expected to be up soon.
+#include "dunlinknot/scheduler/candidates.hpp"
+
+#include <algorithm>
+
+namespace dunlinknot::scheduler {
+
+namespace {
+
+// Two heartbeats may be missed, and one be late by the second.
+bool heartbeat_is_recent(const CycleInputs& inputs, const Machine& machine) {
+  return inputs.now - machine.last_heartbeat <
+         to_nanos(inputs.platform.heartbeat_interval * 2 + Seconds(1));
+}
+
+bool is_ready(const CycleInputs& inputs, const Machine& machine) {
+  if (!machine.has_heartbeat || machine.lost || machine.draining || machine.terminating ||
+      machine.listed_failed || machine.interruption_at) {
+    return false;
+  }
+  // Only a heartbeat with our fencing token proves that the machine is alive under us: one without
+  // may be a late copy, even of a machine that was deleted long ago. And only a machine that our
+  // answers reach can be given anything.
+  if (!machine.fenced || machine.unreachable) return false;
+  return heartbeat_is_recent(inputs, machine);
+}
+
+// Not up yet, or just up and about to bear our fencing token: counted on, so that nothing is
+// launched in its place for that moment.
+bool is_coming(const CycleInputs& inputs, const Machine& machine) {
+  if (machine.draining || machine.terminating || machine.listed_failed) return false;
+  return !machine.has_heartbeat || (!machine.fenced && !machine.lost && !machine.interruption_at &&
+                                    heartbeat_is_recent(inputs, machine));
+}
+
+void note_fetches(CandidateMachine& candidate) {
+  for (const Allocation& allocation : candidate.machine->allocations) {
+    if (allocation.queued || allocation.state != TaskState::fetching || allocation.image.empty())
+      continue;
+    candidate.fetching.push_back(allocation.image);
+    candidate.gang_fetches |= allocation.gang;
+  }
+}
+
+}  // namespace
+
+Candidates::Candidates(const CycleInputs& inputs) : inputs_(inputs) {
+  for (const auto& [id, machine] : inputs.cluster.machines()) {
+    const bool ready = is_ready(inputs, *machine);
+    const bool coming = is_coming(inputs, *machine);
+    if ((!ready && !coming) || machine->size.cpus <= 0) continue;
+    CandidateMachine& candidate = add(machine.get(), *machine, pool_of(*machine),
+                                      coming ? Readiness::coming : Readiness::ready);
+    candidate.queued_tasks = machine->queued_tasks;
+    note_fetches(candidate);
+  }
+  for (const PendingLaunch& launch : inputs.cloud_capacity.pending) {
+    for (uint32_t i = 0; i < launch.count; ++i) add_pending(launch.offer);
+  }
+}
+
+CandidateMachine* Candidates::find(const std::string& machine) {
+  const auto it =
+      std::find_if(machines_.begin(), machines_.end(), [&](const CandidateMachine& candidate) {
+        return candidate.machine && candidate.machine->id == machine;
+      });
+  return it == machines_.end() ? nullptr : &*it;
+}
+
+CandidateMachine* Candidates::add_pending(const Offer& offer) {
+  const MachineType* type = inputs_.cluster.type(offer.type);
+  if (!type) return nullptr;
+  auto placeholder = std::make_unique<Machine>();
+  placeholder->size = type->size;
+  CandidateMachine& candidate = add(nullptr, *placeholder, pool_of(offer), Readiness::coming);
+  placeholders_.push_back(std::move(placeholder));
+  return &candidate;
+}
+
+InstancePool& Candidates::pool_of(const Offer& offer) {
+  auto [it, is_new] = pools_.try_emplace(offer);
+  if (is_new) {
+    it->second.offer = offer;
+    it->second.type = inputs_.cluster.type(offer.type);
+  }
+  return it->second;
+}
+
+InstancePool& Candidates::pool_of(const Machine& machine) {
+  // Machines of one pool mostly follow one another, since they were launched together: the pool of
+  // the machine before is tried first.
+  const auto matches = [&](const Offer& offer) {
+    return offer.spot == machine.spot && offer.type == machine.type && offer.zone == machine.zone;
+  };
+  if (!last_pool_ || !matches(last_pool_->offer))
+    last_pool_ = &pool_of(Offer{machine.type, machine.zone, machine.spot});
+  return *last_pool_;
+}
+
+CandidateMachine& Candidates::add(const Machine* machine, const Machine& model, InstancePool& pool,
+                                  Readiness readiness) {
+  CandidateMachine& candidate = machines_.emplace_back(
+      machine, preemption::MachineCapacity(model, inputs_.nominations, model.size), pool,
+      readiness);
+  pool.machines(readiness).push_back(&candidate);
+  return candidate;
+}
+
+}  // namespace dunlinknot::scheduler
--- /dev/null
+++ b/src/dunlinknot/scheduler/gang_placement.cpp
@@ -0,0 +1,102 @@
+// The search for room for a whole gang, zone by zone where its tasks must be together.
+#include "dunlinknot/scheduler/gang_placement.hpp"
+
+#include <algorithm>
+
+namespace dunlinknot::scheduler {
+
+namespace {
+
+struct CandidateShare {
+  CandidateMachine* candidate = nullptr;
+  uint32_t count = 0;
+};
+
+// Room for all of the gang's tasks.
+struct GangRoom {
+  double cost = 0;  // of the dearest place: the slowest task sets the gang's start
+  std::vector<CandidateShare> shares;
+};
+
+// The zones to try, each on its own; the empty name stands for all of them together.
+std::vector<std::string> zones_to_try(const JobSpec& spec,
+                                      const std::vector<RankedCandidate>& ranked) {
+  if (!spec.one_zone) return {std::string()};
+  std::vector<std::string> zones;
+  for (const auto& [cost, candidate] : ranked) {
+    if (std::find(zones.begin(), zones.end(), candidate->zone()) == zones.end())
+      zones.push_back(candidate->zone());
+  }
+  return zones;
+}
+
+std::optional<GangRoom> room_in_zone(const CycleState& state, const Job& job,
+                                     const std::vector<RankedCandidate>& ranked,
+                                     const std::string& zone, PlacementConstraints constraints) {
+  GangRoom room;
+  uint32_t left = job.spec().tasks;
+  for (const auto& [cost, candidate] : ranked) {
+    if (left == 0) break;
+    if (!zone.empty() && candidate->zone() != zone) continue;
+    const uint32_t most_here = std::min(left, constraints.tasks_allowed(candidate->zone()));
+    const uint32_t count = most_here > 0 ? tasks_that_fit(state, job, *candidate, most_here) : 0;
+    if (count == 0) continue;
+    constraints.add(candidate->zone(), count);
+    room.shares.push_back({candidate, count});
+    room.cost = std::max(room.cost, cost);
+    left -= count;
+  }
+  if (left > 0) return std::nullopt;
+  return room;
+}
+
+std::optional<GangRoom> cheapest_room(const CycleState& state, const Job& job,
+                                      const std::vector<RankedCandidate>& ranked) {
+  const PlacementConstraints constraints = state.cluster().constraints_of(job);
+  std::optional<GangRoom> best;
+  for (const std::string& zone : zones_to_try(job.spec(), ranked)) {
+    std::optional<GangRoom> room = room_in_zone(state, job, ranked, zone, constraints);
+    if (room && (!best || room->cost < best->cost)) best = std::move(room);
+  }
+  return best;
+}
+
+// Takes the room and returns the shares on machines that are ready.
+GangPlacement occupy(CycleState& state, const Job& job, const GangRoom& room) {
+  const JobSpec& spec = job.spec();
+  GangPlacement placement{spec.id, {}};
+  for (const auto& [candidate, count] : room.shares) {
+    candidate->capacity.take(spec.need * count);
+    if (!candidate->machine || candidate->coming) continue;
+    candidate->fetching.push_back(spec.image);
+    candidate->gang_fetches = true;
+    reserve_record_space(state.cluster(), job, *candidate, count);
+    placement.on.push_back({candidate->machine->id, count});
+    state.plan.wanted.push_back(candidate->machine->id);
+  }
+  state.quotas.charge(job, spec.tasks);
+  return placement;
+}
+
+}  // namespace
+
+bool place_gang(CycleState& state, const Job& job, Borrowing borrowing) {
+  const auto room =
+      cheapest_room(state, job, ranked_candidates(state, job, Readiness::ready, borrowing));
+  if (!room) return false;
+  state.plan.gangs.push_back(occupy(state, job, *room));
+  return true;
+}
+
+bool expect_gang_placement(CycleState& state, const Job& job, Borrowing borrowing) {
+  std::vector<RankedCandidate> ranked = ranked_candidates(state, job, Readiness::ready, borrowing);
+  const std::vector<RankedCandidate> coming =
+      ranked_candidates(state, job, Readiness::coming, borrowing);
+  ranked.insert(ranked.end(), coming.begin(), coming.end());
+  const auto room = cheapest_room(state, job, ranked);
+  if (!room) return false;
+  (void)occupy(state, job, *room);
+  return true;
+}
+
+}  // namespace dunlinknot::scheduler
--- a/src/dunlinknot/scheduler/headroom.cpp
+++ b/src/dunlinknot/scheduler/headroom.cpp
@@ -1,101 +1,148 @@
-// Headroom: room kept free for classes of jobs that are expected to start soon after they arrive.
-#include "dunlinknot/scheduler/scheduling_cycle.hpp"
+// How much headroom a class needs, and on which machines it is reserved.
+#include "dunlinknot/scheduler/headroom.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+#include "dunlinknot/scheduler/placement.hpp"
 
 namespace dunlinknot::scheduler {
 
 namespace {
 
-constexpr Millis kHeadroomMemory = std::chrono::seconds(200);
+constexpr Millis kHeadroomMemory = std::chrono::seconds(200);  // of arrivals that are counted
 constexpr Millis kRecentArrivals = std::chrono::seconds(60);
+constexpr double kShortestSpan = 60;     // seconds: a single arrival makes no rate
 constexpr double kMeanShare = 0.6;       // of the mean, on machines with accelerators
 constexpr double kHeadroomSpread = 1.0;  // beyond the mean, in standard deviations
 
-}  // namespace
+// The order of machines for headroom: lower first.
+constexpr double kRankComing = 30;
+constexpr double kRankNoRoomNow = 20;
+constexpr double kRankPerGpu = 25;
+constexpr double kRankPerMissingImage = 10;
+
+// How many tasks of a class may come before new room could be made for them.
+struct ExpectedTasks {
+  uint32_t wanted = 0;  // with the spread of what may come
+  uint32_t mean = 0;    // what comes on average
+  uint32_t steady = 0;  // the same, by the last minute where that saw less
+};
 
-SchedulingCycle::Headroom SchedulingCycle::headroom(const cluster::DemandForecast& forecast) const {
+ExpectedTasks expected_tasks(const cluster::DemandForecast& forecast, WallTime wall) {
   double tasks = 0;
   double of_late = 0;
   double squares = 0;  // a few large jobs vary more than many small ones
-  WallTime first = wall_;
-  for (const auto& [at, n] : forecast.arrivals) {
-    if (wall_ - at > kHeadroomMemory) continue;
-    tasks += n;
-    if (wall_ - at <= kRecentArrivals) of_late += n;
-    squares += static_cast<double>(n) * n;
+  WallTime first = wall;
+  for (const auto& [at, arrived] : forecast.arrivals) {
+    if (wall - at > kHeadroomMemory) continue;
+    tasks += arrived;
+    if (wall - at <= kRecentArrivals) of_late += arrived;
+    squares += static_cast<double>(arrived) * arrived;
     first = std::min(first, at);
   }
   if (tasks <= 0) return {};
-  const double span = std::max(60.0, std::chrono::duration<double>(wall_ - first).count());
-  const double coming = tasks / span * kRoomTakes.count();
+  const double span = std::max(kShortestSpan, std::chrono::duration<double>(wall - first).count());
+  const double coming = tasks / span * kTimeToMakeRoom.count();
   // What came all at once some time ago, such as a day's first jobs, is no sign of what comes
   // next.
-  of_late *= kRoomTakes.count() / to_seconds(kRecentArrivals).count();
-  const double spread = std::sqrt(squares / span * kRoomTakes.count());
+  of_late *= kTimeToMakeRoom.count() / to_seconds(kRecentArrivals).count();
+  const double spread = std::sqrt(squares / span * kTimeToMakeRoom.count());
   return {static_cast<uint32_t>(std::ceil(coming + spread * kHeadroomSpread)),
           static_cast<uint32_t>(std::ceil(coming * kMeanShare)),
           static_cast<uint32_t>(std::ceil(std::min(coming, of_late) * kMeanShare))};
 }
 
-void SchedulingCycle::keep_headroom(const std::string& name,
-                                    const cluster::DemandForecast& forecast) {
+bool could_hold(const JobSpec& spec, const CandidateMachine& candidate) {
+  const MachineType* type = candidate.pool->type;
+  return type && offer_allowed(spec, candidate.pool->offer) && spec.need.fits_in(type->size);
+}
+
+// What is free now first; machines with accelerators last, since each task strands what is left of
+// them; those with the class's images before others.
+double headroom_rank(const cluster::DemandForecast& forecast, const CandidateMachine& candidate) {
+  const JobSpec& spec = forecast.sample;
+  const MachineType* type = candidate.pool->type;
+  double rank = 0;
+  if (candidate.coming) rank += kRankComing;
+  if (!spec.need.fits_in(candidate.capacity.free())) rank += kRankNoRoomNow;
+  if (would_borrow(spec, type)) rank += kRankPerGpu * type->size.gpus;
+  for (const auto& [image, at] : forecast.images) {
+    if (!(candidate.machine && candidate.machine->has_image(image))) rank += kRankPerMissingImage;
+  }
+  return rank;
+}
+
+std::vector<RankedCandidate> ranked_for_headroom(const cluster::DemandForecast& forecast,
+                                                 Candidates& candidates) {
+  std::vector<RankedCandidate> ranked;
+  for (CandidateMachine& candidate : candidates.all()) {
+    if (could_hold(forecast.sample, candidate))
+      ranked.push_back({headroom_rank(forecast, candidate), &candidate});
+  }
+  std::stable_sort(
+      ranked.begin(), ranked.end(),
+      [](const RankedCandidate& a, const RankedCandidate& b) { return a.cost < b.cost; });
+  return ranked;
+}
+
+// Tasks of gangs without accelerators on those machines that the class would borrow.
+uint32_t borrowing_tasks(const JobSpec& spec, const std::vector<RankedCandidate>& ranked) {
+  uint32_t tasks = 0;
+  for (const auto& [rank, candidate] : ranked) {
+    if (!candidate->machine || !would_borrow(spec, candidate->pool->type)) continue;
+    for (const Allocation& allocation : candidate->machine->allocations)
+      tasks += allocation.gang && allocation.need.gpus <= 0 ? 1 : 0;
+  }
+  return tasks;
+}
+
+// What the machine may hold of the class once shorter work there is done: all but what gangs,
+// services and higher priorities hold.
+Resources room_in_time(const JobSpec& spec, const CandidateMachine& candidate) {
+  Resources room = candidate.pool->type->size;
+  if (!candidate.machine) return room;
+  for (const Allocation& allocation : candidate.machine->allocations) {
+    if (allocation.gang || allocation.service || allocation.priority > spec.priority)
+      room -= allocation.need;
+  }
+  return room;
+}
+
+void reserve_for_class(CycleState& state, const std::string& job_class,
+                       const cluster::DemandForecast& forecast) {
   // A class that has the time to wait for new machines needs no idle ones.
-  if (forecast.within > kRoomTakes) return;
-  const Headroom h = headroom(forecast);
-  uint32_t left = h.wanted;
+  if (forecast.within > kTimeToMakeRoom) return;
+  const ExpectedTasks expected = expected_tasks(forecast, state.inputs.wall);
+  uint32_t left = expected.wanted;
   if (left == 0) return;
-  uint32_t kept = 0;
-  uint32_t there = 0;  // tasks of its kind on borrowed machines
   const JobSpec& spec = forecast.sample;
-  std::vector<std::pair<double, CandidateMachine*>> order;
-  for (CandidateMachine& candidate : candidates_) {
-    const MachineType* machine_type = candidate.pool->type;
-    if (!machine_type || !offer_allowed(spec, candidate.pool->offer) ||
-        !spec.need.fits_in(machine_type->size))
-      continue;
-    if (candidate.machine && would_borrow(spec, machine_type)) {
-      for (const Allocation& allocation : candidate.machine->allocations)
-        there += allocation.gang && allocation.need.gpus <= 0 ? 1 : 0;
-    }
-    // What is free now first; machines with accelerators last; those with its images before
-    // others.
-    double rank = 0;
-    if (candidate.coming) rank += 30;
-    if (!spec.need.fits_in(candidate.room.free())) rank += 20;
-    if (would_borrow(spec, machine_type))
-      rank += 25 * machine_type->size.gpus;  // each strands what is left of its accelerators
-    for (const auto& [image, at] : forecast.images) {
-      if (!(candidate.machine && candidate.machine->has_image(image))) rank += 10;
-    }
-    order.emplace_back(rank, &candidate);
-  }
-  std::stable_sort(order.begin(), order.end(),
-                   [](const auto& a, const auto& b) { return a.first < b.first; });
-  for (auto& [rank, candidate] : order) {
+  const std::vector<RankedCandidate> ranked = ranked_for_headroom(forecast, state.candidates);
+  uint32_t counted = borrowing_tasks(spec, ranked);  // against the bound for borrowed machines
+  for (const auto& [rank, candidate] : ranked) {
     if (left == 0) break;
-    if (!candidate->kept_for.empty()) continue;
+    if (candidate->reserved.taken()) continue;
     // Machines with accelerators are dear to hold free: no more of them than the mean asks for,
     // and where a task would strand several, not for a rush that is over.
-    if (const MachineType* machine_type = candidate->pool->type; would_borrow(spec, machine_type)) {
-      const uint32_t most = may_borrow(spec, machine_type, Borrowing::cheap) ? h.mean : h.steady;
-      left = std::min(left, most > kept + there ? most - kept - there : 0);
-    }
-    // What it may hold once shorter work there is done: all but what its own kind holds.
-    Resources room = candidate->pool->type->size;
-    if (candidate->machine) {
-      for (const Allocation& allocation : candidate->machine->allocations) {
-        if (allocation.gang || allocation.service || allocation.priority > spec.priority)
-          room -= allocation.need;
-      }
+    if (const MachineType* type = candidate->pool->type; would_borrow(spec, type)) {
+      const bool is_cheap = may_borrow(state, spec, type, Borrowing::cheap);
+      const uint32_t most = is_cheap ? expected.mean : expected.steady;
+      left = std::min(left, most > counted ? most - counted : 0);
     }
-    const uint32_t n = preemption::tasks_in(room, spec.need, left);
-    if (n == 0) continue;
-    candidate->kept = spec.need * n;
-    candidate->kept_for = name;
-    candidate->kept_priority = spec.priority;
-    left -= n;
-    kept += n;
-    if (candidate->machine) plan_.wanted.push_back(candidate->machine->id);
+    const uint32_t tasks = preemption::tasks_in(room_in_time(spec, *candidate), spec.need, left);
+    if (tasks == 0) continue;
+    candidate->reserved = {spec.need * tasks, job_class, spec.priority};
+    left -= tasks;
+    counted += tasks;
+    if (candidate->machine) state.plan.wanted.push_back(candidate->machine->id);
   }
 }
 
+}  // namespace
+
+void reserve_headroom(CycleState& state) {
+  for (const auto& [job_class, forecast] : state.cluster().forecasts())
+    reserve_for_class(state, job_class, forecast);
+}
+
 }  // namespace dunlinknot::scheduler
--- /dev/null
+++ b/src/dunlinknot/scheduler/job_queue.cpp
@@ -0,0 +1,132 @@
+// Due times, the bound on waiting, and the order that follows from them.
+#include "dunlinknot/scheduler/job_queue.hpp"
+
+#include <algorithm>
+
+namespace dunlinknot::scheduler {
+
+namespace {
+
+// The bounds on waiting, whatever the order says.
+constexpr Seconds kMostWait{120};  // until the first task of a job starts
+constexpr Seconds kMostLate{240};  // beyond the job's due time
+// What a job that has completed some tasks still takes, as a share of its estimate.
+constexpr double kRestOfRun = 0.5;
+
+struct DueTime {
+  double in = 0;  // seconds from now
+  bool late = false;
+};
+
+double age_of(const CycleInputs& inputs, const Job& job) {
+  return std::chrono::duration<double>(inputs.wall - job.submitted()).count();
+}
+
+// By the nearest of its class's aims that the job can still meet.
+DueTime due_time(const CycleInputs& inputs, const Job& job) {
+  const JobSpec& spec = job.spec();
+  if (!spec.deadline) {
+    for (const auto& objective : inputs.platform.objectives) {
+      if (objective.kind == "wait" && objective.job_class == spec.job_class)
+        return {objective.within.count() - waited(inputs, job), false};
+    }
+    return {kNoDeadline.count() - waited(inputs, job), false};
+  }
+  const double age = age_of(inputs, job);
+  const double run = spec.estimate.count() * (job.done_count() > 0 ? kRestOfRun : 1.0);
+  std::vector<double> deadline_factors{1.0};
+  for (const auto& objective : inputs.platform.objectives) {
+    if (objective.kind == "deadline" && objective.job_class == spec.job_class)
+      deadline_factors.push_back(objective.times);
+  }
+  std::sort(deadline_factors.begin(), deadline_factors.end());
+  for (const double factor : deadline_factors) {
+    const double left = spec.deadline->count() * factor - age;
+    if (left >= run) return {left, false};
+  }
+  return {spec.deadline->count() - age, true};
+}
+
+// Seconds after which a job that nothing was started of is overdue. An aim for the start of a class
+// leaves the time to make room, and half of it is what the order may use up: what is to begin
+// within the aim must come before all else well before it is over. Shorter aims are met by the
+// ordinary order.
+double most_wait(const CycleInputs& inputs, const JobSpec& spec) {
+  double most = kMostWait.count();
+  for (const auto& objective : inputs.platform.objectives) {
+    if (objective.kind != "wait" || objective.job_class != spec.job_class ||
+        objective.within <= kTimeToMakeRoom)
+      continue;
+    most = std::min(most, objective.within.count() / 2);
+  }
+  return most;
+}
+
+// A job that nothing was started of goes first after a while, and so does one that is late for
+// longer than the bound.
+bool is_overdue(const CycleInputs& inputs, const Job& job) {
+  const double age = waited(inputs, job);
+  if (job.done_count() == 0 && job.live_count() == job.queued_tasks)
+    return age > most_wait(inputs, job.spec());
+  if (job.spec().service) return false;
+  const double due = job.spec().deadline ? job.spec().deadline->count() : kNoDeadline.count();
+  return age > due + kMostLate.count();
+}
+
+}  // namespace
+
+std::vector<QueueEntry> queue_of_jobs(const CycleState& state) {
+  const CycleInputs& inputs = state.inputs;
+  std::vector<QueueEntry> queue;
+  for (const auto& [id, job] : inputs.cluster.jobs()) {
+    const bool waits =
+        job->pending() + job->queued_tasks > 0 || replicas_leaving(inputs.cluster, *job) > 0;
+    if (!waits || inputs.now < job->not_before || job->team() < 0) continue;
+    const DueTime due = due_time(inputs, *job);
+    queue.push_back({job.get(), state.guaranteed_jobs.contains(id), due.in, due.late,
+                     is_overdue(inputs, *job)});
+  }
+  // Priority first, then what a guarantee covers, then what is due first. What is late whatever
+  // happens waits behind what can still be in time: else, when more comes than can be done, every
+  // job is brought to its end a little too late. But no job waits for ever: what is overdue goes
+  // before all else.
+  std::sort(queue.begin(), queue.end(), [](const QueueEntry& a, const QueueEntry& b) {
+    const cluster::QueuePosition position_a = a.queue_position(), position_b = b.queue_position();
+    if (position_a.before(position_b) || position_b.before(position_a))
+      return position_a.before(position_b);
+    return a.job->spec().id < b.job->spec().id;
+  });
+  return queue;
+}
+
+cluster::QueuePosition absolute_position(const QueueEntry& entry, Instant now) {
+  cluster::QueuePosition position = entry.queue_position();
+  position.due += to_seconds(now.time_since_epoch()).count();
+  return position;
+}
+
+double waited(const CycleInputs& inputs, const Job& job) {
+  // A service may have run for long when it loses a replica, which waits only since then.
+  if (job.spec().service && inputs.now > job.waiting_since)
+    return to_seconds(inputs.now - job.waiting_since).count();
+  return age_of(inputs, job);
+}
+
+uint32_t tasks_on(const Job& job, const Machine& machine) {
+  const auto is_of_job = [&](const Allocation& allocation) {
+    return allocation.task.job == job.spec().id;
+  };
+  return static_cast<uint32_t>(
+      std::count_if(machine.allocations.begin(), machine.allocations.end(), is_of_job));
+}
+
+uint32_t replicas_leaving(const Cluster& cluster, const Job& job) {
+  if (!job.spec().service) return 0;
+  uint32_t leaving = 0;
+  for (const Machine* machine : cluster.holders(job.spec().id)) {
+    if (machine->interruption_at) leaving += tasks_on(job, *machine);
+  }
+  return leaving;
+}
+
+}  // namespace dunlinknot::scheduler
--- /dev/null
+++ b/src/dunlinknot/scheduler/machine_queueing.cpp
@@ -0,0 +1,98 @@
+// How much work may wait on a machine, and which tasks join it.
+#include "dunlinknot/scheduler/machine_queueing.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+namespace dunlinknot::scheduler {
+
+namespace {
+
+constexpr double kQueuedWriteShare = 0.5;     // of the key-value store's writes, for queued tasks
+constexpr double kMostQueueSpan = 20;         // seconds of work queued on a machine
+constexpr uint32_t kMostQueuedRuns = 4;       // at most so many times what fits there
+constexpr uint32_t kCountableTasks = 10'000;  // more of them on one machine are not counted
+
+// The shortest span for which the writes of records suffice; 0 if that is below one heartbeat.
+double queue_span(const CycleState& state) {
+  const settings::Platform& platform = state.inputs.platform;
+  const double write_rps = platform.lowest_store_write_rps();
+  const double span =
+      static_cast<double>(state.candidates.all().size()) / (write_rps * kQueuedWriteShare);
+  return span < platform.heartbeat_interval.count() ? 0 : std::min(span, kMostQueueSpan);
+}
+
+double run_seconds(const JobSpec& spec) {
+  return std::max(1.0, spec.estimate.count());
+}
+
+// How many tasks of the job may wait on one machine of the pool; 0: none fits there.
+uint32_t most_queued(const JobSpec& spec, const InstancePool& pool, double span) {
+  const uint32_t places = preemption::tasks_in(pool.type->size, spec.need, kCountableTasks);
+  if (places == 0) return 0;
+  return std::clamp(static_cast<uint32_t>(std::ceil(places * span / run_seconds(spec))), 1u,
+                    places * kMostQueuedRuns);
+}
+
+// How many tasks on the machine would start before one at this position: those queued in this
+// cycle, and earlier ones that come before it.
+uint32_t queued_before(const CandidateMachine& candidate, const cluster::QueuePosition& position) {
+  uint32_t before = candidate.queued_tasks - candidate.machine->queued_tasks;
+  if (candidate.machine->queued_tasks == 0) return before;
+  for (const Allocation& allocation : candidate.machine->allocations) {
+    if (allocation.queued && !position.before(allocation.queue_position)) ++before;
+  }
+  return before;
+}
+
+}  // namespace
+
+MachineQueueing::MachineQueueing(CycleState& state) : state_(state), span_(queue_span(state)) {}
+
+// For a team at its limit only what ends of its own makes room: no more may wait than that lets
+// start within the span.
+uint32_t MachineQueueing::limit_by_turnover(const Job& job, uint32_t tasks) {
+  const JobSpec& spec = job.spec();
+  const Resources& used = state_.quotas.used(job.team());
+  const double running = std::max(spec.need.cpus > 0 ? used.cpus / spec.need.cpus : 0,
+                                  spec.need.gpus > 0 ? used.gpus / spec.need.gpus : 0);
+  const auto most = static_cast<uint32_t>(std::ceil(running * span_ / run_seconds(spec)));
+  uint32_t& already = queued_at_limit_[job.team()];
+  already += job.queued_tasks;
+  tasks = std::min(tasks, most > already ? most - already : 0);
+  already += tasks;
+  return tasks;
+}
+
+void MachineQueueing::queue(const QueueEntry& entry, uint32_t tasks) {
+  const Job& job = *entry.job;
+  const JobSpec& spec = job.spec();
+  if (tasks == 0 || span_ <= 0 || job.failing || spec.service) return;
+  // Where a task that waits on a machine would be in the way of the others, or they in its way.
+  if (PlacementConstraints(spec).zone_bound()) return;
+  const cluster::QueuePosition position = absolute_position(entry, state_.inputs.now);
+  if (state_.quotas.tasks_allowed(job) == 0) tasks = limit_by_turnover(job, tasks);
+  for (auto& [offer, pool] : state_.candidates.pools()) {
+    if (tasks == 0) return;
+    if (!pool.type || !offer_allowed(spec, offer)) continue;
+    const uint32_t most = most_queued(spec, pool, span_);
+    if (most == 0) continue;
+    for (CandidateMachine* candidate : pool.ready) {
+      if (tasks == 0) return;
+      if (candidate->reserved.taken() || candidate->queued_tasks >= most * 2 ||
+          !candidate->machine->has_image(spec.image))
+        continue;
+      const uint32_t before = queued_before(*candidate, position);
+      // Filled up when half is gone, not one by one.
+      if (before * 2 > most || !may_use(state_, job, *candidate)) continue;
+      const uint32_t queued =
+          std::min({tasks, most - before, record_allows(state_.cluster(), job, *candidate)});
+      candidate->queued_tasks += queued;
+      tasks -= queued;
+      reserve_record_space(state_.cluster(), job, *candidate, queued);
+      state_.plan.queued.push_back({spec.id, candidate->machine->id, queued, position});
+    }
+  }
+}
+
+}  // namespace dunlinknot::scheduler
--- /dev/null
+++ b/src/dunlinknot/scheduler/placement.cpp
@@ -0,0 +1,179 @@
+// The rules on where tasks may go, and the cost by which places are chosen.
+#include "dunlinknot/scheduler/placement.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <limits>
+
+namespace dunlinknot::scheduler {
+
+namespace {
+
+// Borrowing::cheap allows a task to keep so many accelerators from use.
+constexpr double kMostStranded = 1;
+// How much longer a fetch takes for each other that is under way: they share the rate.
+constexpr double kBusyFetches = 0.5;
+// Costs in seconds beyond the fetch. Accelerators are for the work that needs them; spot machines
+// are cheaper; filling up what is in use lets idle machines go.
+constexpr double kBorrowingCost = 20;
+constexpr double kBorrowingCostPerGpu = 10;
+constexpr double kOnDemandCost = 5;
+constexpr double kEmptyMachineCost = 6;
+
+// How many accelerators of an empty machine one task of the job, which needs none, would keep from
+// use because the rest of the machine no longer suffices for them.
+double stranded_gpus(const Cluster& cluster, const JobSpec& spec, const MachineType& type) {
+  const Resources& beside = cluster.resources_per_gpu();
+  if (beside.cpus <= 0 || beside.memory_gb <= 0) return 0;
+  const Resources rest = type.size - spec.need;
+  const double usable = std::min(std::floor(rest.cpus / beside.cpus + Resources::kSlack),
+                                 std::floor(rest.memory_gb / beside.memory_gb + Resources::kSlack));
+  return type.size.gpus - std::clamp(usable, 0.0, type.size.gpus);
+}
+
+double fetch_cost(const JobSpec& spec, const CandidateMachine& candidate) {
+  const MachineType* type = candidate.pool->type;
+  const bool cached = candidate.machine && candidate.machine->has_image(spec.image);
+  if (cached || !type || type->fetch_gb_per_s <= 0) return 0;
+  const bool under_way = std::find(candidate.fetching.begin(), candidate.fetching.end(),
+                                   spec.image) != candidate.fetching.end();
+  double fetch = fetch_seconds(spec, *type);
+  if (!under_way) fetch *= 1 + kBusyFetches * static_cast<double>(candidate.fetching.size());
+  return fetch;
+}
+
+double place_cost(const JobSpec& spec, const CandidateMachine& candidate) {
+  double cost = fetch_cost(spec, candidate);
+  const MachineType* type = candidate.pool->type;
+  if (!type) return cost;
+  if (would_borrow(spec, type)) cost += kBorrowingCost + kBorrowingCostPerGpu * type->size.gpus;
+  if (spec.spot && !candidate.pool->offer.spot) cost += kOnDemandCost;
+  if (type->size.cpus > 0)
+    cost += kEmptyMachineCost * candidate.capacity.free().cpus / type->size.cpus;
+  return cost;
+}
+
+// What the job must leave free on the machine beyond the holds of nominations; empty: nothing.
+std::optional<Resources> left_for_others(const Cluster& cluster, const JobSpec& spec,
+                                         const CandidateMachine& candidate) {
+  std::optional<Resources> rest;
+  const Resources& free = candidate.capacity.free();
+  const ReservedRoom& reserved = candidate.reserved;
+  // Single tasks without accelerators leave to each free accelerator what its next task will need
+  // besides. Else machines launched for their accelerators fill up with work that could run
+  // anywhere, and that is preempted for a guarantee soon after.
+  if (!spec.gang && spec.need.gpus <= 0 && free.gpus > 0 && reserved.owner != spec.job_class)
+    rest = free - cluster.resources_per_gpu() * free.gpus;
+  const bool reserved_for_other =
+      reserved.taken() && reserved.owner != spec.job_class && reserved.owner != spec.id;
+  if (reserved_for_other && spec.priority <= reserved.priority)
+    rest = rest.value_or(free) - reserved.room;
+  return rest;
+}
+
+}  // namespace
+
+bool would_borrow(const JobSpec& spec, const MachineType* type) {
+  return spec.need.gpus <= 0 && type && type->size.gpus > 0;
+}
+
+bool may_borrow(const CycleState& state, const JobSpec& spec, const MachineType* type,
+                Borrowing borrowing) {
+  if (borrowing == Borrowing::any || !would_borrow(spec, type)) return true;
+  return borrowing == Borrowing::cheap &&
+         !(state.accelerators_wanted &&
+           stranded_gpus(state.cluster(), spec, *type) > kMostStranded);
+}
+
+bool may_use(const CycleState& state, const Job& job, CandidateMachine& candidate) {
+  if (!candidate.machine) return true;
+  if (!job.failing && !job.failed_on.empty() && job.failed_on.contains(candidate.machine->id))
+    return false;
+  const Cluster& cluster = state.cluster();
+  if (!candidate.record_room) {
+    const size_t size = cluster.record_size(*candidate.machine);
+    candidate.record_room = size < cluster.record_limit() ? cluster.record_limit() - size : 0;
+  }
+  return record_allows(cluster, job, candidate) > 0;
+}
+
+bool may_go(const CycleState& state, const Job& job, CandidateMachine& candidate) {
+  return offer_allowed(job.spec(), candidate.pool->offer) && may_use(state, job, candidate);
+}
+
+uint32_t record_allows(const Cluster& cluster, const Job& job, const CandidateMachine& candidate) {
+  if (!candidate.record_room) return std::numeric_limits<uint32_t>::max();
+  const Cluster::RecordCost cost = cluster.record_cost(job);
+  const size_t left = *candidate.record_room - std::min(*candidate.record_room, cost.group);
+  return static_cast<uint32_t>(left / cost.task);
+}
+
+void reserve_record_space(const Cluster& cluster, const Job& job, CandidateMachine& candidate,
+                          uint32_t tasks) {
+  if (!candidate.record_room) return;
+  const Cluster::RecordCost cost = cluster.record_cost(job);
+  *candidate.record_room -= std::min(*candidate.record_room, cost.group + cost.task * tasks);
+}
+
+uint32_t tasks_that_fit(const CycleState& state, const Job& job, const CandidateMachine& candidate,
+                        uint32_t most) {
+  const JobSpec& spec = job.spec();
+  most = std::min(most, record_allows(state.cluster(), job, candidate));
+  if (const auto rest = left_for_others(state.cluster(), spec, candidate)) {
+    // Unlike preemption::tasks_in, a kind of resource that the task does not need sets no limit,
+    // even where less than nothing of it is left.
+    const auto limit = [&](double have, double need) {
+      if (need <= 0) return;
+      const double fitting = std::floor((have + Resources::kSlack) / need);
+      most = fitting <= 0 ? 0 : std::min(most, static_cast<uint32_t>(fitting));
+    };
+    limit(rest->cpus, spec.need.cpus);
+    limit(rest->gpus, spec.need.gpus);
+    limit(rest->memory_gb, spec.need.memory_gb);
+    if (most == 0) return 0;
+  }
+  return candidate.capacity.count(spec.need, spec.priority, most);
+}
+
+std::vector<RankedCandidate> ranked_candidates(CycleState& state, const Job& job,
+                                               Readiness readiness, Borrowing borrowing) {
+  const JobSpec& spec = job.spec();
+  std::vector<RankedCandidate> ranked;
+  for (auto& [offer, pool] : state.candidates.pools()) {
+    if (!offer_allowed(spec, offer)) continue;
+    if (!may_borrow(state, spec, pool.type, borrowing)) continue;
+    for (CandidateMachine* candidate : pool.machines(readiness)) {
+      if (!spec.need.fits_in(candidate->capacity.free()) || !may_use(state, job, *candidate))
+        continue;
+      ranked.push_back({place_cost(spec, *candidate), candidate});
+    }
+  }
+  std::stable_sort(
+      ranked.begin(), ranked.end(),
+      [](const RankedCandidate& a, const RankedCandidate& b) { return a.cost < b.cost; });
+  return ranked;
+}
+
+void place_tasks(CycleState& state, const Job& job, CandidateMachine& candidate, uint32_t tasks,
+                 std::vector<uint64_t> ends_nominations) {
+  candidate.capacity.take(job.spec().need * tasks);
+  state.quotas.charge(job, tasks);
+  candidate.fetching.push_back(job.spec().image);
+  reserve_record_space(state.cluster(), job, candidate, tasks);
+  state.plan.placements.push_back(
+      {job.spec().id, candidate.machine->id, tasks, std::move(ends_nominations)});
+}
+
+double fetch_seconds(const JobSpec& spec, const MachineType& type) {
+  return type.fetch_gb_per_s > 0 ? spec.image_gb / type.fetch_gb_per_s : 0;
+}
+
+double uses_until_due(const QueueEntry& entry, const MachineType& type, double up_in) {
+  const JobSpec& spec = entry.job->spec();
+  if (spec.service) return 1;  // its tasks never leave their places
+  const double run = std::max(1.0, spec.estimate.count());
+  const double span = std::max(run, entry.due - up_in - fetch_seconds(spec, type));
+  return std::max(1.0, std::floor(span / run));
+}
+
+}  // namespace dunlinknot::scheduler
--- a/src/dunlinknot/scheduler/scale_out.cpp
+++ b/src/dunlinknot/scheduler/scale_out.cpp
@@ -1,119 +1,175 @@
-// Requests for machines: the cheapest offers for what has no room.
-#include "dunlinknot/scheduler/scheduling_cycle.hpp"
+// The choice of offers, by price per task, and the number of machines to request.
+#include "dunlinknot/scheduler/scale_out.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+#include "dunlinknot/scheduler/gang_placement.hpp"
 
 namespace dunlinknot::scheduler {
 
 namespace {
 
-constexpr uint32_t kMostRequested = 50;  // machines for one job in one cycle
+constexpr uint32_t kMostRequested = 50;  // machines for one array in one cycle
+constexpr double kRounding = 1e-9;       // where 1 / share falls just short of a whole number
 
-}  // namespace
+struct RankedOffer {
+  Offer offer;
+  uint32_t tasks_per_machine = 0;
+  double price = 0;  // per task and hour
+  const MachineType* type = nullptr;
+  // The machines that so many tasks need.
+  uint32_t machines_for(uint32_t tasks) const {
+    return (tasks + tasks_per_machine - 1) / tasks_per_machine;
+  }
+};
+
+// What the task takes of an empty machine: the largest of its shares.
+double share_of(const Resources& need, const Resources& size) {
+  double share = 0;
+  if (size.cpus > 0) share = std::max(share, need.cpus / size.cpus);
+  if (size.memory_gb > 0) share = std::max(share, need.memory_gb / size.memory_gb);
+  if (size.gpus > 0) share = std::max(share, need.gpus / size.gpus);
+  return share;
+}
 
-std::vector<SchedulingCycle::RankedOffer> SchedulingCycle::ranked_offers(
-    const JobSpec& spec, const PlacementConstraints& constraints) const {
-  std::vector<RankedOffer> out;
-  for (const MachineType& machine_type : cluster_.catalog()) {
-    if (!cluster::type_allowed(spec, machine_type.name) || !spec.need.fits_in(machine_type.size))
-      continue;
-    const double share = share_of(spec.need, machine_type.size);
-    const uint32_t n = share > 0 ? static_cast<uint32_t>(1 / share + 1e-9) : 1;
-    for (const auto& zone : machine_type.zones) {
+// The offers that may be launched for a job, in zones where it may have further tasks; the lowest
+// price per task first.
+std::vector<RankedOffer> ranked_offers(const CycleInputs& inputs, const JobSpec& spec,
+                                       const PlacementConstraints& constraints) {
+  std::vector<RankedOffer> ranked;
+  for (const MachineType& type : inputs.cluster.catalog()) {
+    if (!cluster::type_allowed(spec, type.name) || !spec.need.fits_in(type.size)) continue;
+    const double share = share_of(spec.need, type.size);
+    const uint32_t fitting = share > 0 ? static_cast<uint32_t>(1 / share + kRounding) : 1;
+    const uint32_t tasks_per_machine = std::max(1u, fitting);
+    for (const auto& zone : type.zones) {
       if (constraints.tasks_allowed(zone) == 0) continue;
       for (const bool spot : {true, false}) {
-        const Offer offer{machine_type.name, zone, spot};
-        if (!offer_allowed(spec, offer)) continue;
-        if (cloud_capacity_.refused.contains(offer)) continue;
-        const double price = spot ? machine_type.spot_price : machine_type.price;
-        out.push_back({offer, std::max(1u, n), price / std::max(1u, n), &machine_type});
+        const Offer offer{type.name, zone, spot};
+        if (!offer_allowed(spec, offer) || inputs.cloud_capacity.refused.contains(offer)) continue;
+        const double price = spot ? type.spot_price : type.price;
+        ranked.push_back({offer, tasks_per_machine, price / tasks_per_machine, &type});
       }
     }
   }
-  std::stable_sort(out.begin(), out.end(),
+  std::stable_sort(ranked.begin(), ranked.end(),
                    [](const RankedOffer& a, const RankedOffer& b) { return a.price < b.price; });
-  return out;
+  return ranked;
+}
+
+// How many of the gang's tasks have room now, by zone, on machines that are ready or coming. May
+// be more than the gang may have there.
+std::map<std::string, uint32_t> room_by_zone(CycleState& state, const Job& job,
+                                             Borrowing borrowing) {
+  const JobSpec& spec = job.spec();
+  std::map<std::string, uint32_t> by_zone;
+  for (CandidateMachine& candidate : state.candidates.all()) {
+    if (!may_borrow(state, spec, candidate.pool->type, borrowing)) continue;
+    if (spec.need.fits_in(candidate.capacity.free()) && may_go(state, job, candidate))
+      by_zone[candidate.zone()] += tasks_that_fit(state, job, candidate, spec.tasks);
+  }
+  return by_zone;
+}
+
+struct GangRequest {
+  const RankedOffer* offer = nullptr;  // null: nothing to launch
+  uint32_t machines = 0;
+};
+
+// The offer with which what the gang lacks costs least.
+GangRequest cheapest_for_gang(const CycleState& state, const JobSpec& spec,
+                              const std::vector<RankedOffer>& offers,
+                              const PlacementConstraints& constraints,
+                              std::map<std::string, uint32_t> room, Borrowing borrowing) {
+  uint32_t everywhere = 0;
+  for (auto& [zone, tasks] : room) {
+    tasks = std::min(tasks, constraints.tasks_allowed(zone));
+    everywhere += tasks;
+  }
+  GangRequest best;
+  double lowest_cost = 0;
+  for (const RankedOffer& ranked : offers) {
+    if (!may_borrow(state, spec, ranked.type, borrowing)) continue;
+    const uint32_t free_there = room[ranked.offer.zone];
+    const uint32_t allowed_there = constraints.tasks_allowed(ranked.offer.zone);
+    if (free_there >= allowed_there) continue;  // more machines there would not help
+    const uint32_t have = spec.one_zone ? free_there : everywhere;
+    uint32_t missing = spec.tasks > have ? spec.tasks - have : 1;
+    missing = std::min(missing, allowed_there - free_there);
+    const uint32_t machines = ranked.machines_for(missing);
+    const double cost = machines * ranked.tasks_per_machine * ranked.price;
+    if (best.offer && cost >= lowest_cost) continue;
+    best = {&ranked, machines};
+    lowest_cost = cost;
+  }
+  return best;
+}
+
+}  // namespace
+
+bool ScaleOutRequests::possible(const JobSpec& spec,
+                                const PlacementConstraints& constraints) const {
+  return !ranked_offers(state_.inputs, spec, constraints).empty() && !machine_limit_reached();
+}
+
+bool ScaleOutRequests::machine_limit_reached() const {
+  return state_.inputs.cloud_capacity.machines + requested_ >=
+         state_.inputs.operator_settings.max_machines;
 }
 
-CandidateMachine& SchedulingCycle::request_machine(const Offer& offer, const std::string& job) {
+CandidateMachine& ScaleOutRequests::request_machine(const Offer& offer, const std::string& job) {
   ++requested_;
-  const auto w =
-      std::find_if(plan_.capacity_requests.begin(), plan_.capacity_requests.end(),
+  auto& requests = state_.plan.capacity_requests;
+  const auto same_offer =
+      std::find_if(requests.begin(), requests.end(),
                    [&](const CapacityRequest& request) { return request.offer == offer; });
-  if (w == plan_.capacity_requests.end()) {
-    plan_.capacity_requests.push_back({offer, 1, job});
+  if (same_offer == requests.end()) {
+    requests.push_back({offer, 1, job});
   } else {
-    ++w->count;
+    ++same_offer->count;
   }
-  return *add_pending_machine(offer);
+  return *state_.candidates.add_pending(offer);
 }
 
-uint32_t SchedulingCycle::scale_out_for_array(const Waiting& waiting, uint32_t open,
-                                              const PlacementConstraints& expected) {
-  const Job& job = *waiting.job;
+uint32_t ScaleOutRequests::request_for_array(const QueueEntry& entry, uint32_t open,
+                                             const PlacementConstraints& expected) {
+  const Job& job = *entry.job;
   const JobSpec& spec = job.spec();
   if (job.failing) return 0;
-  const auto offers = ranked_offers(spec, expected);
+  const auto offers = ranked_offers(state_.inputs, spec, expected);
   if (offers.empty() || machine_limit_reached()) return 0;
-  const RankedOffer& ranked_offer = offers.front();
+  const RankedOffer& cheapest = offers.front();
   // What the job may not have in one zone has to be launched elsewhere, in the cycles that follow.
-  const uint32_t most_there = expected.tasks_allowed(ranked_offer.offer.zone);
+  const uint32_t most_there = expected.tasks_allowed(cheapest.offer.zone);
   // As many machines as finish what is left in time, not one for every task at once.
-  const double times = uses_until_due(waiting, *ranked_offer.type, ranked_offer.type->boot.count());
-  uint32_t places = static_cast<uint32_t>(std::ceil(open / times));
+  const double uses = uses_until_due(entry, *cheapest.type, cheapest.type->boot.count());
+  uint32_t places = static_cast<uint32_t>(std::ceil(open / uses));
   const bool all_there = places <= most_there;
   places = std::min(places, most_there);
-  uint32_t machines =
-      (places + ranked_offer.tasks_per_machine - 1) / ranked_offer.tasks_per_machine;
-  machines = std::clamp(machines, 1u, kMostRequested);
+  const uint32_t machines = std::clamp(cheapest.machines_for(places), 1u, kMostRequested);
   for (uint32_t i = 0; i < machines && !machine_limit_reached(); ++i) {
-    CandidateMachine& candidate = request_machine(ranked_offer.offer, spec.id);
-    const uint32_t n = candidate.room.count(spec.need, spec.priority, places);
-    candidate.room.take(spec.need * n);
-    places -= n;
+    CandidateMachine& candidate = request_machine(cheapest.offer, spec.id);
+    const uint32_t tasks = candidate.capacity.count(spec.need, spec.priority, places);
+    candidate.capacity.take(spec.need * tasks);
+    places -= tasks;
   }
-  return all_there ? open : std::min(open, static_cast<uint32_t>(most_there * times));
+  return all_there ? open : std::min(open, static_cast<uint32_t>(most_there * uses));
 }
 
-bool SchedulingCycle::scale_out_for_gang(const Waiting& waiting, Borrowing borrowing) {
-  const JobSpec& spec = waiting.job->spec();
-  if (waiting.job->failing) return true;
-  std::map<std::string, uint32_t> zone_free;
-  for (CandidateMachine& candidate : candidates_) {
-    if (!may_borrow(spec, candidate.pool->type, borrowing)) continue;
-    if (spec.need.fits_in(candidate.room.free()) && may_go(*waiting.job, candidate)) {
-      zone_free[candidate.zone()] += count_on(*waiting.job, candidate, spec.tasks);
-    }
-  }
-  const PlacementConstraints held = cluster_.constraints_of(*waiting.job);
-  const auto offers = ranked_offers(spec, held);
+bool ScaleOutRequests::request_for_gang(const QueueEntry& entry, Borrowing borrowing) {
+  const Job& job = *entry.job;
+  const JobSpec& spec = job.spec();
+  if (job.failing) return true;
+  const PlacementConstraints constraints = state_.cluster().constraints_of(job);
+  const auto offers = ranked_offers(state_.inputs, spec, constraints);
   if (offers.empty() || machine_limit_reached()) return false;
-  uint32_t everywhere = 0;
-  for (auto& [zone, n] : zone_free) {
-    n = std::min(n, held.tasks_allowed(zone));
-    everywhere += n;
-  }
-  const RankedOffer* best = nullptr;
-  uint32_t machines = 0;
-  double lowest = 0;
-  for (const RankedOffer& ranked_offer : offers) {
-    if (!may_borrow(spec, ranked_offer.type, borrowing)) continue;
-    const uint32_t free_there = zone_free[ranked_offer.offer.zone];
-    const uint32_t allowed_there = held.tasks_allowed(ranked_offer.offer.zone);
-    if (free_there >= allowed_there) continue;  // more machines there would not help
-    const uint32_t have = spec.one_zone ? free_there : everywhere;
-    uint32_t missing = spec.tasks > have ? spec.tasks - have : 1;
-    missing = std::min(missing, allowed_there - free_there);
-    const uint32_t n =
-        (missing + ranked_offer.tasks_per_machine - 1) / ranked_offer.tasks_per_machine;
-    const double cost = n * ranked_offer.tasks_per_machine * ranked_offer.price;
-    if (best && cost >= lowest) continue;
-    best = &ranked_offer;
-    machines = n;
-    lowest = cost;
-  }
-  if (!best) return false;
-  for (uint32_t i = 0; i < machines && !machine_limit_reached(); ++i)
-    (void)request_machine(best->offer, spec.id);
-  (void)place_gang(*waiting.job, true, borrowing);
+  const GangRequest request = cheapest_for_gang(state_, spec, offers, constraints,
+                                                room_by_zone(state_, job, borrowing), borrowing);
+  if (!request.offer) return false;
+  for (uint32_t i = 0; i < request.machines && !machine_limit_reached(); ++i)
+    (void)request_machine(request.offer->offer, spec.id);
+  (void)expect_gang_placement(state_, job, borrowing);
   return true;
 }
 
--- a/src/dunlinknot/scheduler/scheduler.cpp
+++ b/src/dunlinknot/scheduler/scheduler.cpp
@@ -1,3 +1,4 @@
+// Entry of the scheduler, and the texts of what jobs wait for.
 #include "dunlinknot/scheduler/scheduler.hpp"
 
 #include "dunlinknot/scheduler/scheduling_cycle.hpp"
@@ -25,8 +26,8 @@
 Plan plan(const Cluster& cluster, const preemption::Nominations& nominations,
           const CloudCapacity& cloud_capacity, const settings::Platform& platform,
           const settings::Operator& operator_settings, WallTime wall, Instant now) {
-  return SchedulingCycle(cluster, nominations, cloud_capacity, platform, operator_settings, wall,
-                         now)
+  return SchedulingCycle(CycleInputs{cluster, nominations, cloud_capacity, platform,
+                                     operator_settings, wall, now})
       .run();
 }
 
--- a/src/dunlinknot/scheduler/scheduler.hpp
+++ b/src/dunlinknot/scheduler/scheduler.hpp
@@ -1,14 +1,16 @@
-// What should run where: a pure function of the cluster as it is known, the cloud capacity and the
-// time. It decides; others allocate, launch and stop.
+// What should run where: a pure function of a snapshot of the cluster, the nominations, the cloud's
+// capacity and the time. It returns a plan and changes nothing; apply() carries the plan out, and
+// the autoscaler launches what it asks for.
+//
+// The stages of a cycle are in this directory, a file each; scheduling_cycle.cpp runs them.
 #pragma once
+#include <map>
 #include <set>
 #include <string>
 #include <string_view>
-#include <tuple>
 #include <vector>
 
 #include "dunlinknot/cluster/cluster.hpp"
-#include "dunlinknot/preemption/fit.hpp"
 #include "dunlinknot/preemption/nominations.hpp"
 
 namespace dunlinknot::scheduler {
@@ -21,18 +23,25 @@
   auto operator<=>(const Offer&) const = default;
 };
 
-// What is known of the cloud.
+// Machines that were asked for and that the cloud has not confirmed yet.
+struct PendingLaunch {
+  Offer offer;
+  uint32_t count = 0;
+};
+
+// What is known of the cloud, from the autoscaler.
 struct CloudCapacity {
-  std::vector<std::pair<Offer, uint32_t>> pending;  // asked for, not answered yet
-  std::set<Offer> refused;                          // of late
-  size_t machines = 0;                              // that we have
+  std::vector<PendingLaunch> pending;
+  std::set<Offer> refused;  // of late: not asked for again for a while
+  size_t machines = 0;      // that we have, counted against Operator::max_machines
 };
 
+// Tasks of an array or a service to be allocated on a machine with room for them.
 struct Placement {
   std::string job;
   std::string machine;
   uint32_t count = 0;
-  std::vector<uint64_t> ends_nominations;
+  std::vector<uint64_t> ends_nominations;  // that the tasks used up
 };
 
 // Tasks allocated on a machine that is full: each starts when a task there ends.
@@ -43,25 +52,34 @@
   cluster::QueuePosition queue_position;
 };
 
+// So many tasks of a gang on one machine.
+struct GangShare {
+  std::string machine;
+  uint32_t count = 0;
+};
+
+// All tasks of a gang, to be allocated together or not at all.
 struct GangPlacement {
   std::string job;
-  std::vector<std::pair<std::string, uint32_t>> on;
+  std::vector<GangShare> on;
 };
 
+// Machines that should be launched.
 struct CapacityRequest {
   Offer offer;
   uint32_t count = 0;
-  std::string job;  // that it is for, first of all
+  std::string job;  // that asked for the offer first; others may share the request
 };
 
+// Victims to be stopped on one machine so that one task of the job fits there.
 struct Preemption {
-  std::string job;
+  std::string job;  // the preemptor's
   std::string machine;
-  Resources room;
+  Resources room;  // to be held for the preemptor
   Priority priority = Priority::low;
   std::vector<preemption::Victim> victims;
-  double lost_seconds = 0;
-  uint64_t renews = 0;  // the nomination that this one replaces
+  double lost_seconds = 0;  // see preemption::VictimSet
+  uint64_t renews = 0;      // the nomination that this one replaces; 0: none
 };
 
 // What a job that has not begun waits for.
@@ -73,13 +91,16 @@
   room_kept,          // room is kept for it where tasks are to end
   no_room,            // no allowed machine has room, and none can be launched
 };
+// The cause as users are shown it, to follow "waits for".
 std::string_view text(WaitCause cause);
 
+// A job none of whose tasks has begun, and why.
 struct WaitingJob {
   std::string job;
   WaitCause cause;
 };
 
+// The decisions of one cycle, each list in the order in which it was decided.
 struct Plan {
   std::vector<Placement> placements;
   std::vector<GangPlacement> gangs;
@@ -88,17 +109,16 @@
   std::vector<Resources> saved;           // by team: of its limit, for gangs
   std::vector<CapacityRequest> capacity_requests;
   std::vector<Preemption> preemptions;
-  std::vector<uint64_t> cleared;    // nominations that came to nothing
+  std::vector<uint64_t> cleared;    // nominations that are of no use any more
   std::vector<std::string> wanted;  // idle machines that waiting work will use: not to be returned
-  size_t waiting_tasks = 0;
-  std::vector<WaitingJob> waiting_jobs;  // that have not begun
+  size_t waiting_tasks = 0;         // before this cycle's placements
+  std::vector<WaitingJob> waiting_jobs;
 };
 
+// Runs one scheduling cycle. Called by the leader under the lock that guards its state. `wall` is
+// for the ages of jobs, which outlive this process; `now` is for all else.
 Plan plan(const cluster::Cluster& cluster, const preemption::Nominations& nominations,
           const CloudCapacity& cloud_capacity, const settings::Platform& platform,
           const settings::Operator& operator_settings, WallTime wall, Instant now);
 
-// The jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
-std::set<std::string> within_guarantee(const cluster::Cluster& cluster);
-
 }  // namespace dunlinknot::scheduler
--- /dev/null
+++ b/src/dunlinknot/scheduler/team_quotas.cpp
@@ -0,0 +1,94 @@
+// Limits and guarantees of teams, counted in tasks and in resources.
+#include "dunlinknot/scheduler/team_quotas.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <limits>
+
+namespace dunlinknot::scheduler {
+
+namespace {
+
+// Usage is raised by this factor before a team counts as clear of its limit.
+constexpr double kNearLimit = 1.05;
+
+uint32_t tasks_below_limit(const settings::Team& team, const Resources& used,
+                           const Resources& need) {
+  double tasks = std::numeric_limits<uint32_t>::max();
+  const auto limit = [&](double most, double in_use, double per_task) {
+    if (most <= 0 || per_task <= 0) return;  // 0: no limit
+    tasks = std::min(tasks, std::floor((most - in_use + Resources::kSlack) / per_task));
+  };
+  limit(team.cpus_max, used.cpus, need.cpus);
+  limit(team.gpus_max, used.gpus, need.gpus);
+  return tasks <= 0 ? 0 : static_cast<uint32_t>(tasks);
+}
+
+// Whether `job`, the last of the jobs that need `sum` in all, is covered by the guarantee: in each
+// kind of resource that it needs and that is guaranteed at all, of which there must be one.
+bool covered(const settings::Team& guarantee, const Resources& sum, const Resources& job) {
+  bool uses_guarantee = false;
+  const auto within = [&](double guaranteed, double total, double needed) {
+    if (needed <= 0 || guaranteed <= 0) return true;
+    uses_guarantee = true;
+    return total <= guaranteed + Resources::kSlack;
+  };
+  const bool cpus_within = within(guarantee.cpus, sum.cpus, job.cpus);
+  const bool gpus_within = within(guarantee.gpus, sum.gpus, job.gpus);
+  return cpus_within && gpus_within && uses_guarantee;
+}
+
+}  // namespace
+
+TeamQuotas::TeamQuotas(const Cluster& cluster) : cluster_(cluster) {
+  for (size_t team = 0; team < cluster.teams().size(); ++team) {
+    used_.push_back(cluster.usage(static_cast<int>(team)).used);
+  }
+  given_up_.resize(used_.size());
+}
+
+uint32_t TeamQuotas::tasks_allowed(const Job& job) const {
+  const auto team = static_cast<size_t>(job.team());
+  return tasks_below_limit(cluster_.teams()[team], used_[team], job.spec().need);
+}
+
+bool TeamQuotas::clear_of_limit(const Job& job) const {
+  const auto team = static_cast<size_t>(job.team());
+  return tasks_below_limit(cluster_.teams()[team], used_[team] * kNearLimit, job.spec().need) > 0;
+}
+
+std::vector<Resources> TeamQuotas::over_guarantee() const {
+  std::vector<Resources> over_guarantee;
+  for (size_t team = 0; team < used_.size(); ++team) {
+    const settings::Team& guarantee = cluster_.teams()[team];
+    Resources over = used_[team] - given_up_[team];
+    over.cpus = std::max(0.0, over.cpus - guarantee.cpus);
+    over.gpus = std::max(0.0, over.gpus - guarantee.gpus);
+    over_guarantee.push_back(over);
+  }
+  return over_guarantee;
+}
+
+std::set<std::string> jobs_within_guarantee(const Cluster& cluster) {
+  std::vector<std::vector<const Job*>> jobs_by_team(cluster.teams().size());
+  for (const auto& [id, job] : cluster.jobs()) {
+    if (job->team() >= 0) jobs_by_team[static_cast<size_t>(job->team())].push_back(job.get());
+  }
+  std::set<std::string> guaranteed;
+  for (size_t team = 0; team < jobs_by_team.size(); ++team) {
+    auto& jobs = jobs_by_team[team];
+    std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
+      if (a->submitted() != b->submitted()) return a->submitted() < b->submitted();
+      return a->spec().id < b->spec().id;
+    });
+    Resources sum;
+    for (const Job* job : jobs) {
+      const Resources needed = job->spec().need * job->unfinished();
+      sum += needed;
+      if (covered(cluster.teams()[team], sum, needed)) guaranteed.insert(job->spec().id);
+    }
+  }
+  return guaranteed;
+}
+
+}  // namespace dunlinknot::scheduler
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "dunlinknot/cluster/cluster.hpp"
+#include "dunlinknot/preemption/fit.hpp"
 #include "dunlinknot/scheduler/scheduler.hpp"
 #include "support.hpp"
 
@@ -271,8 +272,8 @@
   EXPECT_GT(soon, 0);
   preemption::Eligibility equal;
   equal.priority = Priority::production;
-  const preemption::Room room(this_machine, nominations, this_machine.size);
-  EXPECT_FALSE(preemption::simulate(room, nominations, c, {8, 0, 4}, 0, equal, now));
+  const preemption::MachineCapacity capacity(this_machine, nominations, this_machine.size);
+  EXPECT_FALSE(preemption::simulate(capacity, nominations, c, {8, 0, 4}, 0, equal, now));
 }
 
 TEST_F(ReplicaDecisions, AServiceIsNotOverdueForHavingRunForLong) {
