--- a/src/dunlinknot/jobs/request_handler.hpp
+++ b/src/dunlinknot/jobs/request_handler.hpp
@@ -1,95 +1,80 @@
-// The users' API. Any node serves it, straight against the key-value store, which alone knows what
-// was accepted, cancelled or done.
+// The users' API: submissions, polls and withdrawals of jobs.
 #pragma once
-#include <deque>
+#include <cstdint>
 #include <functional>
+#include <optional>
 #include <random>
-#include <set>
-#include <unordered_map>
+#include <string>
+#include <vector>
 
 #include "dunlinknot/http/message.hpp"
+#include "dunlinknot/jobs/admission.hpp"
+#include "dunlinknot/jobs/job_lookup.hpp"
+#include "dunlinknot/jobs/progress_cache.hpp"
 #include "dunlinknot/kv/client.hpp"
 #include "dunlinknot/settings/settings.hpp"
-#include "dunlinknot/wire/peer.hpp"
-#include "dunlinknot/wire/records.hpp"
 
 namespace dunlinknot::jobs {
 
-// How jobs ended, as far as this node has seen it: final answers never change.
-class FinalCache {
- public:
-  explicit FinalCache(size_t most) : most_(most) {}
-  bool put(const std::string& id, wire::FinalRecord record);  // whether it is news
-  const wire::FinalRecord* find(const std::string& id) const;
-
- private:
-  size_t most_;
-  std::unordered_map<std::string, wire::FinalRecord> records_;
-  std::deque<std::string> order_;
-};
-
-// How far open jobs are, for display, as the leader last told.
-class ProgressBoard {
- public:
-  void replace(wire::peer::Progress progress);
-  std::pair<uint32_t, uint32_t> of(const std::string& id) const;  // done, running
-
- private:
-  uint64_t epoch_ = 0;
-  std::unordered_map<std::string, std::pair<uint32_t, uint32_t>> jobs_;
-};
-
+// Any node serves users, straight against the key-value store, which alone knows what was accepted,
+// cancelled or done. Every function answers within the time that users wait, with 503 and a
+// Retry-After when nothing can be confirmed by then. Runs on the event loop.
 class RequestHandler {
  public:
+  // `seed`: of the random Retry-After times. `on_cancelled`: see JobLookup. The referenced objects
+  // outlive the handler.
   RequestHandler(EventLoop& loop, kv::Client& store, const settings::Platform& platform,
                  const settings::Operator& operator_settings, uint32_t seed,
-                 std::function<void(const std::string& id)> cancelled);
+                 std::function<void(const std::string& id)> on_cancelled);
 
+  // Accepts a job: 201 once it is durable, 200 with its state when the id is known already, 400 or
+  // 422 when it can never run.
   Task<http::Response> submit(std::string body);
+  // 200 with the job's state, 404 when it was never accepted.
   Task<http::Response> poll(std::string id);
+  // Cancels a job: 200 with its terminal state once that is durable, 404 when it was never
+  // accepted.
   Task<http::Response> withdraw(std::string id);
 
-  void set_catalog(std::vector<MachineType> types) { catalog_ = std::move(types); }
-  bool catalog_known() const { return !catalog_.empty(); }
-  FinalCache& finals() { return finals_; }
-  ProgressBoard& progress() { return progress_; }
-  // The latest revision of a cancellation that stands, as far as this node has read or written one:
-  // it has told its users of none beyond it.
-  uint64_t cancel_revision() const { return cancel_revision_; }
+  // Submissions are put off until the machine types are known.
+  void set_catalog(std::vector<MachineType> types) { admission_.set_catalog(std::move(types)); }
+  bool catalog_known() const { return admission_.catalog_known(); }
+  FinalCache& finals() { return lookup_.finals(); }
+  ProgressCache& progress() { return progress_; }
+  // See JobLookup::cancel_revision.
+  uint64_t cancel_revision() const { return lookup_.cancel_revision(); }
+  // Jobs accepted, and requests answered with 503, since the start.
   uint64_t accepted() const { return accepted_; }
   uint64_t refused() const { return refused_; }
 
  private:
-  enum class Known { open, final, no, unclear };
-  struct Lookup {
-    Known known = Known::unclear;
-    wire::FinalRecord final;
-    uint64_t mod_revision = 0;
-    uint32_t tasks = 0;
+  // A response that is final whatever the key-value store says of other jobs.
+  struct Refusal {
+    int status = 0;
+    std::string reason;
+  };
+  // A submission as read, or why it is refused.
+  struct Submission {
+    std::string record;  // to be stored
+    std::optional<Refusal> refusal;
   };
-  Task<Lookup> look_up(std::string id, Instant deadline);
-  void learn_final(const std::string& id, const wire::FinalRecord& record, uint64_t revision);
-  http::Response standing_of(const std::string& id, const Lookup& found, bool with_counts);
-  http::Response later(int least_s = 1);
-  http::Response refuse(int status, std::string_view why) const;
-  // The zones in which an allowed type of machine is offered that a task fits on.
-  std::set<std::string> zones_with_fitting_types(const JobSpec& spec) const;
-  // Why the job can never run; empty when it can.
-  bool storable(const std::string& value) const;
-  std::string never_runs(const JobSpec& spec) const;
+
+  Submission read_submission(wire::View root) const;
+  Task<http::Response> answer_unless_known(std::string id, std::optional<Refusal> refusal);
+  Task<http::Response> store_job(std::string id, std::string record, Instant deadline);
+  http::Response standing_of(const std::string& id, const LookupResult& found,
+                             bool with_counts) const;
+  http::Response put_off();
 
   EventLoop& loop_;
   kv::Client& store_;
-  const settings::Platform& platform_;
   const settings::Operator& op_;
-  std::function<void(const std::string&)> cancelled_;
-  uint64_t cancel_revision_ = 0;
-  std::vector<MachineType> catalog_;
-  FinalCache finals_;
-  ProgressBoard progress_;
+  Admission admission_;
+  JobLookup lookup_;
+  ProgressCache progress_;
   std::mt19937 random_;
-  size_t submitting_ = 0;
-  size_t looking_ = 0;
+  size_t submissions_in_flight_ = 0;
+  size_t lookups_in_flight_ = 0;  // polls and withdrawals
   uint64_t accepted_ = 0;
   uint64_t refused_ = 0;
 };
--- a/src/dunlinknot/node/cluster_summary.cpp
+++ b/src/dunlinknot/node/cluster_summary.cpp
@@ -86,12 +86,12 @@
 }
 
 void log_totals_by_type(const std::map<std::string, MachineTypeTotals>& types) {
-  for (const auto& [name, t] : types) {
+  for (const auto& [name, totals] : types) {
     spdlog::debug(
         "{}: {} machines, {:.0f} of {:.0f} cpus, {:.0f} of {:.0f} gpus allocated; work without "
         "accelerators: gangs {:.0f} cpus, arrays {:.0f} cpus",
-        name, t.machines, t.used.cpus, t.size.cpus, t.used.gpus, t.size.gpus, t.gangs.cpus,
-        t.arrays.cpus);
+        name, totals.machines, totals.used.cpus, totals.size.cpus, totals.used.gpus,
+        totals.size.gpus, totals.gangs.cpus, totals.arrays.cpus);
   }
 }
 
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -1,6 +1,9 @@
-// One controller: all parts together, and the leader's cycles.
+// One controller: constructs all parts and connects them.
 #pragma once
 #include <memory>
+#include <optional>
+#include <string>
+#include <vector>
 
 #include "dunlinknot/autoscaler/autoscaler.hpp"
 #include "dunlinknot/cloud/client.hpp"
@@ -9,68 +12,73 @@
 #include "dunlinknot/jobs/request_handler.hpp"
 #include "dunlinknot/leadership/elector.hpp"
 #include "dunlinknot/leadership/peers.hpp"
+#include "dunlinknot/node/catalog_keeper.hpp"
+#include "dunlinknot/node/counters.hpp"
+#include "dunlinknot/node/failover.hpp"
+#include "dunlinknot/node/leader_loop.hpp"
+#include "dunlinknot/node/local_status.hpp"
+#include "dunlinknot/node/readiness.hpp"
+#include "dunlinknot/node/renewal_policy.hpp"
+#include "dunlinknot/node/router.hpp"
 #include "dunlinknot/roles/singleton_roles.hpp"
 #include "dunlinknot/workers/heartbeat_handler.hpp"
+#include "dunlinknot/workers/stop_caller.hpp"
 
 namespace dunlinknot::node {
 
-// How many connections the server may hold, so that the calls of this node find sockets too.
-size_t server_connections(const settings::Platform& platform,
-                          const settings::Operator& operator_settings);
-
+// Only wiring: what a part does stands in the part. Everything runs on one event loop.
 class Daemon {
  public:
+  // The referenced objects outlive the daemon. `seed`: of the random Retry-After times.
   Daemon(EventLoop& loop, const settings::Platform& platform,
          const settings::Operator& operator_settings, http::Transport& transport, uint32_t seed);
-  // Opens the listening sockets (throws when that fails) and starts all parts.
+
+  // Opens the listening sockets (throws std::runtime_error when that fails) and starts all parts.
   void start();
-  // The parts alone, without any socket of their own.
+  // Starts the parts without any socket of their own; for tests with scripted peers.
   void start_parts();
 
-  Task<http::Response> handle(http::Request request);
+  // Serves one request; the HTTP server calls it, and tests do.
+  Task<http::Response> handle(http::Request request) { return router_.handle(std::move(request)); }
+
+  // A peer confirmed a cancellation to its user: the leader stops the job's tasks at once.
+  void on_peer_cancellation(const std::string& id);
+
+  // For tests.
   const leadership::Elector& elector() const { return elector_; }
   cluster::LeaderContext& context() { return context_; }
   leadership::Peers& peers() { return peers_; }
   const roles::SingletonRoles* roles() const { return roles_.get(); }
-  wire::peer::Status status() const;
-  void on_peer_cancellation(const std::string& id);  // a peer told its user so
+  wire::peer::Status status() const { return local_status_.status(); }
 
  private:
-  void elected(const leadership::Term& term);
-  void deposed(uint64_t epoch);
-  Task<void> fail_over(uint64_t term);
-  Task<void> scheduling_loop(uint64_t term);
-  void run_scheduling_cycle(Instant now);
-  void log_waiting(const scheduler::Plan& plan, Instant now);
-  Task<void> learn_catalog();
-  Task<void> keep_catalog(uint64_t term);
-  Task<void> log_counters();
-  void log_cluster_summary();
-  Task<bool> ready();
+  void on_user_cancellation(const std::string& id);
   std::optional<std::vector<kv::Compare>> cleanup_compares() const;
   void apply_cleanup_result(const kv::TransactionResult& result, Instant sent);
-  wire::peer::Progress progress();
-  bool may_renew() const;
-  void on_user_cancellation(const std::string& id);
 
   EventLoop& loop_;
   const settings::Platform& platform_;
   const settings::Operator& op_;
-  Instant began_;
   kv::Client store_;
   cloud::Client cloud_;
   cluster::LeaderContext context_;
   leadership::Elector elector_;
   leadership::Peers peers_;
   jobs::RequestHandler jobs_;
-  workers::HeartbeatHandler workers_;
   cluster::AllocationStore allocation_store_;
-  std::unique_ptr<roles::SingletonRoles> roles_;  // null when they are off
+  RenewalPolicy renewal_policy_;
+  workers::HeartbeatHandler heartbeats_;
+  workers::StopCaller stop_caller_;
+  std::unique_ptr<roles::SingletonRoles> roles_;  // null when the singleton roles are off
   autoscaler::Autoscaler autoscaler_;
-  std::vector<MachineType> catalog_;
-  std::unique_ptr<http::Server> server_;
-  uint64_t preemptions_ = 0;
-  Instant next_waiting_log_{};
+  LocalStatus local_status_;
+  CatalogKeeper catalog_keeper_;
+  LeaderLoop leader_loop_;
+  Failover failover_;
+  Readiness readiness_;
+  Router router_;
+  CounterLog counter_log_;
+  std::unique_ptr<http::Server> server_;  // null until start()
 };
 
 }  // namespace dunlinknot::node
--- a/src/dunlinknot/wire/records.cpp
+++ b/src/dunlinknot/wire/records.cpp
@@ -57,6 +57,10 @@
   return JobRecord{std::move(*spec), WallTime(Millis(static_cast<int64_t>(*at)))};
 }
 
+uint32_t read_job_record_tasks(View value) {
+  return static_cast<uint32_t>(value["job"]["pieces"].count().value_or(0));
+}
+
 std::string write_final(const FinalRecord& record) {
   Writer writer;
   writer.map(2).key("cancelled").flag(record.cancelled).key("tasks").count(record.tasks);
--- a/src/dunlinknot/wire/records.hpp
+++ b/src/dunlinknot/wire/records.hpp
@@ -32,6 +32,8 @@
 };
 std::string write_job_record(const JobRecord& record);
 std::optional<JobRecord> read_job_record(View value);
+// Only the number of tasks; 0 when it cannot be read.
+uint32_t read_job_record_tasks(View value);
 
 struct FinalRecord {
   bool cancelled = false;
--- a/src/dunlinknot/workers/heartbeat_handler.cpp
+++ b/src/dunlinknot/workers/heartbeat_handler.cpp
@@ -2,94 +2,121 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
+#include <utility>
+
 namespace dunlinknot::workers {
 
 using cluster::Effects;
 using cluster::HeartbeatResponse;
 using cluster::LeaderState;
-using http::Outcome;
 
 namespace {
-constexpr auto kStopTime = Millis(1500);
-constexpr size_t kMaxCalls = 16;
-constexpr auto kMostRunWait = Millis(1000);  // far below what a worker waits for an answer
+
+constexpr auto kMaxRunWait = Millis(1000);       // far below what a worker waits for an answer
+constexpr int kRunWaitShare = 4;                 // and at most this part of a heartbeat interval
+constexpr uint64_t kUnreadablePerLogLine = 100;  // so that a broken worker cannot flood the log
+
+constexpr int kStatusBadRequest = 400;
+constexpr int kStatusMisdirected = 421;
+constexpr int kStatusUnavailable = 503;
+
 }  // namespace
 
 HeartbeatHandler::HeartbeatHandler(cluster::LeaderContext& context, leadership::Elector& elector,
-                                   std::function<bool()> may_renew, http::Transport& transport)
-    : context_(context),
-      elector_(elector),
-      may_renew_(std::move(may_renew)),
-      transport_(transport) {}
+                                   const LeaseRenewalPolicy& renewal_policy)
+    : context_(context), elector_(elector), renewal_policy_(renewal_policy) {}
 
 Task<http::Response> HeartbeatHandler::handle(std::string body) {
-  http::Response out;
   const Instant now = context_.loop.now();
   last_heartbeat_ = now;
-  ever_ = true;
-  if (!elector_.leading()) {
-    out.status = 421;
-    out.body = wire::write_misdirected(elector_.known_leader());
-    co_return out;
-  }
-  // Safety 2: without the key-value store a leader goes on renewing leases for a bounded time only.
-  if (!context_.loaded || !may_renew_()) {
-    out.status = 503;
-    co_return out;
-  }
+  if (!elector_.leading()) co_return respond({Verdict::misdirected, {}});
+  if (!may_answer()) co_return respond({Verdict::unavailable, {}});
   const auto heartbeat = wire::read_heartbeat(body);
   if (!heartbeat) {
-    if (++bad_ % 100 == 1) spdlog::info("unreadable heartbeats so far: {}", bad_);
-    out.status = 400;
-    co_return out;
+    if (++unreadable_ % kUnreadablePerLogLine == 1)
+      spdlog::info("unreadable heartbeats so far: {}", unreadable_);
+    co_return respond({Verdict::unreadable, {}});
   }
-  Effects effects;
-  HeartbeatResponse answer = context_.leader_state.with([&](LeaderState& leader) {
-    return leader.cluster.apply_heartbeat(*heartbeat, now, elector_.may_start(), effects);
-  });
-  context_.follow_up(effects);
-  if (answer.kind == HeartbeatResponse::Kind::accept) {
-    if (answer.run_soon) {
+  HeartbeatResponse response = apply(*heartbeat, now);
+  if (response.kind == HeartbeatResponse::Kind::accept) {
+    if (response.run_soon) {
       // A `run` travels only in an answer, and the next one would be a whole period away.
       const uint64_t term = context_.term;
       co_await await_run(heartbeat->machine);
-      if (!context_.in_term(term) || !context_.loaded || !may_renew_()) {
-        out.status = 503;
-        co_return out;
-      }
+      if (!context_.in_term(term) || !may_answer()) co_return respond({Verdict::unavailable, {}});
     }
-    const bool starts = answer.read && elector_.may_start();
-    answer = context_.leader_state.with([&](LeaderState& leader) {
+    // What the answer carries is decided when it leaves, since the state changed while it waited.
+    const bool starts = response.read && elector_.may_start();
+    response = context_.leader_state.with([&](LeaderState& leader) {
       return leader.cluster.commands_for(*heartbeat, context_.loop.now(), starts);
     });
   }
-  switch (answer.kind) {
+  Decision decision = decide(*heartbeat, std::move(response));
+  if (decision.verdict == Verdict::commands) last_answered_heartbeat_ = now;
+  co_return respond(std::move(decision));
+}
+
+// Safety 2: without the key-value store a leader renews leases for a bounded time only.
+bool HeartbeatHandler::may_answer() const {
+  return context_.loaded && renewal_policy_.may_renew();
+}
+
+HeartbeatResponse HeartbeatHandler::apply(const Heartbeat& heartbeat, Instant now) {
+  Effects effects;
+  HeartbeatResponse response = context_.leader_state.with([&](LeaderState& leader) {
+    return leader.cluster.apply_heartbeat(heartbeat, now, elector_.may_start(), effects);
+  });
+  context_.follow_up(effects);
+  return response;
+}
+
+HeartbeatHandler::Decision HeartbeatHandler::decide(const Heartbeat& heartbeat,
+                                                    HeartbeatResponse response) {
+  switch (response.kind) {
     case HeartbeatResponse::Kind::superseded:
-      elector_.observe_epoch(heartbeat->fencing_token, std::nullopt,
-                             "worker " + heartbeat->machine);
-      out.status = 421;
-      out.body = wire::write_misdirected(elector_.known_leader());
-      co_return out;
+      // The worker already obeys a later epoch, so this node's term is over.
+      elector_.observe_epoch(heartbeat.fencing_token, std::nullopt, "worker " + heartbeat.machine);
+      return {Verdict::misdirected, {}};
     case HeartbeatResponse::Kind::stale:
-      out.status = 503;
-      co_return out;
+      return {Verdict::unavailable, {}};
     case HeartbeatResponse::Kind::accept:
       break;
   }
-  last_answered_heartbeat_ = now;
-  out.body = wire::write_commands(context_.epoch, std::nullopt, answer.commands);
-  co_return out;
+  return {Verdict::commands, std::move(response.commands)};
 }
 
+http::Response HeartbeatHandler::respond(Decision decision) const {
+  http::Response response;
+  switch (decision.verdict) {
+    case Verdict::commands:
+      response.body = wire::write_commands(context_.epoch, std::nullopt, decision.commands);
+      break;
+    case Verdict::misdirected:
+      response.status = kStatusMisdirected;
+      response.body = wire::write_misdirected(elector_.known_leader());
+      break;
+    case Verdict::unavailable:
+      response.status = kStatusUnavailable;
+      break;
+    case Verdict::unreadable:
+      response.status = kStatusBadRequest;
+      break;
+  }
+  return response;
+}
+
+// Returns once the machine may have a `run`, at the latest after the bound. A later heartbeat of
+// the same machine releases the earlier answer, which the worker no longer waits for.
 Task<void> HeartbeatHandler::await_run(std::string machine) {
-  AutoResetEvent signal(context_.loop);
+  AutoResetEvent released(context_.loop);
   if (const auto it = waiting_.find(machine); it != waiting_.end()) it->second->notify();
-  waiting_[machine] = &signal;
-  const Nanos most =
-      std::min<Nanos>(kMostRunWait, to_nanos(context_.platform.heartbeat_interval / 4));
-  const Instant until = context_.loop.now() + most;
-  (void)co_await signal.wait_until(until);
-  if (const auto it = waiting_.find(machine); it != waiting_.end() && it->second == &signal) {
+  waiting_[machine] = &released;
+  const Nanos bound =
+      std::min<Nanos>(kMaxRunWait, to_nanos(context_.platform.heartbeat_interval / kRunWaitShare));
+  const Instant until = context_.loop.now() + bound;
+  (void)co_await released.wait_until(until);
+  if (const auto it = waiting_.find(machine); it != waiting_.end() && it->second == &released) {
     waiting_.erase(it);
   }
 }
@@ -98,61 +125,12 @@
   while (context_.in_term(term)) {
     (void)co_await context_.runs.wait();
     if (!context_.in_term(term)) co_return;
-    for (const auto& id : context_.leader_state.with(
-             [](LeaderState& leader) { return leader.cluster.drain_runnable(); })) {
-      if (const auto it = waiting_.find(id); it != waiting_.end()) it->second->notify();
-    }
-  }
-}
-
-Task<void> HeartbeatHandler::call_stops(uint64_t term) {
-  while (context_.in_term(term)) {
-    (void)co_await context_.stops.wait();
-    if (!context_.in_term(term)) co_return;
-    auto calls = context_.leader_state.with(
-        [](LeaderState& leader) { return leader.cluster.drain_stop_calls(); });
-    for (auto& call : calls) {
-      // Over the limit the heartbeats alone carry the stops.
-      if (calling_ < kMaxCalls) context_.loop.spawn(call_stop(term, std::move(call)));
-    }
-  }
-}
-
-Task<void> HeartbeatHandler::call_stop(uint64_t term, cluster::StopCall call) {
-  const auto to = http::Endpoint::parse(call.address);
-  if (!to) co_return;
-  ++calling_;
-  http::Call request;
-  request.to = *to;
-  request.method = "POST";
-  request.target = "/do";
-  request.body = wire::write_commands(context_.epoch, call.incarnation, call.commands);
-  request.deadline = context_.loop.now() + kStopTime;
-  request.keep = false;
-  http::Reply reply = co_await transport_.exchange(std::move(request));
-  --calling_;
-  if (!context_.in_term(term)) co_return;
-  if (reply.outcome == Outcome::ok && (reply.status == 200 || reply.status == 409)) {
-    if (const auto heartbeat = wire::read_heartbeat(reply.body)) {
-      if (heartbeat->fencing_token > context_.epoch) {
-        elector_.observe_epoch(heartbeat->fencing_token, std::nullopt,
-                               "worker " + heartbeat->machine);
-        co_return;
-      }
-      Effects effects = context_.leader_state.with([&](LeaderState& leader) {
-        return leader.cluster.apply_direct_status(*heartbeat, context_.loop.now());
-      });
-      context_.follow_up(effects);
+    const std::vector<std::string> machines = context_.leader_state.with(
+        [](LeaderState& leader) { return leader.cluster.drain_runnable(); });
+    for (const std::string& machine : machines) {
+      if (const auto it = waiting_.find(machine); it != waiting_.end()) it->second->notify();
     }
-    if (reply.status == 200) co_return;
   }
-  // The call failed: the nominations that counted on it are cleared. The stop itself stays ordered
-  // and goes out with the heartbeats, since nobody knows whether the call may still arrive.
-  std::vector<preemption::Victim> victims;
-  for (const auto& k : call.commands) victims.push_back({k.task, k.attempt});
-  context_.leader_state.with(
-      [&](LeaderState& leader) { leader.nominations.stop_failed(call.machine, victims); });
-  context_.schedule.notify();
 }
 
 }  // namespace dunlinknot::workers
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -6,6 +6,7 @@
 #include <cstdio>
 #include <fstream>
 
+#include "dunlinknot/node/connection_limit.hpp"
 #include "support.hpp"
 
 namespace dunlinknot::settings {
