--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -26,8 +26,8 @@
 
 namespace dunlinknot::node {
 
-// Only wiring: what a part does stands in the part. The daemon is the receiver of the events that one
-// part raises for another. Everything runs on one event loop.
+// Only wiring: what a part does stands in the part. The daemon is the receiver of the events that
+// one part raises for another. Everything runs on one event loop.
 class Daemon : private leadership::LeadershipObserver,
                private leadership::PeerHandler,
                private cluster::AllocationStoreHandler {
