--- a/src/dunlinknot/cluster/allocation_store.hpp
+++ b/src/dunlinknot/cluster/allocation_store.hpp
@@ -1,5 +1,5 @@
 // The leader's records in the key-value store: allocations are durable before their `run`,
-// completions before anybody is told of them. The parts are under allocation_store/.
+// completions before they are acknowledged to anybody. The parts are under allocation_store/.
 #pragma once
 #include "dunlinknot/cluster/allocation_store/job_records.hpp"
 #include "dunlinknot/cluster/allocation_store/job_watcher.hpp"
--- a/src/dunlinknot/cluster/allocation_store/progress_writer.hpp
+++ b/src/dunlinknot/cluster/allocation_store/progress_writer.hpp
@@ -8,9 +8,9 @@
 
 namespace dunlinknot::cluster {
 
-// Writes completed tasks, in chunks, and the ends of jobs. Both are durable before a user or a
-// worker is told of them. A transaction compares `epoch`, the records it writes, and those of the
-// jobs.
+// Writes completed tasks, in chunks, and the ends of jobs. Both are durable before they are
+// acknowledged to a user or a worker. A transaction compares `epoch`, the records it writes, and
+// those of the jobs.
 class ProgressWriter {
  public:
   ProgressWriter(const StoreAccess& access, const JobRecords& jobs)
--- a/src/dunlinknot/kv/client.hpp
+++ b/src/dunlinknot/kv/client.hpp
@@ -56,6 +56,7 @@
     Nanos within{};
     size_t max_body = 0;  // bytes of the answer
     double writes = 0;    // that it takes from the budget
+    // Listings, watches and leases are never refused for the budget: a leader depends on them.
     Importance importance = Importance::essential;
   };
   Task<http::Reply> call(Request request);
--- a/src/dunlinknot/wire/store_messages.hpp
+++ b/src/dunlinknot/wire/store_messages.hpp
@@ -1,6 +1,6 @@
 // The protocol of the key-value store: paths, requests and answers. Its field names (`stamp`,
-// `tenancy`, `ledgerRev`, `guards`, `news`) stand in the .cpp only; here they have the terms of the
-// field: mod revision, lease, revision, compares, changes.
+// `tenancy`, `ledgerRev`, `guards`, `news`) are used in the .cpp only; here they have the terms of
+// the field: mod revision, lease, revision, compares, changes.
 #pragma once
 #include <optional>
 #include <string>
