--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -33,7 +33,9 @@
       forecasts_(platform),
       replica_backoff_(operator_settings),
       failure_detector_(operator_settings, lease_),
-      reconciler_(allocations_, write_queue_, replica_backoff_, failure_detector_, lease_) {}
+      reconciler_(allocations_, write_queue_, replica_backoff_, failure_detector_, lease_),
+      worker_commands_(allocations_),
+      interruptions_(platform, allocations_) {}
 
 // The catalog, the last cycle's `work_waits_` and the count of refused allocations are not a
 // term's.
@@ -231,6 +233,14 @@
   return effects;
 }
 
+Effects Cluster::tick(Instant now) {
+  Effects effects;
+  for (auto& [id, machine] : machines()) effects |= interruptions_.tick(*machine, now);
+  effects.schedule |= replica_backoff_.release_due(jobs(), now);
+  effects.stops |= allocations_.stop_calls().any();
+  return effects;
+}
+
 size_t Cluster::allocation_count() const {
   size_t count = 0;
   for (const auto& [id, machine] : machines()) count += machine->allocations.size();
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -15,9 +15,11 @@
 #include "dunlinknot/cluster/failure_detector.hpp"
 #include "dunlinknot/cluster/heartbeat_reconciler.hpp"
 #include "dunlinknot/cluster/heartbeat_response.hpp"
+#include "dunlinknot/cluster/interruptions.hpp"
 #include "dunlinknot/cluster/machine_record.hpp"
 #include "dunlinknot/cluster/record_write_queue.hpp"
 #include "dunlinknot/cluster/replica_backoff.hpp"
+#include "dunlinknot/cluster/worker_commands.hpp"
 #include "dunlinknot/settings/settings.hpp"
 #include "dunlinknot/wire/records.hpp"
 
@@ -169,19 +171,6 @@
   void apply_catalog(Machine& machine) const;
   Instant lease_counted_from(const Machine& machine) const;
 
-  bool gets_no_run(const Machine& machine, Instant now) const;
-  void move_replicas(Machine& machine, Instant now);
-  void save_before_interruption(Machine& machine, Instant now);
-
-  bool is_fresh(const Machine& machine, const Heartbeat& heartbeat) const;
-  bool accept_heartbeat(const Heartbeat& heartbeat, Machine& machine) const;
-  bool is_run_likely(const Machine& machine, bool room_is_new) const;
-  bool is_sendable(const Allocation& allocation) const;
-  void add_stops(const Machine& machine, const Heartbeat& heartbeat,
-                 std::vector<Command>& commands);
-  void add_forgets(const Heartbeat& heartbeat, std::vector<Command>& commands) const;
-  void add_runs(Machine& machine, const Heartbeat& heartbeat, std::vector<Command>& commands);
-
   bool may_allocate(const Machine& machine, Job& job, uint32_t index);
   Allocation* add_allocation(Machine& machine, const Job& job, Allocation allocation);
   void note_stored(Machine& machine, const wire::MachineRecord& as_written, uint64_t mod_revision);
@@ -204,6 +193,8 @@
   ReplicaBackoff replica_backoff_;
   FailureDetector failure_detector_;
   HeartbeatReconciler reconciler_;
+  WorkerCommands worker_commands_;
+  Interruptions interruptions_;
 
   std::vector<MachineType> catalog_;
   std::set<std::string> terminating_;       // ids; by the decision of a former leader
--- a/src/dunlinknot/cluster/failure_detector.cpp
+++ b/src/dunlinknot/cluster/failure_detector.cpp
@@ -17,18 +17,18 @@
 }  // namespace
 
 void FailureDetector::on_run_obeyed(Machine& machine) const {
-  machine.suspicions = 0;
+  machine.lost_responses.suspicions = 0;
   machine.unreachable = false;
 }
 
 void FailureDetector::on_response_lost(Machine& machine, Instant now) const {
-  if (machine.suspicions == 0 || now - machine.last_suspicion > lease_ * 2) {
-    machine.suspicions = 0;
-    machine.first_suspicion = now;
+  if (machine.lost_responses.suspicions == 0 || now - machine.lost_responses.last > lease_ * 2) {
+    machine.lost_responses.suspicions = 0;
+    machine.lost_responses.first = now;
   }
-  machine.last_suspicion = now;
-  if (++machine.suspicions < kSuspicions || now - machine.first_suspicion < lease_ / 3 ||
-      machine.unreachable)
+  machine.lost_responses.last = now;
+  if (++machine.lost_responses.suspicions < kSuspicions ||
+      now - machine.lost_responses.first < lease_ / 3 || machine.unreachable)
     return;
   machine.unreachable = true;
   spdlog::info("machine {}: its heartbeats arrive, but our responses do not reach it", machine.id);
@@ -39,9 +39,9 @@
 // could obey, were too many to be deleted, and the only job that fitted them waited for ever.
 void FailureDetector::on_heartbeat(Machine& machine, Instant now) const {
   if (!machine.unreachable ||
-      now - std::max(machine.incarnation_since, machine.last_suspicion) < lease_)
+      now - std::max(machine.incarnation_since, machine.lost_responses.last) < lease_)
     return;
-  machine.suspicions = 0;
+  machine.lost_responses.suspicions = 0;
   machine.unreachable = false;
   spdlog::info("machine {}: our responses reach it again", machine.id);
 }
@@ -59,18 +59,17 @@
 }
 
 void FailureDetector::on_task_completed(Machine& machine) {
-  machine.error_streak = 0;
-  machine.error_jobs.clear();
+  machine.task_errors = {};
 }
 
 // Safety 6: a machine that fails what other machines complete is drained; a job that fails on
 // every machine backs off.
 void FailureDetector::on_task_error(Machine& machine, Job* job, const JobTable& jobs,
                                     Instant now) const {
-  ++machine.error_streak;
+  ++machine.task_errors.streak;
   if (!job) return;
   if (job->failed_on.size() < kMaxFailedOn) job->failed_on.insert(machine.id);
-  machine.error_jobs.insert(job->spec().id);
+  machine.task_errors.jobs.insert(job->spec().id);
   back_off_if_failing(*job, now);
   drain_if_faulty(machine, *job, jobs);
 }
@@ -90,17 +89,17 @@
                                       const JobTable& jobs) const {
   if (machine.draining) return;
   size_t blamed = 0;
-  for (const std::string& id : machine.error_jobs) {
+  for (const std::string& id : machine.task_errors.jobs) {
     const auto it = jobs.find(id);
     if (it == jobs.end() || !it->second->failing) ++blamed;
   }
   const bool completed_elsewhere = job.done_count() > 0 || job.proven;
-  if (machine.error_streak < op_.faults_to_drain) return;
+  if (machine.task_errors.streak < op_.faults_to_drain) return;
   if (blamed < 2 && !(blamed == 1 && completed_elsewhere)) return;
   machine.draining = true;
   machine.drain_reason = "fails the tasks that it starts";
-  spdlog::info("machine {} drained: {} errors in a row, {} jobs", machine.id, machine.error_streak,
-               blamed);
+  spdlog::info("machine {} drained: {} errors in a row, {} jobs", machine.id,
+               machine.task_errors.streak, blamed);
 }
 
 }  // namespace dunlinknot::cluster
--- /dev/null
+++ b/src/dunlinknot/cluster/interruptions.hpp
@@ -0,0 +1,26 @@
+// What has to be undone or stopped in time on machines that are interrupted or unusable.
+#pragma once
+#include "dunlinknot/cluster/allocation_table.hpp"
+#include "dunlinknot/settings/settings.hpp"
+
+namespace dunlinknot::cluster {
+
+// Has no state of its own; called by `Cluster::tick` under the leader state's lock.
+class Interruptions {
+ public:
+  Interruptions(const settings::Platform& platform, AllocationTable& allocations)
+      : platform_(platform), allocations_(allocations) {}
+
+  // Carries out what is due on the machine.
+  Effects tick(Machine& machine, Instant now) const;
+
+ private:
+  bool gets_no_run(const Machine& machine, Instant now) const;
+  void move_replicas(Machine& machine, Instant now) const;
+  void save_checkpoints(Machine& machine, Instant now) const;
+
+  const settings::Platform& platform_;
+  AllocationTable& allocations_;
+};
+
+}  // namespace dunlinknot::cluster
--- a/src/dunlinknot/cluster/machine.hpp
+++ b/src/dunlinknot/cluster/machine.hpp
@@ -27,6 +27,21 @@
   uint64_t attempt = 0;
 };
 
+// Signs that a machine's heartbeats arrive but our responses do not reach it. Kept by
+// FailureDetector.
+struct LostResponses {
+  uint32_t suspicions = 0;  // in a row, none long after the one before
+  Instant first{};
+  Instant last{};
+};
+
+// Failures of the tasks started on a machine since the last one that completed there. Kept by
+// FailureDetector.
+struct TaskErrors {
+  uint32_t streak = 0;
+  std::set<std::string> jobs;
+};
+
 // Owned by `Cluster` and guarded by the leader state's lock, like everything in it. A plain record:
 // fields are changed by `Cluster` and the types it is made of, other modules read them. The
 // exceptions are the cloud's fields (autoscaler) and the record's fields (AllocationStore).
@@ -53,10 +68,8 @@
   uint64_t heartbeat_sequence = 0;     // `incarnation` and `sequence` include, may be newer
   std::optional<Instant> interruption_at;
 
-  // --- signs that its heartbeats arrive but our responses do not reach it (FailureDetector)
-  uint32_t suspicions = 0;
-  Instant first_suspicion{};
-  Instant last_suspicion{};
+  // --- whether our responses reach it (FailureDetector)
+  LostResponses lost_responses;
   bool unreachable = false;
 
   // --- the cloud's list of machines
@@ -69,8 +82,7 @@
   // --- failures of the tasks started there (FailureDetector)
   bool draining = false;  // gets no work, and is replaced
   std::string drain_reason;
-  uint32_t error_streak = 0;         // failed tasks since the last completed one
-  std::set<std::string> error_jobs;  // the jobs of those tasks
+  TaskErrors task_errors;
 
   // --- room
   std::vector<Allocation> allocations;
--- a/src/dunlinknot/cluster/placement_constraints.cpp
+++ b/src/dunlinknot/cluster/placement_constraints.cpp
@@ -1,3 +1,4 @@
+// How tasks are counted by zone and compared with their job's constraints.
 #include "dunlinknot/cluster/placement_constraints.hpp"
 
 #include <algorithm>
--- a/src/dunlinknot/cluster/placement_constraints.hpp
+++ b/src/dunlinknot/cluster/placement_constraints.hpp
@@ -18,8 +18,8 @@
 // not depend on where its other tasks are.
 bool pool_allowed(const JobSpec& spec, std::string_view type, std::string_view zone, bool spot);
 
-// Counts the tasks that a job has, or is promised, in each zone and tells how many more it may have
-// there. Only jobs with a rule about zones are counted; for all others `add` and `remove` do
+// Counts the tasks that a job has, or is promised, in each zone and computes how many more it may
+// have there. Only jobs with a rule about zones are counted; for all others `add` and `remove` do
 // nothing. Refers to the job's description, which must outlive it.
 class PlacementConstraints {
  public:
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -625,7 +625,7 @@
   Heartbeat running = heartbeat();
   running.tasks = {on(allocation)};
   send(running);
-  EXPECT_EQ(c.find_machine("vm-1")->suspicions, 0u);
+  EXPECT_EQ(c.find_machine("vm-1")->lost_responses.suspicions, 0u);
   EXPECT_TRUE(c.unreachable_machines().empty());
 }
 
