--- a/src/dunlinknot/preemption/nominations.hpp
+++ b/src/dunlinknot/preemption/nominations.hpp
@@ -2,7 +2,7 @@
 //   per preemptor, a nomination: the machine and the exact room found for it;
 //   per machine, the victims that are still allocated there.
 // A nomination ends on placement, cancellation, renomination or a failed stop call, and by nothing
-// else: there is no timer. The victim list outlives the nomination until its victims are gone.
+// else: there is no timer. The victim list outlives the nomination until its victims have ended.
 #pragma once
 #include <array>
 #include <cstdint>
--- a/src/dunlinknot/scheduler/arrays.cpp
+++ b/src/dunlinknot/scheduler/arrays.cpp
@@ -22,7 +22,7 @@
   }
   const uint32_t allowed = state_.quotas.tasks_allowed(job);
   uint32_t to_place = std::min(job.pending(), allowed);
-  // What went first because nothing of it was started begins; the rest has its ordinary turn.
+  // An overdue job is considered first only so that it begins: the rest keeps its ordinary place.
   if (entry.overdue && job.done_count() == 0 && !job.spec().service)
     to_place = std::min(to_place, job.spec().tasks / kFirstShare + 1);
   JobNominations nominations(state_, job);
--- a/src/dunlinknot/scheduler/arrays.hpp
+++ b/src/dunlinknot/scheduler/arrays.hpp
@@ -19,7 +19,7 @@
         preemption_(preemption),
         machine_queueing_(machine_queueing) {}
 
-  // At the job's turn. Adds it to the plan's waiting jobs when nothing of it was placed.
+  // Called in queue order. Adds the job to the plan's waiting jobs when nothing of it was placed.
   void schedule(const QueueEntry& entry);
 
  private:
--- a/src/dunlinknot/scheduler/cycle_state.hpp
+++ b/src/dunlinknot/scheduler/cycle_state.hpp
@@ -12,7 +12,7 @@
 
 // The time until new room can be made: a boot and a fetch, or running work that comes to its end.
 inline constexpr Seconds kTimeToMakeRoom{75};
-// When a job without a deadline or an aim for its start is due, after its submission.
+// When a job without a deadline or an objective for its start is due, after its submission.
 inline constexpr Seconds kNoDeadline{600};
 
 // Each stage takes room from the candidates, charges the teams and adds to the plan.
--- a/src/dunlinknot/scheduler/gang_placement.cpp
+++ b/src/dunlinknot/scheduler/gang_placement.cpp
@@ -14,7 +14,7 @@
 
 // Room for all of the gang's tasks.
 struct GangRoom {
-  double cost = 0;  // of the dearest place: the slowest task sets the gang's start
+  double cost = 0;  // of the most expensive place: the slowest task sets the gang's start
   std::vector<CandidateShare> shares;
 };
 
--- a/src/dunlinknot/scheduler/gang_reservation.cpp
+++ b/src/dunlinknot/scheduler/gang_reservation.cpp
@@ -113,7 +113,7 @@
     if (reserved.owner != spec.id) reserved.room = Resources{};
     reserved.room += spec.need;
     reserved.owner = spec.id;
-    reserved.priority = Priority::production;  // its turn is as good as any
+    reserved.priority = Priority::production;  // no ordinary work may take its room
     state_.plan.wanted.push_back(place.candidate->machine->id);
   }
   reserved_.insert(&job);
--- a/src/dunlinknot/scheduler/gangs.cpp
+++ b/src/dunlinknot/scheduler/gangs.cpp
@@ -71,7 +71,7 @@
   }
   // Machines with accelerators are borrowed last: a gang's task there strands accelerators for
   // as long as it runs. While other work waits for them, it first waits a moment for the room
-  // that short work leaves elsewhere, and for dear ones until no other room can be had.
+  // that short work leaves elsewhere, and for expensive ones until there is no other room.
   // It waits for a machine to come up only where that is in time for its start, or too late in
   // any case.
   const double within = start_within(state_.inputs, entry);
--- a/src/dunlinknot/scheduler/gangs.hpp
+++ b/src/dunlinknot/scheduler/gangs.hpp
@@ -21,7 +21,7 @@
   // queue, and single tasks that always are, would else take each place as it comes free.
   void serve_overdue(const std::vector<QueueEntry>& queue);
 
-  // At the gang's turn. Returns what it waits for, or nothing when it was placed.
+  // Called in queue order. Returns what it waits for, or nothing when it was placed.
   std::optional<WaitCause> schedule(const QueueEntry& entry);
 
   // Whether serve_overdue() placed the job.
--- a/src/dunlinknot/scheduler/headroom.cpp
+++ b/src/dunlinknot/scheduler/headroom.cpp
@@ -122,8 +122,8 @@
   for (const auto& [rank, candidate] : ranked) {
     if (left == 0) break;
     if (candidate->reserved.taken()) continue;
-    // Machines with accelerators are dear to hold free: no more of them than the mean asks for,
-    // and where a task would strand several, not for a rush that is over.
+    // Machines with accelerators are expensive to keep idle: no more of them than the mean needs,
+    // and where a task would strand several, not for a burst of arrivals that is over.
     if (const MachineType* type = candidate->pool->type; would_borrow(spec, type)) {
       const bool is_cheap = may_borrow(state, spec, type, Borrowing::cheap);
       const uint32_t most = is_cheap ? expected.mean : expected.steady;
--- a/src/dunlinknot/scheduler/job_nominations.hpp
+++ b/src/dunlinknot/scheduler/job_nominations.hpp
@@ -7,7 +7,7 @@
 
 namespace dunlinknot::scheduler {
 
-// The zone of the machine that a nomination names; empty when that machine is gone.
+// The zone of the machine that a nomination names; empty when that machine was removed.
 std::string_view zone_of_nomination(const CycleInputs& inputs, uint64_t nomination);
 
 // Ends a nomination that is of no use any more: its room is free for others in this cycle too.
--- a/src/dunlinknot/scheduler/job_queue.cpp
+++ b/src/dunlinknot/scheduler/job_queue.cpp
@@ -22,7 +22,7 @@
   return std::chrono::duration<double>(inputs.wall - job.submitted()).count();
 }
 
-// By the nearest of its class's aims that the job can still meet.
+// By the nearest of its class's objectives that the job can still meet.
 DueTime due_time(const CycleInputs& inputs, const Job& job) {
   const JobSpec& spec = job.spec();
   if (!spec.deadline) {
@@ -47,10 +47,10 @@
   return {spec.deadline->count() - age, true};
 }
 
-// Seconds after which a job that nothing was started of is overdue. An aim for the start of a class
-// leaves the time to make room, and half of it is what the order may use up: what is to begin
-// within the aim must come before all else well before it is over. Shorter aims are met by the
-// ordinary order.
+// Seconds after which a job that nothing was started of is overdue. An
+// objective for the start of a class, where it leaves the time to make room, is used up by half at
+// most: what is to begin within it must come before all else well before it is missed. Shorter
+// objectives are met by the ordinary order.
 double most_wait(const CycleInputs& inputs, const JobSpec& spec) {
   double most = kMostWait.count();
   for (const auto& objective : inputs.platform.objectives) {
--- a/src/dunlinknot/scheduler/job_queue.hpp
+++ b/src/dunlinknot/scheduler/job_queue.hpp
@@ -6,12 +6,12 @@
 
 namespace dunlinknot::scheduler {
 
-// One job that waits for places, and what its turn depends on.
+// One job that waits for places, and what its position depends on.
 struct QueueEntry {
   const Job* job = nullptr;
   bool guaranteed = false;  // covered by its team's guarantee
-  double due = 0;           // seconds from now, by the nearest aim that it can still meet
-  bool late = false;        // no aim of its class can be met any more
+  double due = 0;           // seconds from now, by the nearest objective it can meet
+  bool late = false;        // no objective of its class can be met any more
   bool overdue = false;     // waits for longer than any order may ask of it
   // The higher first. Priority, then the guarantee, then what can still be in time; what is
   // overdue goes before all else.
--- a/src/dunlinknot/scheduler/preemption.cpp
+++ b/src/dunlinknot/scheduler/preemption.cpp
@@ -138,7 +138,7 @@
     const Allocation& allocation = chosen.machine->allocations[index];
     if (allocation.stopping()) continue;
     chosen.capacity.add_victims(allocation.need);
-    // Its team's limit still counts the victim until it is gone (safety 4).
+    // Its team's limit still counts the victim until it has ended (safety 4).
     if (allocation.team >= 0) state_.quotas.give_up(allocation.team, allocation.need);
   }
   chosen.capacity.add_hold(kNominationToCome, spec.need, spec.priority);
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -58,20 +58,21 @@
     return allocation;
   }
   scheduler::Plan plan() {
-    n.settle(c);
-    return scheduler::plan(c, n, cloud_capacity, platform, op, WallTime(Millis(100'000)), now);
+    nominations.settle(c);
+    return scheduler::plan(c, nominations, cloud_capacity, platform, op, WallTime(Millis(100'000)),
+                           now);
   }
   // Carries the plan's preemptions out, as the leader does.
   void carry_out(const scheduler::Plan& plan) {
-    for (const uint64_t id : plan.cleared) n.end(id, End::cleared);
+    for (const uint64_t id : plan.cleared) nominations.end(id, End::cleared);
     for (const auto& e : plan.preemptions) {
-      if (e.renews) n.end(e.renews, End::renominated);
+      if (e.renews) nominations.end(e.renews, End::renominated);
       for (const auto& v : e.victims) {
         Machine& machine = *c.find_machine(e.machine);
         c.stop(machine, *machine.find(v.task, v.attempt), cluster::StopReason::preempted,
                Seconds(0), now);
       }
-      n.add(e.job, e.machine, e.room, e.priority, e.victims);
+      nominations.add(e.job, e.machine, e.room, e.priority, e.victims);
     }
   }
   // The worker's heartbeat drops what was stopped.
@@ -91,7 +92,7 @@
     }
     Effects effects;
     c.handle_heartbeat(heartbeat, now, false, effects);
-    n.settle(c);
+    nominations.settle(c);
   }
 
   // Room is made on vm-1 for run-000002, and taken by a higher priority. Returns the nomination.
@@ -102,13 +103,13 @@
     carry_out(plan());
     victims_removed(machine);
     run(add("run-000003", Priority::high, 8), machine);
-    return n.all().begin()->first;
+    return nominations.all().begin()->first;
   }
 
   settings::Platform platform = test::Site::platform(0, 1);
   settings::Operator op;
   Cluster c{platform, op};
-  Nominations n;
+  Nominations nominations;
   scheduler::CloudCapacity cloud_capacity;
   Instant now{seconds(100)};
   uint64_t sequence = 1;
@@ -122,9 +123,9 @@
   EXPECT_TRUE(plan().preemptions.empty());
   EXPECT_FALSE(plan().capacity_requests.empty());
   cloud_capacity.refused = {{"box", "a", false}, {"box", "a", true}};
-  const auto p = plan();
-  ASSERT_EQ(p.preemptions.size(), 1u);
-  EXPECT_EQ(p.preemptions[0].room.cpus, 4) << "the exact room, not the victim's";
+  const auto result_plan = plan();
+  ASSERT_EQ(result_plan.preemptions.size(), 1u);
+  EXPECT_EQ(result_plan.preemptions[0].room.cpus, 4) << "the exact room, not the victim's";
 }
 
 TEST_F(PreemptionTest, TakesBackVictimsThatNeedNotGo) {
@@ -132,9 +133,9 @@
   Job& low = add("run-000001", Priority::low, 2, 4);
   for (int i = 0; i < 4; ++i) run(low, machine);
   add("run-000002", Priority::high, 4);
-  const auto p = plan();
-  ASSERT_EQ(p.preemptions.size(), 1u);
-  EXPECT_EQ(p.preemptions[0].victims.size(), 2u);
+  const auto result_plan = plan();
+  ASSERT_EQ(result_plan.preemptions.size(), 1u);
+  EXPECT_EQ(result_plan.preemptions[0].victims.size(), 2u);
 }
 
 TEST_F(PreemptionTest, EqualPriorityIsNoVictimAndGangsAreNeither) {
@@ -164,12 +165,12 @@
   run(add("run-000005", Priority::low, 8), other);
   add("run-000002", Priority::high, 4);
   carry_out(plan());
-  ASSERT_EQ(n.all().size(), 1u);
+  ASSERT_EQ(nominations.all().size(), 1u);
   for (int i = 0; i < 3; ++i) {
     now += seconds(30);
     other.last_heartbeat = this_machine.last_heartbeat = now;
     EXPECT_TRUE(plan().preemptions.empty()) << "no timer makes it try elsewhere";
-    EXPECT_EQ(n.all().size(), 1u);
+    EXPECT_EQ(nominations.all().size(), 1u);
   }
 }
 
@@ -184,13 +185,13 @@
   c.job("run-000001")->not_before = now + seconds(5);
   add("run-000003", Priority::normal, 4);
   add("run-000004", Priority::low, 2);
-  auto p = plan();
-  ASSERT_EQ(p.placements.size(), 1u) << "two of the eight are not held";
-  EXPECT_EQ(p.placements[0].job, "run-000004");
+  auto result_plan = plan();
+  ASSERT_EQ(result_plan.placements.size(), 1u) << "two of the eight are not held";
+  EXPECT_EQ(result_plan.placements[0].job, "run-000004");
   add("run-000006", Priority::high, 8);
-  p = plan();
-  ASSERT_FALSE(p.placements.empty());
-  EXPECT_EQ(p.placements[0].job, "run-000006") << "a higher priority ignores the hold";
+  result_plan = plan();
+  ASSERT_FALSE(result_plan.placements.empty());
+  EXPECT_EQ(result_plan.placements[0].job, "run-000006") << "a higher priority ignores the hold";
 }
 
 TEST_F(PreemptionTest, RoomThatIsThereOnlyWithTheHoldIsNotUsed) {
@@ -215,11 +216,11 @@
   add("run-000002", Priority::normal, 4);
   carry_out(plan());
   add("run-000003", Priority::normal, 4);
-  const auto p = plan();
-  ASSERT_EQ(p.preemptions.size(), 1u) << "the other half of what the victim leaves";
-  carry_out(p);
-  EXPECT_EQ(n.all().size(), 2u);
-  EXPECT_EQ(n.victims_on("vm-1")->size(), 1u);
+  const auto result_plan = plan();
+  ASSERT_EQ(result_plan.preemptions.size(), 1u) << "the other half of what the victim leaves";
+  carry_out(result_plan);
+  EXPECT_EQ(nominations.all().size(), 2u);
+  EXPECT_EQ(nominations.victims_on("vm-1")->size(), 1u);
   add("run-000007", Priority::normal, 4);
   EXPECT_TRUE(plan().preemptions.empty()) << "both halves are held";
 }
@@ -231,12 +232,12 @@
   carry_out(plan());
   victims_removed(this_machine);
   machine("vm-2");  // empty, and as good
-  const auto p = plan();
-  ASSERT_FALSE(p.placements.empty());
-  EXPECT_EQ(p.placements[0].machine, "vm-1");
-  ASSERT_EQ(p.placements[0].ends_nominations.size(), 1u);
-  n.end(p.placements[0].ends_nominations[0], End::placed);
-  EXPECT_TRUE(n.all().empty());
+  const auto result_plan = plan();
+  ASSERT_FALSE(result_plan.placements.empty());
+  EXPECT_EQ(result_plan.placements[0].machine, "vm-1");
+  ASSERT_EQ(result_plan.placements[0].ends_nominations.size(), 1u);
+  nominations.end(result_plan.placements[0].ends_nominations[0], End::placed);
+  EXPECT_TRUE(nominations.all().empty());
 }
 
 TEST_F(PreemptionTest, TheVictimListOutlivesItsNomination) {
@@ -244,13 +245,13 @@
   run(add("run-000001", Priority::low, 8), machine);
   add("run-000002", Priority::high, 4);
   carry_out(plan());
-  n.job_closed("run-000002");  // cancelled
-  EXPECT_TRUE(n.all().empty());
-  EXPECT_TRUE(n.settling("vm-1"));
-  n.settle(c);
-  EXPECT_TRUE(n.settling("vm-1"));
+  nominations.job_closed("run-000002");  // cancelled
+  EXPECT_TRUE(nominations.all().empty());
+  EXPECT_TRUE(nominations.settling("vm-1"));
+  nominations.settle(c);
+  EXPECT_TRUE(nominations.settling("vm-1"));
   victims_removed(machine);
-  EXPECT_FALSE(n.settling("vm-1"));
+  EXPECT_FALSE(nominations.settling("vm-1"));
 }
 
 TEST_F(PreemptionTest, AFailedStopCallEndsTheNominationAndFreesTheVictims) {
@@ -259,24 +260,24 @@
   const Victim victim{allocation.task, allocation.attempt};
   add("run-000002", Priority::high, 4);
   carry_out(plan());
-  n.stop_failed("vm-2", {victim});
-  EXPECT_EQ(n.all().size(), 1u) << "another machine's call";
-  n.stop_failed("vm-1", {victim});
-  EXPECT_TRUE(n.all().empty());
-  EXPECT_FALSE(n.settling("vm-1"));
+  nominations.stop_failed("vm-2", {victim});
+  EXPECT_EQ(nominations.all().size(), 1u) << "another machine's call";
+  nominations.stop_failed("vm-1", {victim});
+  EXPECT_TRUE(nominations.all().empty());
+  EXPECT_FALSE(nominations.settling("vm-1"));
 }
 
 TEST_F(PreemptionTest, RenominatesOnceTheVictimsAreGoneAndTheRoomIsLost) {
   const uint64_t first = nominate_and_lose_the_room();
   Machine& other = machine("vm-2");
   run(add("run-000004", Priority::low, 8), other);
-  const auto p = plan();
-  ASSERT_EQ(p.preemptions.size(), 1u);
-  EXPECT_EQ(p.preemptions[0].renews, first);
-  EXPECT_EQ(p.preemptions[0].machine, "vm-2");
-  carry_out(p);
-  ASSERT_EQ(n.all().size(), 1u);
-  EXPECT_EQ(n.all().begin()->second.machine, "vm-2");
+  const auto result_plan = plan();
+  ASSERT_EQ(result_plan.preemptions.size(), 1u);
+  EXPECT_EQ(result_plan.preemptions[0].renews, first);
+  EXPECT_EQ(result_plan.preemptions[0].machine, "vm-2");
+  carry_out(result_plan);
+  ASSERT_EQ(nominations.all().size(), 1u);
+  EXPECT_EQ(nominations.all().begin()->second.machine, "vm-2");
 }
 
 // Found by reading: with machines to be launched the nomination was neither used, renewed nor
@@ -285,10 +286,10 @@
   const uint64_t first = nominate_and_lose_the_room();
   c.close_job("run-000001", false, now);
   cloud_capacity.refused.clear();
-  const auto p = plan();
-  EXPECT_TRUE(p.preemptions.empty());
-  EXPECT_EQ(p.cleared, std::vector<uint64_t>{first});
-  carry_out(p);
+  const auto result_plan = plan();
+  EXPECT_TRUE(result_plan.preemptions.empty());
+  EXPECT_EQ(result_plan.cleared, std::vector<uint64_t>{first});
+  carry_out(result_plan);
   EXPECT_FALSE(plan().capacity_requests.empty());
 }
 
@@ -303,9 +304,9 @@
   Job& more = add("run-000003", Priority::high, 4, 2, "blue");
   run(more, other);
   run(more, other);
-  const auto p = plan();
-  ASSERT_EQ(p.preemptions.size(), 1u);
-  EXPECT_EQ(p.preemptions[0].job, "run-000002");
+  const auto result_plan = plan();
+  ASSERT_EQ(result_plan.preemptions.size(), 1u);
+  EXPECT_EQ(result_plan.preemptions[0].job, "run-000002");
 }
 
 TEST_F(PreemptionTest, AVictimWhoseRunNeverWentOutIsUndoneAtOnce) {
@@ -338,10 +339,10 @@
   run(beyond, *c.find_machine("vm-2"));
   run(beyond, *c.find_machine("vm-2"));
   add("run-000003", Priority::normal, 4, 2, "red");
-  const auto p = plan();
-  ASSERT_EQ(p.preemptions.size(), 1u);
-  EXPECT_EQ(p.preemptions[0].machine, "vm-2");
-  for (const auto& v : p.preemptions[0].victims) EXPECT_EQ(v.task.job, "run-000002");
+  const auto result_plan = plan();
+  ASSERT_EQ(result_plan.preemptions.size(), 1u);
+  EXPECT_EQ(result_plan.preemptions[0].machine, "vm-2");
+  for (const auto& v : result_plan.preemptions[0].victims) EXPECT_EQ(v.task.job, "run-000002");
 }
 
 }  // namespace
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -36,9 +36,9 @@
     none_to_launch();
   }
   void none_to_launch() {
-    for (const char* t : {"box", "rig"}) {
-      for (const char* z : {"a", "b"}) {
-        for (const bool spot : {false, true}) cloud_capacity.refused.insert({t, z, spot});
+    for (const char* type : {"box", "rig"}) {
+      for (const char* zone : {"a", "b"}) {
+        for (const bool spot : {false, true}) cloud_capacity.refused.insert({type, zone, spot});
       }
     }
   }
@@ -69,13 +69,13 @@
     allocation.state = TaskState::running;
   }
   Plan plan() {
-    return scheduler::plan(c, n, cloud_capacity, platform, op, wall + Millis(100), now);
+    return scheduler::plan(c, nominations, cloud_capacity, platform, op, wall + Millis(100), now);
   }
   static std::map<std::string, uint32_t> by_machine(const Plan& plan) {
     std::map<std::string, uint32_t> out;
-    for (const auto& x : plan.placements) out[x.machine] += x.count;
-    for (const auto& g : plan.gangs) {
-      for (const auto& [h, k] : g.on) out[h] += k;
+    for (const Placement& placement : plan.placements) out[placement.machine] += placement.count;
+    for (const GangPlacement& gang : plan.gangs) {
+      for (const auto& [machine, count] : gang.on) out[machine] += count;
     }
     return out;
   }
@@ -83,7 +83,7 @@
   settings::Platform platform = test::Site::platform(0, 1);
   settings::Operator op;
   Cluster c{platform, op};
-  preemption::Nominations n;
+  preemption::Nominations nominations;
   CloudCapacity cloud_capacity;
   Instant now{seconds(100)};
   WallTime wall{Millis(1'000'000)};
@@ -101,7 +101,7 @@
   spec.tasks = 5;
   add(spec);
   uint32_t placed = 0;
-  for (const auto& [machine, k] : by_machine(plan())) placed += k;
+  for (const auto& [machine, count] : by_machine(plan())) placed += count;
   EXPECT_EQ(placed, 1u);
 }
 
@@ -121,9 +121,9 @@
 TEST_F(SchedulerTest, TogetherCountsOldAllocationsAndApartHalvesRoundedUp) {
   Machine& this_machine = machine("vm-1", "a");
   machine("vm-2", "b");
-  JobSpec s = job("run-000001", 6);
-  s.one_zone = true;
-  Job& open_job = add(s);
+  JobSpec earlier = job("run-000001", 6);
+  earlier.one_zone = true;
+  Job& open_job = add(earlier);
   run(open_job, this_machine);
   EXPECT_FALSE(by_machine(plan()).contains("vm-2"));
   c.close_job("run-000001", false, now);
@@ -145,9 +145,9 @@
   add(spec);
   EXPECT_TRUE(plan().gangs.empty()) << "one in each zone is not together";
   machine("vm-3", "b");
-  const auto p = plan();
-  ASSERT_EQ(p.gangs.size(), 1u);
-  EXPECT_EQ(by_machine(p), (std::map<std::string, uint32_t>{{"vm-2", 1}, {"vm-3", 1}}));
+  const auto result_plan = plan();
+  ASSERT_EQ(result_plan.gangs.size(), 1u);
+  EXPECT_EQ(by_machine(result_plan), (std::map<std::string, uint32_t>{{"vm-2", 1}, {"vm-3", 1}}));
 }
 
 TEST_F(SchedulerTest, AGangWaitsUntilItsOldAttemptIsGone) {
@@ -321,22 +321,22 @@
   spec.id = "run-000002";
   spec.deadline = Seconds(90);
   add(spec);
-  auto p = plan();
-  ASSERT_EQ(p.placements.size(), 1u);
-  EXPECT_EQ(p.placements[0].job, "run-000002");
+  auto result_plan = plan();
+  ASSERT_EQ(result_plan.placements.size(), 1u);
+  EXPECT_EQ(result_plan.placements[0].job, "run-000002");
   // A second, later aim of the class makes it worth hurrying again.
   platform.objectives.push_back({"deadline", spec.job_class, Seconds(0), 0.9, 2.0});
-  p = plan();
-  ASSERT_EQ(p.placements.size(), 1u);
-  EXPECT_EQ(p.placements[0].job, "run-000001");
+  result_plan = plan();
+  ASSERT_EQ(result_plan.placements.size(), 1u);
+  EXPECT_EQ(result_plan.placements[0].job, "run-000001");
 }
 
 TEST_F(SchedulerTest, LaunchesTheCheapestThatIsAllowedAndNotRefused) {
   cloud_capacity.refused.clear();
   add(job("run-000001", 4));
-  auto p = plan();
-  ASSERT_EQ(p.capacity_requests.size(), 1u);
-  EXPECT_EQ(p.capacity_requests[0].offer, (Offer{"box", "a", false}))
+  auto result_plan = plan();
+  ASSERT_EQ(result_plan.capacity_requests.size(), 1u);
+  EXPECT_EQ(result_plan.capacity_requests[0].offer, (Offer{"box", "a", false}))
       << "its job takes no spot machines";
   cloud_capacity.refused.insert({"box", "a", false});
   EXPECT_EQ(plan().capacity_requests[0].offer, (Offer{"box", "b", false}));
@@ -359,15 +359,15 @@
   spec.deadline = Seconds(200);
   spec.priority = Priority::high;
   add(spec);
-  auto p = plan();
-  ASSERT_EQ(p.placements.size(), 1u);
-  EXPECT_EQ(p.placements[0].job, "run-000001");
+  auto result_plan = plan();
+  ASSERT_EQ(result_plan.placements.size(), 1u);
+  EXPECT_EQ(result_plan.placements[0].job, "run-000001");
   wall += seconds(60);
-  p = plan();
-  ASSERT_EQ(p.placements.size(), 2u);
-  EXPECT_EQ(p.placements[0].job, "run-000009") << "nothing of it has started for long";
-  EXPECT_EQ(p.placements[0].count, 1u) << "it begins, and the rest has its ordinary turn";
-  EXPECT_EQ(p.placements[1].job, "run-000001");
+  result_plan = plan();
+  ASSERT_EQ(result_plan.placements.size(), 2u);
+  EXPECT_EQ(result_plan.placements[0].job, "run-000009") << "nothing of it has started for long";
+  EXPECT_EQ(result_plan.placements[0].count, 1u) << "it begins, and the rest has its ordinary turn";
+  EXPECT_EQ(result_plan.placements[1].job, "run-000001");
 }
 
 TEST_F(SchedulerTest, AJobThatIsLateForLongIsBroughtToItsEnd) {
@@ -417,12 +417,12 @@
   // Found in an incident: single tasks of a higher turn took each freed place, and gangs waited for
   // ten minutes beside machines that were used by turns.
   Machine& this_machine = machine("vm-1");
-  JobSpec g = job("run-000002", 2);
-  g.gang = true;
-  g.need = {4, 0, 4};
-  g.priority = Priority::low;
-  g.team = "blue";
-  add(g);
+  JobSpec gang = job("run-000002", 2);
+  gang.gang = true;
+  gang.need = {4, 0, 4};
+  gang.priority = Priority::low;
+  gang.team = "blue";
+  add(gang);
   JobSpec spec = job("run-000001", 50);
   spec.priority = Priority::high;
   spec.estimate = Seconds(30);
@@ -582,9 +582,9 @@
   add(high);
   const Plan first = plan();
   ASSERT_EQ(first.preemptions.size(), 1u);
-  const auto& e = first.preemptions.front();
-  n.add(e.job, e.machine, e.room, e.priority, e.victims);
-  (void)c.preempt(this_machine, e.victims.front().task, e.victims.front().attempt, now);
+  const Preemption& made = first.preemptions.front();
+  nominations.add(made.job, made.machine, made.room, made.priority, made.victims);
+  (void)c.preempt(this_machine, made.victims.front().task, made.victims.front().attempt, now);
   EXPECT_EQ(wait_causes(plan()).at("run-000002"), WaitCause::preemption);
 }
 
