--- a/src/dunlinknot/http/message.cpp
+++ b/src/dunlinknot/http/message.cpp
@@ -7,27 +7,56 @@
 
 namespace {
 
-bool same_text(std::string_view a, std::string_view b) {
-  return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) {
-           return (x >= 'A' && x <= 'Z' ? x + 32 : x) == (y >= 'A' && y <= 'Z' ? y + 32 : y);
-         });
+constexpr std::string_view kVersion = "HTTP/1.1";
+constexpr std::string_view kOldVersion = "HTTP/1.0";
+static_assert(kVersion.size() == kOldVersion.size());
+
+// What a server answers when the parser fails.
+constexpr int kBadRequest = 400;
+constexpr int kBodyTooLarge = 413;
+constexpr int kHeadTooLarge = 431;
+
+constexpr int kDecimal = 10;
+constexpr int kHexadecimal = 16;
+
+char lower(char letter) {
+  return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter + ('a' - 'A')) : letter;
+}
+
+// Header names and tokens do not depend on the case.
+bool same_text(std::string_view left, std::string_view right) {
+  return left.size() == right.size() &&
+         std::equal(left.begin(), left.end(), right.begin(),
+                    [](char x, char y) { return lower(x) == lower(y); });
+}
+
+std::string_view trimmed(std::string_view text) {
+  while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
+  while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
+  return text;
+}
+
+// The number that the whole text is; empty when it is none.
+std::optional<uint64_t> parse_number(std::string_view text, int base) {
+  uint64_t number = 0;
+  const char* end = text.data() + text.size();
+  const auto parsed = std::from_chars(text.data(), end, number, base);
+  if (text.empty() || parsed.ec != std::errc{} || parsed.ptr != end) return std::nullopt;
+  return number;
 }
 
 bool has_token(std::string_view list, std::string_view token) {
   while (!list.empty()) {
     const size_t comma = list.find(',');
-    std::string_view item = list.substr(0, comma);
-    while (!item.empty() && (item.front() == ' ' || item.front() == '\t')) item.remove_prefix(1);
-    while (!item.empty() && (item.back() == ' ' || item.back() == '\t')) item.remove_suffix(1);
-    if (same_text(item, token)) return true;
+    if (same_text(trimmed(list.substr(0, comma)), token)) return true;
     if (comma == std::string_view::npos) break;
     list.remove_prefix(comma + 1);
   }
   return false;
 }
 
-bool is_token(std::string_view s) {
-  return !s.empty() && std::all_of(s.begin(), s.end(), [](char c) {
+bool is_token(std::string_view text) {
+  return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
            std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
   });
@@ -73,44 +102,54 @@
   return Result::failed;
 }
 
-bool Parser::take_line(std::string_view& line) {
+// The next line without its end; empty while its end has not arrived.
+std::optional<std::string_view> Parser::take_line() {
   const size_t end = buffer_.find('\n', pos_);
-  if (end == std::string::npos) return false;
-  size_t len = end - pos_;
-  if (len > 0 && buffer_[end - 1] == '\r') --len;
-  line = std::string_view(buffer_).substr(pos_, len);
+  if (end == std::string::npos) return std::nullopt;
+  size_t length = end - pos_;
+  if (length > 0 && buffer_[end - 1] == '\r') --length;
+  const std::string_view line = std::string_view(buffer_).substr(pos_, length);
   head_bytes_ += end + 1 - pos_;
   pos_ = end + 1;
-  return true;
+  return line;
 }
 
 bool Parser::parse_start_line(std::string_view line) {
-  if (kind_ == Kind::request) {
-    const size_t a = line.find(' ');
-    const size_t b = line.rfind(' ');
-    if (a == std::string_view::npos || b <= a) return false;
-    const std::string_view method = line.substr(0, a);
-    const std::string_view target = line.substr(a + 1, b - a - 1);
-    const std::string_view version = line.substr(b + 1);
-    if (!is_token(method) || target.empty() || target.front() != '/') return false;
-    if (std::any_of(target.begin(), target.end(),
-                    [](char c) { return static_cast<unsigned char>(c) <= ' ' || c == 0x7f; })) {
-      return false;
-    }
-    if (version != "HTTP/1.1" && version != "HTTP/1.0") return false;
-    message_.method = method;
-    message_.target = target;
-    message_.keep_alive = version == "HTTP/1.1";
-    return true;
-  }
-  if (line.size() < 12 || (line.substr(0, 9) != "HTTP/1.1 " && line.substr(0, 9) != "HTTP/1.0 ")) {
+  return kind_ == Kind::request ? parse_request_line(line) : parse_status_line(line);
+}
+
+bool Parser::parse_request_line(std::string_view line) {
+  const size_t first_space = line.find(' ');
+  const size_t last_space = line.rfind(' ');
+  if (first_space == std::string_view::npos || last_space <= first_space) return false;
+  const std::string_view method = line.substr(0, first_space);
+  const std::string_view target = line.substr(first_space + 1, last_space - first_space - 1);
+  const std::string_view version = line.substr(last_space + 1);
+  if (!is_token(method) || target.empty() || target.front() != '/') return false;
+  if (std::any_of(target.begin(), target.end(),
+                  [](char c) { return static_cast<unsigned char>(c) <= ' ' || c == 0x7f; })) {
     return false;
   }
+  if (version != kVersion && version != kOldVersion) return false;
+  message_.method = method;
+  message_.target = target;
+  message_.keep_alive = version == kVersion;
+  return true;
+}
+
+bool Parser::parse_status_line(std::string_view line) {
+  constexpr size_t kStatusAt = kVersion.size() + 1;
+  constexpr size_t kStatusEnd = kStatusAt + 3;
+  constexpr int kLeastStatus = 100;
+  if (line.size() < kStatusEnd || line[kVersion.size()] != ' ') return false;
+  const std::string_view version = line.substr(0, kVersion.size());
+  if (version != kVersion && version != kOldVersion) return false;
   int status = 0;
-  const auto r = std::from_chars(line.data() + 9, line.data() + 12, status);
-  if (r.ec != std::errc{} || r.ptr != line.data() + 12 || status < 100) return false;
+  const auto parsed = std::from_chars(line.data() + kStatusAt, line.data() + kStatusEnd, status);
+  if (parsed.ec != std::errc{} || parsed.ptr != line.data() + kStatusEnd || status < kLeastStatus)
+    return false;
   message_.status = status;
-  message_.keep_alive = line.substr(0, 8) == "HTTP/1.1";
+  message_.keep_alive = version == kVersion;
   return true;
 }
 
@@ -118,18 +157,10 @@
   const size_t colon = line.find(':');
   if (colon == std::string_view::npos) return false;
   const std::string_view name = line.substr(0, colon);
-  std::string_view value = line.substr(colon + 1);
-  while (!value.empty() && (value.front() == ' ' || value.front() == '\t')) value.remove_prefix(1);
-  while (!value.empty() && (value.back() == ' ' || value.back() == '\t')) value.remove_suffix(1);
+  const std::string_view value = trimmed(line.substr(colon + 1));
   if (!is_token(name)) return false;
-  if (same_text(name, "content-length")) {
-    uint64_t n = 0;
-    const auto r = std::from_chars(value.data(), value.data() + value.size(), n);
-    if (value.empty() || r.ec != std::errc{} || r.ptr != value.data() + value.size()) return false;
-    if (has_length_ && n != remaining_) return false;  // two lengths that disagree
-    has_length_ = true;
-    remaining_ = n;
-  } else if (same_text(name, "transfer-encoding")) {
+  if (same_text(name, "content-length")) return parse_content_length(value);
+  if (same_text(name, "transfer-encoding")) {
     if (!same_text(value, "chunked")) return false;
     chunked_ = true;
   } else if (same_text(name, "connection")) {
@@ -141,6 +172,15 @@
   return true;
 }
 
+bool Parser::parse_content_length(std::string_view value) {
+  const auto length = parse_number(value, kDecimal);
+  if (!length) return false;
+  if (has_length_ && *length != remaining_) return false;  // two lengths that disagree
+  has_length_ = true;
+  remaining_ = *length;
+  return true;
+}
+
 bool Parser::end_of_headers() {
   // A length and chunks together are how requests are smuggled past one another: refused.
   if (chunked_ && has_length_) return false;
@@ -154,76 +194,93 @@
 
 Parser::Result Parser::feed(std::string_view bytes) {
   buffer_.append(bytes);
-  std::string_view line;
   for (;;) {
-    switch (phase_) {
-      case Phase::start_line:
-        if (!take_line(line)) {
-          return buffer_.size() - pos_ > limits_.head ? fail(431) : Result::need_more;
-        }
-        if (line.empty() && head_bytes_ <= 4) break;  // stray line end between messages
-        if (!parse_start_line(line)) return fail(400);
-        phase_ = Phase::headers;
-        break;
-      case Phase::headers:
-      case Phase::trailers: {
-        const bool found = take_line(line);
-        if (head_bytes_ > limits_.head || (!found && buffer_.size() - pos_ > limits_.head)) {
-          return fail(431);
-        }
-        if (!found) return Result::need_more;
-        if (line.empty()) {
-          if (phase_ == Phase::trailers) {
-            phase_ = Phase::done;
-          } else if (!end_of_headers()) {
-            return fail(400);
-          }
-          if (phase_ == Phase::body && remaining_ > limits_.body) return fail(413);
-        } else if (phase_ == Phase::headers && !parse_header(line)) {
-          return fail(400);
-        }
-        break;
-      }
-      case Phase::body:
-      case Phase::chunk_data: {
-        const size_t n = std::min<uint64_t>(remaining_, buffer_.size() - pos_);
-        message_.body.append(buffer_, pos_, n);
-        pos_ += n;
-        remaining_ -= n;
-        if (remaining_ > 0) {
-          buffer_.clear();
-          pos_ = 0;
-          return Result::need_more;
-        }
-        phase_ = phase_ == Phase::body ? Phase::done : Phase::chunk_end;
-        break;
-      }
-      case Phase::chunk_size: {
-        if (!take_line(line)) {
-          return buffer_.size() - pos_ > 256 ? fail(400) : Result::need_more;
-        }
-        line = line.substr(0, line.find(';'));
-        uint64_t n = 0;
-        const auto r = std::from_chars(line.data(), line.data() + line.size(), n, 16);
-        if (line.empty() || r.ec != std::errc{} || r.ptr != line.data() + line.size()) {
-          return fail(400);
-        }
-        if (n > limits_.body || message_.body.size() + n > limits_.body) return fail(413);
-        remaining_ = n;
-        phase_ = n == 0 ? Phase::trailers : Phase::chunk_data;
-        break;
-      }
-      case Phase::chunk_end:
-        if (!take_line(line)) {
-          return buffer_.size() - pos_ > 2 ? fail(400) : Result::need_more;
-        }
-        if (!line.empty()) return fail(400);
-        phase_ = Phase::chunk_size;
-        break;
-      case Phase::done:
-        return Result::complete;
-    }
+    if (const Step result = step()) return *result;
+  }
+}
+
+Parser::Step Parser::step() {
+  switch (phase_) {
+    case Phase::start_line:
+      return read_start_line();
+    case Phase::headers:
+    case Phase::trailers:
+      return read_header_line();
+    case Phase::body:
+    case Phase::chunk_data:
+      return read_body();
+    case Phase::chunk_size:
+      return read_chunk_size();
+    case Phase::chunk_end:
+      return read_chunk_end();
+    case Phase::done:
+      break;
+  }
+  return Result::complete;
+}
+
+Parser::Step Parser::read_start_line() {
+  constexpr size_t kStrayLineEnds = 4;  // bytes before a start line that are ignored
+  const auto line = take_line();
+  if (!line) return unread() > limits_.head ? fail(kHeadTooLarge) : Result::need_more;
+  if (line->empty() && head_bytes_ <= kStrayLineEnds) return std::nullopt;
+  if (!parse_start_line(*line)) return fail(kBadRequest);
+  phase_ = Phase::headers;
+  return std::nullopt;
+}
+
+Parser::Step Parser::read_header_line() {
+  const auto line = take_line();
+  if (head_bytes_ > limits_.head || (!line && unread() > limits_.head)) return fail(kHeadTooLarge);
+  if (!line) return Result::need_more;
+  const bool trailer = phase_ == Phase::trailers;
+  if (!line->empty()) {
+    if (!trailer && !parse_header(*line)) return fail(kBadRequest);
+    return std::nullopt;
+  }
+  if (trailer) {
+    phase_ = Phase::done;
+  } else if (!end_of_headers()) {
+    return fail(kBadRequest);
+  }
+  if (phase_ == Phase::body && remaining_ > limits_.body) return fail(kBodyTooLarge);
+  return std::nullopt;
+}
+
+Parser::Step Parser::read_body() {
+  const size_t count = std::min<uint64_t>(remaining_, unread());
+  message_.body.append(buffer_, pos_, count);
+  pos_ += count;
+  remaining_ -= count;
+  if (remaining_ > 0) {
+    buffer_.clear();
+    pos_ = 0;
+    return Result::need_more;
   }
+  phase_ = phase_ == Phase::body ? Phase::done : Phase::chunk_end;
+  return std::nullopt;
+}
+
+Parser::Step Parser::read_chunk_size() {
+  constexpr size_t kMaxLine = 256;  // a size and extensions, which nobody here sends
+  const auto line = take_line();
+  if (!line) return unread() > kMaxLine ? fail(kBadRequest) : Result::need_more;
+  const auto size = parse_number(line->substr(0, line->find(';')), kHexadecimal);
+  if (!size) return fail(kBadRequest);
+  if (*size > limits_.body || message_.body.size() + *size > limits_.body)
+    return fail(kBodyTooLarge);
+  remaining_ = *size;
+  phase_ = *size == 0 ? Phase::trailers : Phase::chunk_data;
+  return std::nullopt;
+}
+
+Parser::Step Parser::read_chunk_end() {
+  constexpr size_t kLineEnd = 2;  // a carriage return and a line feed
+  const auto line = take_line();
+  if (!line) return unread() > kLineEnd ? fail(kBadRequest) : Result::need_more;
+  if (!line->empty()) return fail(kBadRequest);
+  phase_ = Phase::chunk_size;
+  return std::nullopt;
 }
 
 Message Parser::take() {
--- a/src/dunlinknot/http/message.hpp
+++ b/src/dunlinknot/http/message.hpp
@@ -3,6 +3,7 @@
 #pragma once
 #include <cstddef>
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <utility>
@@ -10,30 +11,35 @@
 
 namespace dunlinknot::http {
 
+// What the parser accepts, in bytes.
 struct Limits {
   size_t head = size_t{8} * 1024;  // start line and headers together
   size_t body = size_t{64} * 1024;
 };
 
+// A request or a response as received. Headers without a meaning here are dropped.
 struct Message {
   // Request: method and target. Response: status.
   std::string method;
   std::string target;
   int status = 0;
   bool keep_alive = true;
-  std::string retry_after;
+  std::string retry_after;  // the header's value; empty without one
   std::string body;
 };
 
 using Request = Message;
 
+// A response to be sent.
 struct Response {
   int status = 200;
   std::string body;
   int retry_after_s = 0;  // 0: no such header
-  bool close = false;
+  bool close = false;     // closes the connection after it
 };
 
+// Parses the messages of one connection, one after the other. After Result::failed the stream has
+// lost its framing and the connection is to be closed.
 class Parser {
  public:
   enum class Kind { request, response };
@@ -41,10 +47,11 @@
 
   Parser(Kind kind, Limits limits) : kind_(kind), limits_(limits) {}
 
-  // Takes bytes; returns how the message stands. After `complete`, take() hands it over and the
-  // parser goes on with the bytes left over.
+  // Takes bytes that arrived; `complete` when a whole message is there, to be had from take().
+  // Bytes of the next message are kept: resume() parses them.
   Result feed(std::string_view bytes);
   Result resume() { return feed({}); }
+  // The complete message; the parser is ready for the next one.
   Message take();
   // The status a server should answer after `failed`: 400, 413, 431 or 501.
   int error_status() const { return error_status_; }
@@ -54,10 +61,23 @@
  private:
   enum class Phase { start_line, headers, body, chunk_size, chunk_data, chunk_end, trailers, done };
 
-  bool take_line(std::string_view& line);
+  // A step through one phase; empty when the next phase can be parsed.
+  using Step = std::optional<Result>;
+  Step step();
+  Step read_start_line();
+  Step read_header_line();
+  Step read_body();
+  Step read_chunk_size();
+  Step read_chunk_end();
+
+  std::optional<std::string_view> take_line();
   bool parse_start_line(std::string_view line);
+  bool parse_request_line(std::string_view line);
+  bool parse_status_line(std::string_view line);
   bool parse_header(std::string_view line);
+  bool parse_content_length(std::string_view value);
   bool end_of_headers();
+  size_t unread() const { return buffer_.size() - pos_; }
   Result fail(int status);
 
   Kind kind_;
@@ -73,6 +93,7 @@
   int error_status_ = 400;
 };
 
+// The bytes of a message. A body is MessagePack.
 std::string render_request(std::string_view method, std::string_view target, std::string_view host,
                            std::string_view body);
 std::string render_response(const Response& response, bool keep_alive);
--- a/src/dunlinknot/http/socket.cpp
+++ b/src/dunlinknot/http/socket.cpp
@@ -15,12 +15,21 @@
 
 namespace {
 
+constexpr auto kOutOfSocketsPause = Millis(50);  // until some connection may have ended
+constexpr auto kAcceptErrorPause = Millis(10);   // other errors: do not spin on them
+
 sockaddr_in address_of(Endpoint endpoint) {
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_addr.s_addr = endpoint.ip;
-  a.sin_port = htons(endpoint.port);
-  return a;
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_addr.s_addr = endpoint.ip;
+  address.sin_port = htons(endpoint.port);
+  return address;
+}
+
+// Small messages are sent at once.
+void disable_delay(int fd) {
+  const int on = 1;
+  ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
 }  // namespace
@@ -34,17 +43,17 @@
   in_addr ip{};
   if (::inet_pton(AF_INET, host.c_str(), &ip) != 1) return std::nullopt;
   endpoint.ip = ip.s_addr;
-  const auto r = std::from_chars(port.data(), port.data() + port.size(), endpoint.port);
-  if (r.ec != std::errc{} || r.ptr != port.data() + port.size() || endpoint.port == 0)
+  const auto parsed = std::from_chars(port.data(), port.data() + port.size(), endpoint.port);
+  if (parsed.ec != std::errc{} || parsed.ptr != port.data() + port.size() || endpoint.port == 0)
     return std::nullopt;
   return endpoint;
 }
 
 std::string Endpoint::text() const {
-  char buf[INET_ADDRSTRLEN] = {};
-  in_addr a{ip};
-  ::inet_ntop(AF_INET, &a, buf, sizeof buf);
-  return std::string(buf) + ":" + std::to_string(port);
+  char host[INET_ADDRSTRLEN] = {};
+  const in_addr address{ip};
+  ::inet_ntop(AF_INET, &address, host, sizeof host);
+  return std::string(host) + ":" + std::to_string(port);
 }
 
 Socket::Socket(EventLoop& loop, int fd) : loop_(&loop), fd_(fd) {
@@ -73,23 +82,23 @@
 Task<Socket> Socket::connect(EventLoop& loop, Endpoint to, Instant deadline) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) co_return Socket{};
-  const int one = 1;
-  ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
+  disable_delay(fd);
   Socket socket(loop, fd);
-  const sockaddr_in addr = address_of(to);
-  if (::connect(fd, reinterpret_cast<const sockaddr*>(&addr), sizeof addr) == 0) co_return socket;
+  const sockaddr_in address = address_of(to);
+  if (::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0)
+    co_return socket;
   if (errno != EINPROGRESS) co_return Socket{};
   if (!co_await loop.writable(fd, deadline)) co_return Socket{};
-  int err = 0;
-  socklen_t len = sizeof err;
-  if (::getsockopt(fd, SOL_SOCKET, SO_ERROR, &err, &len) != 0 || err != 0) co_return Socket{};
+  int error = 0;
+  socklen_t size = sizeof error;
+  if (::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0) co_return Socket{};
   co_return socket;
 }
 
 Task<ssize_t> Socket::read_some(char* into, size_t room, Instant deadline) {
   for (;;) {
-    const ssize_t n = ::recv(fd_, into, room, 0);
-    if (n >= 0) co_return n;
+    const ssize_t received = ::recv(fd_, into, room, 0);
+    if (received >= 0) co_return received;
     if (errno == EINTR) continue;
     if (errno != EAGAIN && errno != EWOULDBLOCK) co_return -1;
     if (!co_await loop_->readable(fd_, deadline)) co_return -1;
@@ -98,13 +107,13 @@
 
 Task<bool> Socket::write_all(std::string_view bytes, Instant deadline) {
   while (!bytes.empty()) {
-    const ssize_t n = ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
-    if (n > 0) {
-      bytes.remove_prefix(static_cast<size_t>(n));
+    const ssize_t sent = ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
+    if (sent > 0) {
+      bytes.remove_prefix(static_cast<size_t>(sent));
       continue;
     }
-    if (n < 0 && errno == EINTR) continue;
-    if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK) co_return false;
+    if (sent < 0 && errno == EINTR) continue;
+    if (sent < 0 && errno != EAGAIN && errno != EWOULDBLOCK) co_return false;
     if (!co_await loop_->writable(fd_, deadline)) co_return false;
   }
   co_return true;
@@ -113,10 +122,10 @@
 Listener::Listener(EventLoop& loop, Endpoint at) : loop_(loop) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) throw std::runtime_error("cannot make a socket");
-  const int one = 1;
-  ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-  const sockaddr_in addr = address_of(at);
-  if (::bind(fd, reinterpret_cast<const sockaddr*>(&addr), sizeof addr) != 0 ||
+  const int on = 1;
+  ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+  const sockaddr_in address = address_of(at);
+  if (::bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
       ::listen(fd, SOMAXCONN) != 0) {  // all machines of a cluster may come back at once
     const std::string why = std::strerror(errno);
     ::close(fd);
@@ -126,26 +135,25 @@
 }
 
 uint16_t Listener::port() const {
-  sockaddr_in a{};
-  socklen_t len = sizeof a;
-  ::getsockname(socket_.fd(), reinterpret_cast<sockaddr*>(&a), &len);
-  return ntohs(a.sin_port);
+  sockaddr_in address{};
+  socklen_t size = sizeof address;
+  ::getsockname(socket_.fd(), reinterpret_cast<sockaddr*>(&address), &size);
+  return ntohs(address.sin_port);
 }
 
 Task<Socket> Listener::accept() {
   for (;;) {
     const int fd = ::accept4(socket_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
-      const int one = 1;
-      ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
+      disable_delay(fd);
       co_return Socket(loop_, fd);
     }
     if (errno == EAGAIN || errno == EWOULDBLOCK) {
       (void)co_await loop_.readable(socket_.fd(), Instant::max());
     } else if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
-      co_await loop_.sleep(Millis(50));  // out of sockets: the queue waits, nothing is lost
+      co_await loop_.sleep(kOutOfSocketsPause);  // out of sockets: the queue waits, nothing is lost
     } else if (errno != EINTR && errno != ECONNABORTED) {
-      co_await loop_.sleep(Millis(10));
+      co_await loop_.sleep(kAcceptErrorPause);
     }
   }
 }
--- a/src/dunlinknot/jobs/request_handler.cpp
+++ b/src/dunlinknot/jobs/request_handler.cpp
@@ -5,6 +5,7 @@
 #include <utility>
 
 #include "dunlinknot/jobs/responses.hpp"
+#include "dunlinknot/runtime/scoped_count.hpp"
 
 namespace dunlinknot::jobs {
 
@@ -24,17 +25,6 @@
 constexpr int kStatusUnprocessable = 422;
 constexpr std::string_view kNoSuchJob = "no such job";
 
-class InFlight {
- public:
-  explicit InFlight(size_t& count) : count_(count) { ++count_; }
-  InFlight(const InFlight&) = delete;
-  InFlight& operator=(const InFlight&) = delete;
-  ~InFlight() { --count_; }
-
- private:
-  size_t& count_;
-};
-
 // A job is accepted only while its id is in no use.
 kv::Transaction acceptance(const std::string& id, const std::string& record) {
   kv::Transaction transaction;
@@ -80,7 +70,7 @@
       !store_.has_room_for_users(kWritesOfSubmission)) {
     co_return put_off();
   }
-  const InFlight in_flight(submissions_in_flight_);
+  const ScopedCount in_flight(submissions_in_flight_);
   const Instant deadline = loop_.now() + kSubmitTime;
   Submission submission = read_submission(document->root());
   if (submission.refusal || !catalog_known())
@@ -134,7 +124,7 @@
 Task<Response> RequestHandler::poll(std::string id) {
   if (!wire::valid_job_id(id)) co_return error_response(kStatusNotFound, kNoSuchJob);
   if (lookups_in_flight_ >= op_.max_polls) co_return put_off();
-  const InFlight in_flight(lookups_in_flight_);
+  const ScopedCount in_flight(lookups_in_flight_);
   const LookupResult found = co_await lookup_.find(id, loop_.now() + kPollTime);
   if (found.known()) co_return standing_of(id, found, true);
   if (found.kind == LookupResult::Kind::unproven) co_return put_off();
@@ -144,7 +134,7 @@
 Task<Response> RequestHandler::withdraw(std::string id) {
   if (!wire::valid_job_id(id)) co_return error_response(kStatusNotFound, kNoSuchJob);
   if (lookups_in_flight_ >= op_.max_polls) co_return put_off();
-  const InFlight in_flight(lookups_in_flight_);
+  const ScopedCount in_flight(lookups_in_flight_);
   const Instant deadline = loop_.now() + kSubmitTime;
   while (loop_.now() < deadline) {
     const LookupResult found = co_await lookup_.find(id, deadline);
--- a/src/dunlinknot/runtime/clock.hpp
+++ b/src/dunlinknot/runtime/clock.hpp
@@ -12,25 +12,28 @@
 using Seconds = std::chrono::duration<double>;
 using WallTime = std::chrono::sys_time<Millis>;
 
-inline Nanos to_nanos(Seconds s) {
-  return std::chrono::duration_cast<Nanos>(s);
+// Conversions between units; fractions are cut off.
+inline Nanos to_nanos(Seconds time) {
+  return std::chrono::duration_cast<Nanos>(time);
 }
-inline Seconds to_seconds(Nanos n) {
-  return std::chrono::duration_cast<Seconds>(n);
+inline Seconds to_seconds(Nanos time) {
+  return std::chrono::duration_cast<Seconds>(time);
 }
-inline Millis to_millis(Nanos n) {
-  return std::chrono::duration_cast<Millis>(n);
+inline Millis to_millis(Nanos time) {
+  return std::chrono::duration_cast<Millis>(time);
 }
 
+// Where the time comes from; tests advance one by hand.
 class Clock {
  public:
   virtual ~Clock() = default;
-  virtual Instant now() const = 0;
-  virtual WallTime wall() const = 0;
+  virtual Instant now() const = 0;    // steady
+  virtual WallTime wall() const = 0;  // time of day
   // Counts the time for which the machine was suspended, too. Only to be compared with itself.
   virtual Instant boot() const { return now(); }
 };
 
+// The clocks of the operating system.
 class SystemClock final : public Clock {
  public:
   Instant now() const override { return std::chrono::steady_clock::now(); }
@@ -38,9 +41,9 @@
     return std::chrono::time_point_cast<Millis>(std::chrono::system_clock::now());
   }
   Instant boot() const override {
-    timespec t{};
-    if (clock_gettime(CLOCK_BOOTTIME, &t) != 0) return now();
-    return Instant(std::chrono::seconds(t.tv_sec) + Nanos(t.tv_nsec));
+    timespec time{};
+    if (clock_gettime(CLOCK_BOOTTIME, &time) != 0) return now();
+    return Instant(std::chrono::seconds(time.tv_sec) + Nanos(time.tv_nsec));
   }
 };
 
--- a/src/dunlinknot/runtime/event_loop.cpp
+++ b/src/dunlinknot/runtime/event_loop.cpp
@@ -13,11 +13,16 @@
 
 namespace {
 
+constexpr size_t kEventsPerWait = 64;     // the rest are taken in the next turn
+constexpr long long kMaxWaitMs = 60'000;  // epoll takes an int; a later timer only costs a turn
+
 // The outermost frame of a spawned coroutine: it starts at once, owns the task and frees itself.
 struct Detached {
   struct promise_type {
     EventLoop& loop;
-    promise_type(EventLoop& l, Task<void>&) : loop(l) { loop.spawned().insert(frame()); }
+    promise_type(EventLoop& event_loop, Task<void>&) : loop(event_loop) {
+      loop.spawned().insert(frame());
+    }
     ~promise_type() { loop.spawned().erase(frame()); }
     void* frame() { return std::coroutine_handle<promise_type>::from_promise(*this).address(); }
     Detached get_return_object() { return {}; }
@@ -31,8 +36,8 @@
 Detached run_detached([[maybe_unused]] EventLoop& loop, Task<void> task) {
   try {
     co_await task;
-  } catch (const std::exception& e) {
-    spdlog::error("a background task ended with an exception: {}", e.what());
+  } catch (const std::exception& error) {
+    spdlog::error("a background task ended with an exception: {}", error.what());
   }
 }
 
@@ -85,13 +90,13 @@
   ready_.push_back(waiter.handle);
 }
 
-void EventLoop::Sleep::await_suspend(std::coroutine_handle<> h) {
-  waiter.handle = h;
+void EventLoop::Sleep::await_suspend(std::coroutine_handle<> coroutine) {
+  waiter.handle = coroutine;
   loop.arm(waiter);
 }
 
-void EventLoop::Io::await_suspend(std::coroutine_handle<> h) {
-  waiter.handle = h;
+void EventLoop::Io::await_suspend(std::coroutine_handle<> coroutine) {
+  waiter.handle = coroutine;
   FdSlots& slots = loop.fds_[static_cast<size_t>(fd)];
   waiter.slot = write ? &slots.writer : &slots.reader;
   *waiter.slot = &waiter;
@@ -101,10 +106,10 @@
 void EventLoop::watch_fd(int fd) {
   if (fds_.size() <= static_cast<size_t>(fd)) fds_.resize(static_cast<size_t>(fd) + 1);
   fds_[static_cast<size_t>(fd)] = FdSlots{};
-  epoll_event ev{};
-  ev.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
-  ev.data.fd = fd;
-  ::epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &ev);
+  epoll_event event{};
+  event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
+  event.data.fd = fd;
+  ::epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event);
 }
 
 void EventLoop::forget_fd(int fd) {
@@ -119,9 +124,9 @@
 
 void EventLoop::run_ready() {
   while (!ready_.empty() && !stopping_) {
-    auto h = ready_.front();
+    const auto coroutine = ready_.front();
     ready_.pop_front();
-    h.resume();
+    coroutine.resume();
   }
 }
 
@@ -130,8 +135,8 @@
 }
 
 void EventLoop::fire_due() {
-  const Instant t = now();
-  while (!timers_.empty() && timers_.begin()->first <= t) wake(*timers_.begin()->second, true);
+  const Instant time = now();
+  while (!timers_.empty() && timers_.begin()->first <= time) wake(*timers_.begin()->second, true);
 }
 
 void EventLoop::poll_io() {
@@ -140,11 +145,11 @@
     timeout = 0;
   } else if (const Instant next = next_timer(); next != Instant::max()) {
     const auto left = std::chrono::ceil<Millis>(next - now()).count();
-    timeout = static_cast<int>(std::clamp<long long>(left, 0, 60'000));
+    timeout = static_cast<int>(std::clamp<long long>(left, 0, kMaxWaitMs));
   }
-  std::array<epoll_event, 64> events;
-  const int n = ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeout);
-  for (int i = 0; i < n; ++i) {
+  std::array<epoll_event, kEventsPerWait> events;
+  const int count = ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeout);
+  for (int i = 0; i < count; ++i) {
     FdSlots& slots = fds_[static_cast<size_t>(events[static_cast<size_t>(i)].data.fd)];
     const auto flags = events[static_cast<size_t>(i)].events;
     if (slots.reader && (flags & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)))
--- a/src/dunlinknot/runtime/event_loop.hpp
+++ b/src/dunlinknot/runtime/event_loop.hpp
@@ -15,6 +15,7 @@
 
 namespace dunlinknot {
 
+// Owns what is spawned on it. Not thread-safe: everything happens on the thread that calls run().
 class EventLoop {
  public:
   // One suspended coroutine, waiting for a time, for a socket, for a signal, or for several.
@@ -26,18 +27,22 @@
     Waiter** slot = nullptr;  // the place that refers to this waiter, cleared on resume
   };
 
+  // The clock outlives the loop. Throws std::runtime_error when epoll cannot be set up.
   explicit EventLoop(Clock& clock, bool with_epoll = true);
   ~EventLoop();
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
+  // See Clock.
   Instant now() const { return clock_.now(); }
   WallTime wall() const { return clock_.wall(); }
   Instant boot_now() const { return clock_.boot(); }
 
-  // Runs a coroutine on its own. An exception that escapes one is logged and ends only that one.
+  // Runs a coroutine on its own, at once up to its first suspension. An exception that escapes one
+  // is logged and ends only that one.
   void spawn(Task<void> task);
-  void post(std::coroutine_handle<> h) { ready_.push_back(h); }
+  // Resumes the coroutine in a later turn of the loop.
+  void post(std::coroutine_handle<> coroutine) { ready_.push_back(coroutine); }
   // Ends all coroutines where they stand. To be called while what they refer to still exists.
   void abandon();
 
@@ -48,11 +53,11 @@
     EventLoop& loop;
     Waiter waiter;
     bool await_ready() const { return false; }
-    void await_suspend(std::coroutine_handle<> h);
+    void await_suspend(std::coroutine_handle<> coroutine);
     void await_resume() const {}
   };
-  Sleep sleep_until(Instant t) { return Sleep{*this, Waiter{{}, t, false, false, nullptr}}; }
-  Sleep sleep(Nanos d) { return sleep_until(now() + d); }
+  Sleep sleep_until(Instant time) { return Sleep{*this, Waiter{{}, time, false, false, nullptr}}; }
+  Sleep sleep(Nanos duration) { return sleep_until(now() + duration); }
 
   // Waits until the socket may be read (or written); false when the deadline passed first.
   struct [[nodiscard]] Io {
@@ -61,7 +66,7 @@
     bool write;
     Waiter waiter;
     bool await_ready() const { return false; }
-    void await_suspend(std::coroutine_handle<> h);
+    void await_suspend(std::coroutine_handle<> coroutine);
     bool await_resume() const { return !waiter.timed_out; }
   };
   Io readable(int fd, Instant deadline) {
@@ -81,6 +86,8 @@
   Instant next_timer() const;
   void fire_due();
 
+  // For awaitable types: a waiter's deadline is set, dropped; the waiter is resumed in a later
+  // turn.
   void arm(Waiter& waiter);
   void disarm(Waiter& waiter);
   void wake(Waiter& waiter, bool timed_out);
@@ -98,14 +105,16 @@
   bool abandoned_ = false;
   std::set<void*> spawned_;
   std::deque<std::coroutine_handle<>> ready_;
-  std::set<std::pair<Instant, Waiter*>> timers_;
-  std::deque<FdSlots> fds_;
+  std::set<std::pair<Instant, Waiter*>> timers_;  // soonest first
+  std::deque<FdSlots> fds_;  // by file descriptor; a deque, since waiters point into it
 };
 
-// A signal that is remembered until it is taken: any number of notify() calls wake one waiter once.
+// An event that stays set until it is waited for: any number of notify() calls wake one waiter
+// once. The loop outlives the event, the event outlives its waiter.
 class AutoResetEvent {
  public:
   explicit AutoResetEvent(EventLoop& loop) : loop_(loop) {}
+  // Wakes the waiter, or lets the next wait return at once.
   void notify() {
     if (waiter_) {
       loop_.wake(*waiter_, false);
@@ -121,8 +130,8 @@
       signal.set_ = false;
       return true;
     }
-    void await_suspend(std::coroutine_handle<> h) {
-      waiter.handle = h;
+    void await_suspend(std::coroutine_handle<> coroutine) {
+      waiter.handle = coroutine;
       waiter.slot = &signal.waiter_;
       signal.waiter_ = &waiter;
       signal.loop_.arm(waiter);
--- a/src/dunlinknot/runtime/synchronized.hpp
+++ b/src/dunlinknot/runtime/synchronized.hpp
@@ -1,26 +1,30 @@
-// State shared inside the process sits behind a short lock. The lock is only ever held for the
-// length of a plain call, so it cannot be carried across a co_await.
+// State behind a short lock. The lock is only ever held for the length of a plain call, so it
+// cannot be held across a co_await.
 #pragma once
 #include <mutex>
 #include <utility>
 
 namespace dunlinknot {
 
+// Owns the value and its lock.
 template <class T>
 class Synchronized {
  public:
-  template <class... A>
-  explicit Synchronized(A&&... a) : value_(std::forward<A>(a)...) {}
+  // The arguments construct the value.
+  template <class... Arguments>
+  explicit Synchronized(Arguments&&... arguments) : value_(std::forward<Arguments>(arguments)...) {}
 
-  template <class F>
-  auto with(F&& f) {
+  // Calls the function with the value under the lock and returns a copy of what it returns, so that
+  // no reference leaves the lock. Not reentrant: the function must not call with() again.
+  template <class Function>
+  auto with(Function&& function) {
     std::lock_guard lock(mutex_);
-    return std::forward<F>(f)(value_);
+    return std::forward<Function>(function)(value_);
   }
-  template <class F>
-  auto with(F&& f) const {
+  template <class Function>
+  auto with(Function&& function) const {
     std::lock_guard lock(mutex_);
-    return std::forward<F>(f)(value_);
+    return std::forward<Function>(function)(value_);
   }
 
  private:
--- a/src/dunlinknot/runtime/task.hpp
+++ b/src/dunlinknot/runtime/task.hpp
@@ -12,15 +12,17 @@
 
 namespace detail {
 
+// What the promises of all tasks share: who waits, and an exception on its way there.
 struct PromiseBase {
   std::coroutine_handle<> continuation = std::noop_coroutine();
   std::exception_ptr error;
 
+  // Resumes the awaiting coroutine in place of the finished one, without growing the stack.
   struct Final {
     bool await_ready() const noexcept { return false; }
-    template <class P>
-    std::coroutine_handle<> await_suspend(std::coroutine_handle<P> h) noexcept {
-      return h.promise().continuation;
+    template <class Promise>
+    std::coroutine_handle<> await_suspend(std::coroutine_handle<Promise> handle) noexcept {
+      return handle.promise().continuation;
     }
     void await_resume() const noexcept {}
   };
@@ -33,9 +35,9 @@
 struct Promise : PromiseBase {
   std::optional<T> value;
   Task<T> get_return_object();
-  template <class U>
-  void return_value(U&& v) {
-    value.emplace(std::forward<U>(v));
+  template <class Returned>
+  void return_value(Returned&& returned) {
+    value.emplace(std::forward<Returned>(returned));
   }
   T take() {
     if (error) std::rethrow_exception(error);
@@ -54,6 +56,9 @@
 
 }  // namespace detail
 
+// Owns the coroutine, which starts when it is awaited and is destroyed with the task. It is awaited
+// at most once. An exception that leaves the coroutine is thrown where it is awaited. Top-level
+// tasks are started by EventLoop::spawn.
 template <class T>
 class [[nodiscard]] Task {
  public:
@@ -61,12 +66,12 @@
   using Handle = std::coroutine_handle<promise_type>;
 
   Task() = default;
-  explicit Task(Handle h) : handle_(h) {}
-  Task(Task&& o) noexcept : handle_(std::exchange(o.handle_, {})) {}
-  Task& operator=(Task&& o) noexcept {
-    if (this != &o) {
+  explicit Task(Handle handle) : handle_(handle) {}
+  Task(Task&& other) noexcept : handle_(std::exchange(other.handle_, {})) {}
+  Task& operator=(Task&& other) noexcept {
+    if (this != &other) {
       if (handle_) handle_.destroy();
-      handle_ = std::exchange(o.handle_, {});
+      handle_ = std::exchange(other.handle_, {});
     }
     return *this;
   }
--- a/src/dunlinknot/runtime/token_bucket.hpp
+++ b/src/dunlinknot/runtime/token_bucket.hpp
@@ -7,27 +7,31 @@
 
 namespace dunlinknot {
 
+// Not synchronized: for use on one event loop.
 class TokenBucket {
  public:
+  // Starts full. `burst`: in tokens.
   TokenBucket(double per_second, double burst) : rate_(per_second), burst_(burst), level_(burst) {}
 
-  bool take(Instant now, double n = 1) {
+  // Takes the tokens, or none of them when there are too few.
+  bool take(Instant now, double tokens = 1) {
     refill(now);
-    if (level_ < n) return false;
-    level_ -= n;
+    if (level_ < tokens) return false;
+    level_ -= tokens;
     return true;
   }
-  // Takes even into debt: for what may not be put off (lease renewals).
-  void force(Instant now, double n = 1) {
+  // Takes the tokens even into debt: for what may not be put off (lease renewals).
+  void force(Instant now, double tokens = 1) {
     refill(now);
-    level_ -= n;
+    level_ -= tokens;
   }
-  Nanos until(Instant now, double n = 1) {
+  // How long until take() will succeed, if nobody else takes any.
+  Nanos until(Instant now, double tokens = 1) {
     refill(now);
-    if (level_ >= n) return Nanos(0);
+    if (level_ >= tokens) return Nanos(0);
     // Never less than a timer's step: what is missing may be less than a nanosecond's refill, and
     // whoever waits that long waits for nothing, again and again.
-    return std::max<Nanos>(to_nanos(Seconds((n - level_) / rate_)), Millis(1));
+    return std::max<Nanos>(to_nanos(Seconds((tokens - level_) / rate_)), Millis(1));
   }
   // Another rate from now on; the burst is one second's worth. What was saved up is lost.
   void set_rate(Instant now, double per_second) {
@@ -37,6 +41,7 @@
     level_ = std::min(level_, 0.0);
   }
   double burst() const { return burst_; }
+  // Tokens left; negative when in debt.
   double level(Instant now) {
     refill(now);
     return level_;
--- /dev/null
+++ b/src/dunlinknot/settings/text_file.cpp
@@ -0,0 +1,16 @@
+#include "dunlinknot/settings/text_file.hpp"
+
+#include <fstream>
+#include <iterator>
+
+#include "dunlinknot/settings/settings.hpp"
+
+namespace dunlinknot::settings {
+
+std::string read_file(const std::string& path) {
+  std::ifstream in(path, std::ios::binary);
+  if (!in) throw Error(path + ": cannot be read");
+  return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
+}
+
+}  // namespace dunlinknot::settings
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,3 +1,4 @@
+// The command line of a controller: `serve`, `check-config` and `duties`.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -6,6 +7,11 @@
 #include <cstdio>
 #include <cstdlib>
 #include <iostream>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <variant>
 
 #include "dunlinknot/node/daemon.hpp"
 #include "dunlinknot/roles/overview.hpp"
@@ -15,30 +21,53 @@
 
 using namespace dunlinknot;
 
-int set_up_log() {
-  const char* level = std::getenv("LOG_LEVEL");
-  const std::string_view text = level ? level : "info";
+// Exit statuses; an exception, such as one about the settings, ends with kFailed.
+constexpr int kOk = 0;
+constexpr int kFailed = 1;
+constexpr int kUsageError = 2;
+constexpr int kStoreUnavailable = 3;
+
+constexpr size_t kIdleConnectionsPerPeer = 12;  // kept for later calls
+constexpr auto kIdleTime = std::chrono::seconds(20);
+
+// What the command line asks for.
+struct Arguments {
+  enum class Command : uint8_t { serve, check_config, duties } command = Command::serve;
+  std::string platform_file;
+  std::string operator_file;  // empty: the operators set nothing
+};
+
+// How the process ends when there is nothing to carry out.
+struct ExitStatus {
+  int value = kOk;
+};
+
+// Logs to stderr at the level that LOG_LEVEL names. False when it names none.
+bool set_up_log() {
+  const char* variable = std::getenv("LOG_LEVEL");
+  const std::string_view level = variable ? variable : "info";
   auto logger = std::make_shared<spdlog::logger>("dunlinknot",
                                                  std::make_shared<spdlog::sinks::stderr_sink_st>());
   logger->set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
   spdlog::set_default_logger(logger);
-  if (text == "error") {
+  if (level == "error") {
     spdlog::set_level(spdlog::level::err);
-  } else if (text == "debug") {
+  } else if (level == "debug") {
     spdlog::set_level(spdlog::level::debug);
-  } else if (text == "info" || text.empty()) {
+  } else if (level == "info" || level.empty()) {
     spdlog::set_level(spdlog::level::info);
   } else {
-    std::cerr << "dunlinknot: LOG_LEVEL must be error, info or debug, not \"" << text << "\"\n";
-    return 2;
+    std::cerr << "dunlinknot: LOG_LEVEL must be error, info or debug, not \"" << level << "\"\n";
+    return false;
   }
-  return 0;
+  return true;
 }
 
+// Runs this controller until the process is killed.
 int serve(const settings::Platform& platform, const settings::Operator& operator_settings) {
   SystemClock clock;
   EventLoop loop(clock);
-  http::Client transport(loop, 12, std::chrono::seconds(20));
+  http::Client transport(loop, kIdleConnectionsPerPeer, kIdleTime);
   const auto seed =
       static_cast<uint32_t>(std::hash<std::string>{}(platform.node) ^
                             static_cast<size_t>(clock.wall().time_since_epoch().count()));
@@ -47,11 +76,10 @@
   spdlog::info("dunlinknot {} serves as {} on {}", DUNLINKNOT_VERSION, platform.node,
                platform.listen.text());
   loop.run();
-  return 0;
+  return kOk;
 }
 
-constexpr int kStoreUnavailable = 3;  // exit status
-
+// Prints the overview and stops the loop. The references outlive the loop's run.
 Task<void> show_roles(EventLoop& loop, kv::Client& store, int& status) {
   const std::optional<roles::Overview> overview = co_await roles::read_overview(loop, store);
   if (overview) {
@@ -65,64 +93,76 @@
 
 // Prints who holds the singleton roles and what is open; returns the exit status.
 int print_roles(const settings::Platform& platform) {
+  constexpr double kWholeBudget = 1.0;  // this process makes a few calls and ends
   SystemClock clock;
   EventLoop loop(clock);
   http::Client transport(loop, 1, std::chrono::seconds(5));
   kv::Client store(loop, transport, platform.key_value_store, kv::Limits(platform.store_limits),
-                   1.0);
-  int status = 0;
+                   kWholeBudget);
+  int status = kOk;
   loop.spawn(show_roles(loop, store, status));
   loop.run();
   return status;
 }
 
-// Reads the command line and carries it out; returns the exit status.
-int run(int argc, char** argv) {
+// Reads the command line. Prints the help, the version or what is wrong with it.
+std::variant<Arguments, ExitStatus> parse(int argc, char** argv) {
+  Arguments arguments;
   CLI::App app{"dunlinknot, a cluster scheduler: one controller of the service"};
   app.name("dunlinknot");
   app.set_version_flag("--version", std::string("dunlinknot ") + DUNLINKNOT_VERSION);
   app.require_subcommand(1);
-  std::string config, operator_file;
-  const auto files = [&](CLI::App* c) {
-    c->add_option("--config", config, "The platform's settings (TOML)")->required();
-    c->add_option("--operator", operator_file, "The operators' own settings (XML)");
+  const auto add_command = [&](const char* name, const char* description,
+                               Arguments::Command command) {
+    CLI::App* subcommand = app.add_subcommand(name, description);
+    subcommand->add_option("--config", arguments.platform_file, "The platform's settings (TOML)")
+        ->required();
+    subcommand->add_option("--operator", arguments.operator_file,
+                           "The operators' own settings (XML)");
+    subcommand->callback([&arguments, command] { arguments.command = command; });
   };
-  CLI::App* serve_command = app.add_subcommand("serve", "Runs this controller until it is killed");
-  CLI::App* check_command =
-      app.add_subcommand("check-config", "Checks the settings and says what is wrong with them");
-  CLI::App* duties_command = app.add_subcommand(
-      "duties", "Prints who holds the singleton roles and what is open; changes nothing");
-  files(serve_command);
-  files(duties_command);
-  files(check_command);
+  add_command("serve", "Runs this controller until it is killed", Arguments::Command::serve);
+  add_command("check-config", "Checks the settings and says what is wrong with them",
+              Arguments::Command::check_config);
+  add_command("duties", "Prints who holds the singleton roles and what is open; changes nothing",
+              Arguments::Command::duties);
   try {
     app.parse(argc, argv);
-  } catch (const CLI::Success& e) {
-    return app.exit(e);
-  } catch (const CLI::ParseError& e) {
-    std::cerr << "dunlinknot: " << e.what() << " (see dunlinknot --help)\n";
-    return 2;
+  } catch (const CLI::Success& help_or_version) {
+    return ExitStatus{app.exit(help_or_version)};
+  } catch (const CLI::ParseError& error) {
+    std::cerr << "dunlinknot: " << error.what() << " (see dunlinknot --help)\n";
+    return ExitStatus{kUsageError};
   }
-  const settings::Platform platform = settings::load_platform(config);
+  return arguments;
+}
+
+// Carries the command line out; returns the exit status.
+int run(int argc, char** argv) {
+  const std::variant<Arguments, ExitStatus> parsed = parse(argc, argv);
+  if (const auto* status = std::get_if<ExitStatus>(&parsed)) return status->value;
+  const auto& arguments = std::get<Arguments>(parsed);
+  const settings::Platform platform = settings::load_platform(arguments.platform_file);
   const settings::Operator operator_settings =
-      operator_file.empty() ? settings::Operator{} : settings::load_operator(operator_file);
-  if (check_command->parsed()) {
+      arguments.operator_file.empty() ? settings::Operator{}
+                                      : settings::load_operator(arguments.operator_file);
+  if (arguments.command == Arguments::Command::check_config) {
     std::cout << "the settings are fine\n";
-    return 0;
+    return kOk;
   }
-  if (const int bad = set_up_log()) return bad;
-  if (duties_command->parsed()) return print_roles(platform);
+  if (!set_up_log()) return kUsageError;
+  if (arguments.command == Arguments::Command::duties) return print_roles(platform);
   return serve(platform, operator_settings);
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  std::signal(SIGPIPE, SIG_IGN);
+  std::signal(SIGPIPE, SIG_IGN);  // a peer that closes its connection is an error of that write
   try {
     return run(argc, argv);
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "dunlinknot: %s\n", e.what());
-    return 1;
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "dunlinknot: %s\n", error.what());
+    return kFailed;
   }
 }
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,3 +1,4 @@
+// The parser of HTTP messages: split input, chunks, hostile input, limits.
 #include <gtest/gtest.h>
 
 #include "dunlinknot/http/message.hpp"
@@ -7,8 +8,8 @@
 
 using Result = Parser::Result;
 
-Parser requests(Limits l = {}) {
-  return Parser(Parser::Kind::request, l);
+Parser requests(Limits limits = {}) {
+  return Parser(Parser::Kind::request, limits);
 }
 
 TEST(HttpParser, ReadsAMessageHoweverItIsSplit) {
@@ -16,15 +17,15 @@
       "POST /v1/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello"
       "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n";
   for (size_t step = 1; step <= text.size(); ++step) {
-    Parser p = requests();
+    Parser parser = requests();
     std::vector<Message> got;
     for (size_t at = 0; at < text.size(); at += step) {
-      Result r = p.feed(std::string_view(text).substr(at, step));
-      while (r == Result::complete) {
-        got.push_back(p.take());
-        r = p.resume();
+      Result result = parser.feed(std::string_view(text).substr(at, step));
+      while (result == Result::complete) {
+        got.push_back(parser.take());
+        result = parser.resume();
       }
-      ASSERT_NE(r, Result::failed);
+      ASSERT_NE(result, Result::failed);
     }
     ASSERT_EQ(got.size(), 2u) << "step " << step;
     EXPECT_EQ(got[0].body, "hello");
@@ -32,17 +33,17 @@
     EXPECT_TRUE(got[0].keep_alive);
     EXPECT_EQ(got[1].method, "GET");
     EXPECT_FALSE(got[1].keep_alive);
-    EXPECT_TRUE(p.idle());
+    EXPECT_TRUE(parser.idle());
   }
 }
 
 TEST(HttpParser, ReadsChunkedBodies) {
-  Parser p(Parser::Kind::response, {});
-  const Result r = p.feed(
+  Parser parser(Parser::Kind::response, {});
+  const Result result = parser.feed(
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
       "3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nTrailer: 1\r\n\r\n");
-  ASSERT_EQ(r, Result::complete);
-  EXPECT_EQ(p.take().body, "abcde");
+  ASSERT_EQ(result, Result::complete);
+  EXPECT_EQ(parser.take().body, "abcde");
 }
 
 struct Hostile {
@@ -52,9 +53,9 @@
 class HttpHostile : public testing::TestWithParam<Hostile> {};
 
 TEST_P(HttpHostile, IsRefused) {
-  Parser p = requests(Limits{256, 64});
-  ASSERT_EQ(p.feed(GetParam().text), Result::failed) << GetParam().text;
-  EXPECT_EQ(p.error_status(), GetParam().status);
+  Parser parser = requests(Limits{256, 64});
+  ASSERT_EQ(parser.feed(GetParam().text), Result::failed) << GetParam().text;
+  EXPECT_EQ(parser.error_status(), GetParam().status);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -78,14 +79,14 @@
 
 TEST(HttpParser, HoldsNoMoreThanItsLimits) {
   // A peer that never ends a line or a chunk is cut off, however slowly it sends.
-  Parser p = requests(Limits{256, 64});
-  Result r = Result::need_more;
+  Parser parser = requests(Limits{256, 64});
+  Result result = Result::need_more;
   size_t sent = 0;
-  while (r == Result::need_more && sent < 10'000) {
-    r = p.feed("a");
+  while (result == Result::need_more && sent < 10'000) {
+    result = parser.feed("a");
     ++sent;
   }
-  EXPECT_EQ(r, Result::failed);
+  EXPECT_EQ(result, Result::failed);
   EXPECT_LE(sent, 300u);
 }
 
--- a/tests/runtime_test.cpp
+++ b/tests/runtime_test.cpp
@@ -1,3 +1,4 @@
+// The token bucket, and sockets that outlive the event loop's coroutines.
 #include <gtest/gtest.h>
 #include <netinet/in.h>
 
@@ -8,14 +9,14 @@
 namespace {
 
 TEST(TokenBucket, WhoeverWaitsAsLongAsItSaysGetsItsShare) {
-  // Found by the drawn meetings: what was missing refilled in less than a nanosecond, so the wait
-  // was none at all, and the caller span.
-  TokenBucket b(3.6, 4);
+  // Found by the random concurrent faults: what was missing refilled in less than a nanosecond, so
+  // the wait was zero and the caller did not stop asking.
+  TokenBucket bucket(3.6, 4);
   Instant now{std::chrono::seconds(1)};
   for (int i = 0; i < 1000; ++i) {
     int waits = 0;
-    while (!b.take(now)) {
-      const Nanos wait = b.until(now);
+    while (!bucket.take(now)) {
+      const Nanos wait = bucket.until(now);
       ASSERT_GE(wait, Millis(1));
       now += wait;
       ASSERT_LT(++waits, 3);
--- a/tests/scenario_api_test.cpp
+++ b/tests/scenario_api_test.cpp
@@ -112,10 +112,10 @@
 TEST(Api, ALateCopyOfASubmissionDoesNotBringAFinishedJobBack) {
   Site site;
   site.run_for(seconds(2));
-  int n = 0;
+  int commits = 0;
   site.store.late_by = seconds(60);
   site.store.fate = [&](const http::Call& call) {
-    return is_commit_of(call, "run-000001") && n++ == 0 ? Fate::apply_late : Fate::normal;
+    return is_commit_of(call, "run-000001") && commits++ == 0 ? Fate::apply_late : Fate::normal;
   };
   site.submit(job("run-000001"));
   site.run_for(seconds(40));
@@ -127,26 +127,27 @@
 }
 
 TEST(Api, MoreThanCanBeDoneIsRefusedAtOnceAndPollsGoOn) {
-  Site s;
-  s.op.max_submissions = 2;
-  s.restart(0);
-  s.run_for(seconds(2));
-  s.submit(job("run-000001"));
+  Site site;
+  site.op.max_submissions = 2;
+  site.restart(0);
+  site.run_for(seconds(2));
+  site.submit(job("run-000001"));
   std::vector<int> statuses;
-  const auto one = [](Site& site, std::string id, std::vector<int>& out) -> Task<void> {
+  const auto one = [](Site& target, std::string id, std::vector<int>& out) -> Task<void> {
     wire::Writer writer;
     wire::write_job(writer, job(id));
     http::Request request;
     request.method = "POST";
     request.target = "/v1/jobs";
     request.body = writer.take();
-    const http::Response response = co_await site.handle(0, std::move(request));
+    const http::Response response = co_await target.handle(0, std::move(request));
     out.push_back(response.status);
   };
-  for (int i = 10; i < 16; ++i) s.loop.spawn(one(s, "run-0000" + std::to_string(i), statuses));
+  for (int i = 10; i < 16; ++i)
+    site.loop.spawn(one(site, "run-0000" + std::to_string(i), statuses));
   EXPECT_EQ(std::count(statuses.begin(), statuses.end(), 503), 4) << "before any time has passed";
-  EXPECT_EQ(s.standing("run-000001"), "queued");
-  s.run_for(seconds(1));
+  EXPECT_EQ(site.standing("run-000001"), "queued");
+  site.run_for(seconds(1));
   EXPECT_EQ(std::count(statuses.begin(), statuses.end(), 201), 2);
 }
 
@@ -157,12 +158,12 @@
   JobSpec big = job("run-000001", 100'000);
   ASSERT_EQ(site.submit(big).status, 201);
   site.run_for(seconds(1));
-  auto& d = site.daemon(0).context();
+  auto& context = site.daemon(0).context();
   // All but one task are done, over all chunks.
-  d.leader_state.with([&](cluster::LeaderState& leader) {
+  context.leader_state.with([&](cluster::LeaderState& leader) {
     for (uint32_t i = 0; i + 1 < 100'000; ++i) leader.cluster.job("run-000001")->mark_done(i);
   });
-  d.store_done.notify();
+  context.store_done.notify();
   site.run_for(seconds(3));
   EXPECT_TRUE(site.store.data.contains("done/run-000001/12"));
   EXPECT_LE(site.store.max_value, 8u * 1024);
@@ -176,7 +177,7 @@
   site.daemon(0).context().store_done.notify();
   site.run_for(seconds(12));
   EXPECT_EQ(site.standing("run-000001"), "done");
-  for (const auto& [key, e] : site.store.data) EXPECT_FALSE(key.starts_with("done/")) << key;
+  for (const auto& [key, value] : site.store.data) EXPECT_FALSE(key.starts_with("done/")) << key;
 }
 
 TEST(Jobs, ACancellationBeatsAnAllocationThatIsUnderWay) {
@@ -208,7 +209,7 @@
   site.submit(spec);
   site.run_for(Millis(2500));
   for (int i = 0; i < 1000; ++i) {  // on machines that come later too
-    for (auto& [id, w] : site.workers) w->fails = [](const TaskRef&) { return true; };
+    for (auto& [id, worker] : site.workers) worker->fails = [](const TaskRef&) { return true; };
     site.run_for(Millis(100));
   }
   EXPECT_LT(site.starts, 60u);
@@ -241,19 +242,19 @@
   site.submit(job("run-000001", 4));
   site.run_for(seconds(6));
   for (int round = 0; round < 4; ++round) {
-    const auto n = static_cast<size_t>(round % 3);
+    const auto node = static_cast<size_t>(round % 3);
     site.store.outage = true;
     site.cloud.trouble = true;
-    site.nodes[n]->cut_from_store = true;
+    site.nodes[node]->cut_from_store = true;
     site.run_for(seconds(round % 2 ? 3 : 25));
-    site.restart((n + 1) % 3);
+    site.restart((node + 1) % 3);
     site.store.end_outage();
     site.run_for(Millis(400));
     site.store.outage = true;
     site.run_for(seconds(5));
     site.store.end_outage();
     site.cloud.trouble = false;
-    site.nodes[n]->cut_from_store = false;
+    site.nodes[node]->cut_from_store = false;
     site.run_for(seconds(15));
     for (size_t i = 0; i < 3; ++i) {
       EXPECT_EQ(site.ask(i, "GET", "/ready").status, 200) << "node " << i << ", round " << round;
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,3 +1,4 @@
+// The two settings files: what is read, and how faults in them are named.
 #include "dunlinknot/settings/settings.hpp"
 
 #include <gtest/gtest.h>
@@ -15,9 +16,9 @@
 class File {
  public:
   explicit File(const std::string& text) {
-    static int n = 0;
-    path_ =
-        testing::TempDir() + "dunlinknot-" + std::to_string(::getpid()) + "-" + std::to_string(n++);
+    static int count = 0;
+    path_ = testing::TempDir() + "dunlinknot-" + std::to_string(::getpid()) + "-" +
+            std::to_string(count++);
     std::ofstream(path_) << text;
   }
   ~File() { std::remove(path_.c_str()); }
@@ -71,18 +72,18 @@
   const auto at = text.find(from);
   EXPECT_NE(at, std::string::npos) << from;
   text.replace(at, from.size(), to);
-  const File f(text);
+  const File file(text);
   try {
-    (void)load_platform(f.path());
-  } catch (const Error& e) {
-    return std::string(e.what()).substr(f.path().size());
+    (void)load_platform(file.path());
+  } catch (const Error& error) {
+    return std::string(error.what()).substr(file.path().size());
   }
   return "";
 }
 
 TEST(PlatformFile, IsReadAndUnknownFieldsAreIgnored) {
-  const File f(kGood);
-  const Platform platform = load_platform(f.path());
+  const File file(kGood);
+  const Platform platform = load_platform(file.path());
   EXPECT_EQ(platform.peers.size(), 1u);
   EXPECT_EQ(platform.lease, Seconds(14));
   EXPECT_EQ(platform.teams[0].cpus_max, 16);
@@ -97,8 +98,8 @@
     text.insert(text.find(at), "[params.state.next]\n" + next);
     return text;
   };
-  const File f(with("value_kb = 2.0\ntxn_ops = 5\nlater = 1\n"));
-  const Platform platform = load_platform(f.path());
+  const File file(with("value_kb = 2.0\ntxn_ops = 5\nlater = 1\n"));
+  const Platform platform = load_platform(file.path());
   ASSERT_TRUE(platform.next_store_limits);
   EXPECT_EQ(platform.next_store_limits->value_bytes, 2048u);
   EXPECT_EQ(platform.next_store_limits->txn_ops, 5u);
@@ -129,11 +130,11 @@
 }
 
 std::string operator_problem(const std::string& text) {
-  const File f(text);
+  const File file(text);
   try {
-    (void)load_operator(f.path());
-  } catch (const Error& e) {
-    return std::string(e.what()).substr(f.path().size());
+    (void)load_operator(file.path());
+  } catch (const Error& error) {
+    return std::string(error.what()).substr(file.path().size());
   }
   return "";
 }
@@ -155,10 +156,10 @@
 }
 
 TEST(OperatorFile, IsReadAndEveryValueChecked) {
-  const File f(
+  const File file(
       "<dunlinknot>\n<fleet>\n<idle-return unit=\"s\">12.5</idle-return>\n</fleet>\n"
       "<!-- a note --><api><max-polls>9</max-polls></api></dunlinknot>\n");
-  const Operator operator_settings = load_operator(f.path());
+  const Operator operator_settings = load_operator(file.path());
   EXPECT_EQ(operator_settings.idle_return, Seconds(12.5));
   EXPECT_EQ(operator_settings.max_polls, 9u);
   EXPECT_EQ(operator_problem("<dunlinknot>\n<fleet>\n<idle>3</idle></fleet></dunlinknot>"),
@@ -182,8 +183,8 @@
     return "<dunlinknot>\n<duties><on>" + on + "</on><ttl>" + ttl + "</ttl><renew-every>" + renew +
            "</renew-every></duties></dunlinknot>";
   };
-  const File f(roles("1", "3", "1"));
-  const Operator operator_settings = load_operator(f.path());
+  const File file(roles("1", "3", "1"));
+  const Operator operator_settings = load_operator(file.path());
   EXPECT_TRUE(operator_settings.roles);
   EXPECT_EQ(operator_settings.roles_ttl, Seconds(3));
   EXPECT_EQ(operator_problem(roles("1", "2.9", "1")),
