--- /dev/null
+++ b/src/dunlinknot/autoscaler/machine_inventory.cpp
@@ -0,0 +1,103 @@
+// Reading of the cloud's machine list and catalogue.
+#include "dunlinknot/autoscaler/machine_inventory.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+namespace dunlinknot::autoscaler {
+
+namespace {
+
+using cluster::LeaderState;
+using cluster::Machine;
+
+constexpr auto kListEvery = std::chrono::seconds(3);
+constexpr auto kCatalogEvery = std::chrono::seconds(45);
+// Of the cloud's requests, for listing many machines: the rest is for launches and terminations.
+constexpr double kListShare = 0.5;
+
+}  // namespace
+
+MachineInventory::MachineInventory(cluster::LeaderContext& context, cloud::Client& cloud,
+                                   ScaleOut& scale_out, ScaleIn& scale_in)
+    : context_(context), cloud_(cloud), scale_out_(scale_out), scale_in_(scale_in) {}
+
+Task<void> MachineInventory::watch(uint64_t term) {
+  Instant next_catalog = context_.loop.now() + kCatalogEvery;
+  while (context_.in_term(term)) {
+    const Instant began = context_.loop.now();
+    const size_t pages = co_await read_list(term);
+    if (!context_.in_term(term)) co_return;
+    if (context_.loop.now() >= next_catalog) {
+      next_catalog = context_.loop.now() + kCatalogEvery;
+      co_await read_catalog(term);
+      if (!context_.in_term(term)) co_return;
+    }
+    const Seconds paced(static_cast<double>(pages) / (context_.platform.cloud_rps * kListShare));
+    co_await context_.loop.sleep_until(
+        std::max(context_.loop.now() + kListEvery, began + to_nanos(paced)));
+  }
+}
+
+// Applies page after page; returns how many there were, up to the first that cannot be read.
+Task<size_t> MachineInventory::read_list(uint64_t term) {
+  size_t pages = 0;
+  std::string after;
+  for (;;) {
+    const std::optional<MachineList> list = co_await cloud_.list(after);
+    if (!context_.in_term(term) || !list) co_return pages;
+    ++pages;
+    apply(list->machines, context_.loop.now());
+    if (!list->more || list->machines.empty()) {
+      scale_out_.list_was_read();
+      co_return pages;
+    }
+    after = list->machines.back().id;
+  }
+}
+
+Task<void> MachineInventory::read_catalog(uint64_t term) {
+  auto types = co_await cloud_.catalog();
+  if (!context_.in_term(term) || !types) co_return;
+  context_.leader_state.with(
+      [&](LeaderState& leader) { leader.cluster.set_catalog(std::move(*types)); });
+}
+
+void MachineInventory::apply(const std::vector<ListedMachine>& machines, Instant now) {
+  bool changed = false;
+  std::vector<std::string> failed;
+  context_.leader_state.with([&](LeaderState& leader) {
+    for (const ListedMachine& listed : machines) {
+      if (leader.cluster.was_removed(listed.id)) continue;  // the list lags
+      const Applied applied = apply(leader.cluster, listed, now);
+      changed |= applied.found || applied.failed;
+      if (applied.failed) failed.push_back(listed.id);
+    }
+  });
+  for (const std::string& id : failed) scale_in_.decide({id, TerminationReason::failed, ""});
+  if (changed) context_.schedule.notify();
+}
+
+MachineInventory::Applied MachineInventory::apply(cluster::Cluster& cluster,
+                                                  const ListedMachine& listed, Instant now) {
+  Applied applied;
+  applied.found = cluster.find_machine(listed.id) == nullptr;
+  Machine& machine =
+      cluster.register_machine(listed.id, listed.type, listed.zone, listed.spot, now);
+  if (applied.found) {
+    // Not launched under this term, or by a request whose answer was lost: used like any other.
+    machine.known_since = now - to_nanos(listed.age);
+    spdlog::info("machine {} ({} in {}) found in the list", listed.id, listed.type, listed.zone);
+  }
+  machine.listed = true;
+  machine.listed_running |= listed.state == MachineState::running;
+  if (machine.address.empty()) machine.address = listed.address;
+  if (listed.state == MachineState::failed && !machine.listed_failed) {
+    machine.listed_failed = true;
+    applied.failed = true;
+  }
+  return applied;
+}
+
+}  // namespace dunlinknot::autoscaler
--- a/src/dunlinknot/autoscaler/scale_in.cpp
+++ b/src/dunlinknot/autoscaler/scale_in.cpp
@@ -1,3 +1,4 @@
+// Terminations: decided, recorded, sent, answered.
 #include "dunlinknot/autoscaler/scale_in.hpp"
 
 #include <spdlog/spdlog.h>
@@ -14,8 +15,8 @@
 using http::Outcome;
 using roles::Role;
 
-constexpr auto kRepeat = Millis(1500);
-constexpr size_t kMaxDeletion = 100;  // the cloud takes no more in one call
+constexpr auto kRepeatPause = Millis(1500);  // before a request without an answer is repeated
+constexpr size_t kMaxBatch = 100;            // machines, the cloud's limit for one request
 
 }  // namespace
 
@@ -27,7 +28,7 @@
   unrecorded_.clear();
   ready_.clear();
   resumed_.clear();
-  removing_ = false;
+  sending_ = false;
 }
 
 void ScaleIn::resume(const roles::OpenIntents& open) {
@@ -36,8 +37,7 @@
       leader.cluster.mark_terminating(intent.machine);
       resumed_.insert(intent.machine);
     }
-    // What stands in an unreadable intent is not known, only which machine it is about: it gets no
-    // work, and it is not deleted.
+    // Of an unreadable intent only the machine is known: it gets no work and is not terminated.
     for (const roles::UnreadableIntent& intent : open.unreadable) {
       const std::string_view machine = roles::scale_in_name(intent.key);
       if (!machine.empty()) leader.cluster.mark_terminating(std::string(machine));
@@ -45,19 +45,19 @@
   });
 }
 
-void ScaleIn::decide(const std::string& machine, std::string_view why) {
+void ScaleIn::decide(const Termination& termination) {
   const bool first = context_.leader_state.with([&](LeaderState& leader) {
-    Machine* this_machine = leader.cluster.find_machine(machine);
-    if (!this_machine || this_machine->terminating) return false;
-    this_machine->terminating = true;
+    Machine* machine = leader.cluster.find_machine(termination.machine);
+    if (!machine || machine->terminating) return false;
+    machine->terminating = true;
     return true;
   });
   if (!first) return;
-  spdlog::info("scaling in: terminating machine {}: {}", machine, why);
+  spdlog::info("scaling in: terminating machine {}: {}", termination.machine, text(termination));
   if (roles_) {
-    unrecorded_.push_back({machine, std::string(why)});
+    unrecorded_.push_back(termination);
   } else {
-    ready_.push_back(machine);
+    ready_.push_back(termination.machine);
   }
   context_.scaling.notify();
 }
@@ -66,15 +66,15 @@
   if (resumed_.empty()) return;
   std::vector<std::string> ready;
   context_.leader_state.with([&](LeaderState& leader) {
-    for (const std::string& machine : resumed_) {
-      const Machine* this_machine = leader.cluster.find_machine(machine);
-      if (!this_machine || this_machine->allocations.empty()) ready.push_back(machine);
+    for (const std::string& id : resumed_) {
+      const Machine* machine = leader.cluster.find_machine(id);
+      if (!machine || machine->allocations.empty()) ready.push_back(id);
     }
   });
-  for (const std::string& machine : ready) {
-    spdlog::info("scaling in: terminating machine {}: decided by a former holder", machine);
-    resumed_.erase(machine);
-    ready_.push_back(machine);
+  for (const std::string& id : ready) {
+    spdlog::info("scaling in: terminating machine {}: decided by a former holder", id);
+    resumed_.erase(id);
+    ready_.push_back(id);
   }
   if (!ready.empty()) context_.scaling.notify();
 }
@@ -82,9 +82,9 @@
 Task<void> ScaleIn::record(uint64_t term) {
   if (!roles_ || unrecorded_.empty()) co_return;
   std::vector<roles::ScaleInIntent> intents;
-  for (const Decision& decision : unrecorded_) {
+  for (const Termination& decided : unrecorded_) {
     if (intents.size() >= roles_->intents.max_batch()) break;
-    intents.push_back({decision.machine, decision.why, 0});
+    intents.push_back({decided.machine, std::string(text(decided)), 0});
   }
   const bool durable = co_await roles_->intents.record_scale_in(term, intents);
   if (!context_.in_term(term) || !durable) co_return;
@@ -96,33 +96,33 @@
 }
 
 void ScaleIn::send(uint64_t term) {
-  if (removing_ || ready_.empty()) return;
+  if (sending_ || ready_.empty()) return;
   if (roles_ && !roles_->holder.may_act(Role::scale_in)) return;
-  const size_t count = std::min(ready_.size(), kMaxDeletion);
+  const size_t count = std::min(ready_.size(), kMaxBatch);
   const auto end = ready_.begin() + static_cast<ptrdiff_t>(count);
   std::vector<std::string> batch(std::make_move_iterator(ready_.begin()),
                                  std::make_move_iterator(end));
   ready_.erase(ready_.begin(), end);
-  removing_ = true;
-  context_.loop.spawn(remove(term, std::move(batch)));
+  sending_ = true;
+  context_.loop.spawn(terminate(term, std::move(batch)));
 }
 
-Task<void> ScaleIn::remove(uint64_t term, std::vector<std::string> machines) {
-  const Outcome outcome = co_await cloud_.remove(machines);
+Task<void> ScaleIn::terminate(uint64_t term, std::vector<std::string> machines) {
+  const Outcome outcome = co_await cloud_.terminate(machines);
   if (!context_.in_term(term)) co_return;
-  removing_ = false;
+  sending_ = false;
   if (outcome == Outcome::ok) {
-    removed(machines);
+    apply_terminated(machines);
   } else {
     ready_.insert(ready_.end(), machines.begin(), machines.end());
-    co_await context_.loop.sleep(kRepeat);
+    co_await context_.loop.sleep(kRepeatPause);
     if (!context_.in_term(term)) co_return;
   }
   context_.scaling.notify();
 }
 
-// By the time of the cloud's answer the machines and everything on them are gone.
-void ScaleIn::removed(const std::vector<std::string>& machines) {
+// When the cloud has answered, nothing runs on the machines any more.
+void ScaleIn::apply_terminated(const std::vector<std::string>& machines) {
   Effects effects;
   context_.leader_state.with([&](LeaderState& leader) {
     for (const auto& id : machines) {
--- a/src/dunlinknot/autoscaler/scale_out.cpp
+++ b/src/dunlinknot/autoscaler/scale_out.cpp
@@ -1,3 +1,4 @@
+// The life of a launch request: ordered, recorded, sent, answered, settled.
 #include "dunlinknot/autoscaler/scale_out.hpp"
 
 #include <spdlog/spdlog.h>
@@ -10,17 +11,16 @@
 
 namespace {
 
+using cloud::LaunchOutcome;
 using cluster::LeaderState;
 using cluster::Machine;
-using http::Outcome;
 using roles::Role;
 
-constexpr auto kRepeat = Millis(1500);
-constexpr uint32_t kMaxLaunches = 24;
-constexpr uint32_t kMaxCount = 50;  // machines, the cloud's limit for one request
-constexpr size_t kMaxInFlight = 4;
-constexpr int kMostPause = 8;         // times the first
-constexpr double kListLagSpread = 2;  // the list lags by up to so many times its usual lag
+constexpr auto kRepeatPause = Millis(1500);  // before a request without an answer is repeated
+constexpr uint32_t kMaxLaunches = 24;        // unanswered requests
+constexpr uint32_t kMaxCount = 50;           // machines, the cloud's limit for one request
+constexpr size_t kMaxInFlight = 4;           // requests being sent
+constexpr double kListLagSpread = 2;         // the list lags by up to so many times its usual lag
 
 std::string_view kind(const scheduler::Offer& offer) {
   return offer.spot ? "spot" : "ordinary";
@@ -36,7 +36,7 @@
   counter_ = 0;
   launches_.clear();
   in_flight_.clear();
-  refusals_.clear();
+  backoff_.clear();
   unseen_.clear();
   list_read_ = false;
 }
@@ -61,22 +61,13 @@
   for (const Launch& launch : launches_) {
     if (!launch.parked) capacity.pending.emplace_back(launch.offer, launch.count);
   }
-  for (const auto& [offer, refusal] : refusals_) {
-    if (refusal.until > now) capacity.refused.insert(offer);
-  }
+  capacity.refused = backoff_.paused(now);
   return capacity;
 }
 
-// Each refusal in a row doubles the pause: what the cloud does not have it will mostly not have in
-// a moment either, and while the cheapest offers were asked for over and over, dearer ones that
-// were there to be had were never reached. A machine of ours that goes makes room: then the pause
-// ends.
-void ScaleOut::refused(const scheduler::Offer& offer, Instant now) {
-  Refusal& refusal = refusals_[offer];
-  const Nanos first = to_nanos(context_.op.refusal_pause);
-  refusal.pause =
-      refusal.pause == Nanos(0) ? first : std::min(refusal.pause * 2, first * kMostPause);
-  refusal.until = now + refusal.pause;
+// Also withdraws requests for the offer that were certainly not sent yet.
+void ScaleOut::back_off(const scheduler::Offer& offer, Instant now) {
+  backoff_.refused(offer, to_nanos(context_.op.refusal_pause), now);
   std::erase_if(launches_, [&](const Launch& launch) {
     const bool unsent = launch.tries == 0 && !in_flight_.contains(launch.request);
     if (launch.offer != offer || !unsent || launch.doubtful) return false;
@@ -85,6 +76,7 @@
   });
 }
 
+// Unique across controllers and terms: the epoch is one term's, the fencing token one holding's.
 std::string ScaleOut::next_name() {
   const std::string number = std::to_string(++counter_);
   if (!roles_) return "h-" + std::to_string(context_.epoch) + "-" + number;
@@ -98,7 +90,7 @@
         launches_, [&](const Launch& launch) { return launch.offer == request.offer; });
     if (same) {
       same->parked = false;
-      continue;  // one question at a time for each offer
+      continue;  // one request at a time for each offer
     }
     if (launches_.size() >= kMaxLaunches) continue;  // the next cycle asks again
     if (roles_ && !roles_->holder.may_act(Role::scale_out)) return;
@@ -141,28 +133,33 @@
   for (const Launch& launch : launches_) {
     if (in_flight_.size() >= kMaxInFlight) break;
     if (!may_send(launch)) continue;
+    // While the cloud does not answer, repeated requests are sent one at a time.
     if (launch.tries > 0 && !in_flight_.empty() && !cloud_.answering()) break;
     if (in_flight_.insert(launch.request).second) context_.loop.spawn(send_launch(term, launch));
   }
 }
 
 Task<void> ScaleOut::send_launch(uint64_t term, Launch launch) {
-  const cloud::LaunchResult result = co_await cloud_.launch(
-      launch.request, launch.offer.type, launch.offer.zone, launch.offer.spot, launch.count);
+  cloud::LaunchRequest request{launch.request, launch.offer.type, launch.offer.zone,
+                               launch.offer.spot, launch.count};
+  const cloud::LaunchResult result = co_await cloud_.launch(std::move(request));
   if (!context_.in_term(term)) co_return;
   in_flight_.erase(launch.request);
-  if (result.outcome == Outcome::ok) {
-    apply_launched(launch, result.machines);
-    context_.schedule.notify();
-    co_return;
-  }
-  if (result.no_capacity || (result.outcome == Outcome::refused && cloud_.answering())) {
-    apply_refusal(launch, result.no_capacity);
-    context_.schedule.notify();
-    co_return;
+  switch (result.outcome) {
+    case LaunchOutcome::launched:
+      apply_launched(launch, result.machines);
+      context_.schedule.notify();
+      co_return;
+    case LaunchOutcome::no_capacity:
+    case LaunchOutcome::refused:
+      apply_refusal(launch, result.outcome);
+      context_.schedule.notify();
+      co_return;
+    case LaunchOutcome::unknown:
+      break;
   }
   apply_unknown_outcome(launch.request);
-  co_await context_.loop.sleep(kRepeat);
+  co_await context_.loop.sleep(kRepeatPause);
   if (context_.in_term(term)) context_.scaling.notify();
 }
 
@@ -173,7 +170,7 @@
   spdlog::info("launched {} of {} for {}", machines.size(), launch.count, launch.request);
   context_.leader_state.with([&](LeaderState& leader) {
     for (const auto& id : machines) {
-      // A repeated answer may name machines that are gone by now.
+      // A repeated answer may name machines that were terminated meanwhile.
       if (leader.cluster.was_removed(id)) continue;
       leader.cluster.register_machine(id, offer.type, offer.zone, offer.spot, now);
     }
@@ -182,13 +179,14 @@
     unseen_[launch.request].insert(machines.begin(), machines.end());
     settle(now);
   }
-  if (!machines.empty()) refusals_.erase(offer);
-  if (machines.size() < launch.count) refused(offer, now);
+  if (!machines.empty()) backoff_.reset(offer);
+  if (machines.size() < launch.count) back_off(offer, now);
 }
 
 // The request was certainly not carried out; the scheduler may ask for something else. If an
-// earlier copy of it may still be under way, its name stays open, for the next need of that kind.
-void ScaleOut::apply_refusal(const Launch& launch, bool no_capacity) {
+// earlier copy of it may still be under way, its name stays open and is used again when machines of
+// that kind are needed.
+void ScaleOut::apply_refusal(const Launch& launch, LaunchOutcome outcome) {
   Launch* current = find(launch.request);
   if (roles_ && current && current->doubtful) {
     current->parked = true;
@@ -196,13 +194,13 @@
     forget(launch.request);
     if (roles_) roles_->intents.end_scale_out(launch.request);
   }
-  if (!no_capacity) return;
-  refused(launch.offer, context_.loop.now());
+  if (outcome != LaunchOutcome::no_capacity) return;
+  back_off(launch.offer, context_.loop.now());
   spdlog::info("no capacity for {} {} in {}", kind(launch.offer), launch.offer.type,
                launch.offer.zone);
 }
 
-// Trouble, or no answer: the same request again, under its own name only.
+// A server error, or no answer: the same request is sent again, only ever under its own name.
 void ScaleOut::apply_unknown_outcome(const std::string& request) {
   Launch* launch = find(request);
   if (!launch) return;
@@ -213,6 +211,7 @@
 void ScaleOut::settle(Instant now) {
   const Nanos lag = to_nanos(context_.platform.list_lag * kListLagSpread);
   context_.leader_state.with([&](LeaderState& leader) {
+    // A successor learns of the machine from its heartbeats or from the list, or needs not to.
     const auto seen = [&](const std::string& id) {
       if (leader.cluster.was_removed(id)) return true;
       const Machine* machine = leader.cluster.find_machine(id);
@@ -228,7 +227,8 @@
 }
 
 ScaleOut::Launch* ScaleOut::find(const std::string& request) {
-  return cluster::find_where(launches_, [&](const Launch& r) { return r.request == request; });
+  return cluster::find_where(launches_,
+                             [&](const Launch& launch) { return launch.request == request; });
 }
 
 void ScaleOut::forget(const std::string& request) {
--- a/src/dunlinknot/cloud/client.hpp
+++ b/src/dunlinknot/cloud/client.hpp
@@ -1,4 +1,5 @@
-// The cloud: machine types, launching, deleting, listing.
+// The cloud: its catalogue of machine types, its list of launched machines, launches and
+// terminations.
 #pragma once
 #include <optional>
 #include <string>
@@ -12,23 +13,51 @@
 
 using http::Outcome;
 
+// A request for machines of one kind in one zone.
+struct LaunchRequest {
+  // Makes the request idempotent: a name that was answered with machines gets the same answer
+  // again, and launches nothing.
+  std::string name;
+  std::string type;
+  std::string zone;
+  bool spot = false;
+  uint32_t count = 0;
+};
+
+// How one copy of a launch request ended. Says nothing of other copies under the same name.
+enum class LaunchOutcome : uint8_t {
+  launched,     // `machines` were launched, perhaps fewer than asked for
+  no_capacity,  // certainly not carried out: the cloud has no machine of that kind
+  refused,      // certainly not carried out: throttled, or not a valid request
+  unknown,      // may have been carried out, or may yet be; or the cloud fails
+};
+
+// The answer to a launch request, or that there was none.
 struct LaunchResult {
-  Outcome outcome = Outcome::unknown;
-  bool no_capacity = false;
-  std::vector<std::string> machines;
+  LaunchOutcome outcome = LaunchOutcome::unknown;
+  std::vector<std::string> machines;  // ids
 };
 
+// Typed calls, each with a deadline and within the cloud's rate limit: a call that would exceed it
+// waits. Never retries. On the controller's event loop; called by the autoscaler, and for the
+// catalogue by the daemon.
 class Client {
  public:
-  Client(EventLoop& loop, http::Transport& transport, http::Endpoint at, double rps);
+  // `requests_per_second`: the cloud's limit, of which a tenth is left unused.
+  Client(EventLoop& loop, http::Transport& transport, http::Endpoint at,
+         double requests_per_second);
 
+  // Nothing when it cannot be read.
   Task<std::optional<std::vector<MachineType>>> catalog();
-  Task<LaunchResult> launch(std::string request, std::string type, std::string zone, bool spot,
-                            uint32_t count);
-  Task<Outcome> remove(std::vector<std::string> machines);
+  Task<LaunchResult> launch(LaunchRequest request);
+  // Terminates machines. With `ok` nothing runs on any of them any more, also if some were not
+  // known to the cloud; any other outcome: to be repeated.
+  Task<Outcome> terminate(std::vector<std::string> machines);
+  // One page of the list of machines, from the first one after `after`; nothing when it cannot be
+  // read. The list lags behind launches and terminations.
   Task<std::optional<MachineList>> list(std::string after);
-  // When the cloud may next be asked, and whether it answered the last time.
-  Nanos until_free() { return rate_limit_.until(loop_.now()); }
+
+  // Whether the cloud served its last request, were it only by a refusal.
   bool answering() const { return answering_; }
 
  private:
--- /dev/null
+++ b/tests/autoscaler_test.cpp
@@ -0,0 +1,169 @@
+// The autoscaler's decisions on their own: which machines are terminated and why, and how long a
+// refused offer is not asked for.
+#include <gtest/gtest.h>
+
+#include "dunlinknot/autoscaler/refusal_backoff.hpp"
+#include "dunlinknot/autoscaler/termination_policy.hpp"
+
+namespace dunlinknot::autoscaler {
+namespace {
+
+using std::chrono::seconds;
+
+const Instant kTermSince{seconds(1000)};
+
+// A machine that is up, empty and heard of at `scan.now`, 100 s into the term; idle for 5 s.
+struct TerminationPolicyTest : testing::Test {
+  TerminationPolicyTest() {
+    platform.heartbeat_interval = Seconds(2);
+    platform.lease = Seconds(30);
+    operator_settings.lost_return = Seconds(20);
+    operator_settings.boot_patience = 4;
+    operator_settings.idle_return = Seconds(10);
+    type.boot = Seconds(10);
+    scan.now = kTermSince + seconds(100);
+    scan.term_since = kTermSince;
+    machine.id = "vm-1";
+    machine.has_heartbeat = true;
+    machine.known_since = kTermSince + seconds(1);
+    machine.last_heartbeat = scan.now;
+    machine.idle_since = scan.now - seconds(5);
+  }
+  std::optional<TerminationReason> reason() const {
+    return TerminationPolicy(platform, operator_settings).reason(machine, &type, scan);
+  }
+  void allocate() { machine.allocations.emplace_back(); }
+
+  settings::Platform platform;
+  settings::Operator operator_settings;
+  MachineType type;
+  TerminationScan scan;
+  cluster::Machine machine;
+};
+
+TEST_F(TerminationPolicyTest, KeepsAMachineThatIsUpAndAllocated) {
+  EXPECT_EQ(reason(), std::nullopt);
+  machine.idle_since = kTermSince;
+  allocate();
+  EXPECT_EQ(reason(), std::nullopt);
+}
+
+TEST_F(TerminationPolicyTest, TerminatesAnIdleMachineUnlessTheSchedulerWantsIt) {
+  machine.idle_since = scan.now - seconds(10);
+  EXPECT_EQ(reason(), std::nullopt) << "not longer than the setting";
+  machine.idle_since -= Nanos(1);
+  EXPECT_EQ(reason(), TerminationReason::idle);
+  scan.tasks_wait = true;
+  EXPECT_EQ(reason(), TerminationReason::idle_unfit);
+  scan.wanted = {"vm-0", "vm-1", "vm-2"};
+  EXPECT_EQ(reason(), std::nullopt);
+}
+
+TEST_F(TerminationPolicyTest, DecidesNothingTwiceAndLeavesUnreachableMachinesToTheCaller) {
+  machine.idle_since = kTermSince;
+  ASSERT_EQ(reason(), TerminationReason::idle);
+  machine.unreachable = true;
+  EXPECT_EQ(reason(), std::nullopt);
+  machine.unreachable = false;
+  machine.terminating = true;
+  EXPECT_EQ(reason(), std::nullopt);
+}
+
+TEST_F(TerminationPolicyTest, WaitsUntilADrainingMachineIsEmpty) {
+  machine.draining = true;
+  machine.drain_reason = "its tasks fail";
+  allocate();
+  EXPECT_EQ(reason(), std::nullopt);
+  machine.allocations.clear();
+  EXPECT_EQ(reason(), TerminationReason::drained);
+  EXPECT_EQ(text(Termination{"vm-1", TerminationReason::drained, "its tasks fail"}),
+            "its tasks fail");
+}
+
+TEST_F(TerminationPolicyTest, TerminatesAnInterruptedMachineOnceItIsEmptyOrSilent) {
+  machine.interruption_at = scan.now + seconds(60);
+  EXPECT_EQ(reason(), TerminationReason::interrupted_empty);
+  allocate();
+  machine.last_heartbeat = scan.now - to_nanos(Seconds(2 * 1.25 + 1));
+  EXPECT_EQ(reason(), std::nullopt) << "its next heartbeat may still be under way";
+  machine.last_heartbeat -= Nanos(1);
+  EXPECT_EQ(reason(), TerminationReason::interrupted_silent);
+}
+
+TEST_F(TerminationPolicyTest, GivesALostMachineUpAfterItsLeaseAndTheGrace) {
+  allocate();
+  machine.lost = true;
+  machine.last_heartbeat = scan.now - seconds(50);
+  EXPECT_EQ(reason(), std::nullopt);
+  machine.last_heartbeat -= Nanos(1);
+  EXPECT_EQ(reason(), TerminationReason::silent);
+}
+
+TEST_F(TerminationPolicyTest, GivesAMachineOfThisTermItsBootTimeAndPatience) {
+  machine.has_heartbeat = false;
+  scan.now = machine.known_since + seconds(10 * 4 + 15);
+  ASSERT_LT(scan.now, kTermSince + seconds(60));
+  EXPECT_EQ(reason(), std::nullopt);
+  scan.now += Nanos(1);
+  EXPECT_EQ(reason(), TerminationReason::never_came_up);
+}
+
+TEST_F(TerminationPolicyTest, GivesMachinesOfEarlierTermsTheTimeOfASilentOne) {
+  machine.has_heartbeat = false;
+  machine.known_since = kTermSince - seconds(500);
+  const Instant due = kTermSince + seconds(30 + 20);
+  for (const bool was_up : {false, true}) {
+    machine.listed_running = was_up;
+    scan.now = due;
+    EXPECT_EQ(reason(), std::nullopt);
+    scan.now = due + Nanos(1);
+    EXPECT_EQ(reason(), was_up ? TerminationReason::silent : TerminationReason::never_came_up);
+  }
+  machine.listed_running = false;
+  allocate();
+  EXPECT_EQ(reason(), TerminationReason::silent) << "something ran there, so it was up";
+}
+
+TEST_F(TerminationPolicyTest, KeepsAMachineOfAnUnknownTypeWithoutHeartbeat) {
+  machine.has_heartbeat = false;
+  machine.known_since = kTermSince - seconds(500);
+  ASSERT_EQ(reason(), TerminationReason::never_came_up);
+  EXPECT_EQ(TerminationPolicy(platform, operator_settings).reason(machine, nullptr, scan),
+            std::nullopt);
+}
+
+// These texts are stored in intents and shown by `dunlinknot duties`.
+TEST(TerminationReason, HasTheTextThatIsStored) {
+  EXPECT_EQ(text(TerminationReason::failed), "it failed");
+  EXPECT_EQ(text(TerminationReason::unreachable), "our responses do not reach it");
+  EXPECT_EQ(text(TerminationReason::never_came_up), "it never came up");
+  EXPECT_EQ(text(TerminationReason::silent), "its worker stays silent");
+  EXPECT_EQ(text(TerminationReason::interrupted_silent), "interrupted and silent");
+  EXPECT_EQ(text(TerminationReason::interrupted_empty), "interrupted and empty");
+  EXPECT_EQ(text(TerminationReason::idle), "idle");
+  EXPECT_EQ(text(TerminationReason::idle_unfit), "idle, and nothing that waits fits");
+}
+
+TEST(RefusalBackoff, DoublesThePauseUpToEightTimesAndStartsAnewAfterAReset) {
+  const scheduler::Offer offer{"box", "a", true};
+  const scheduler::Offer other{"box", "a", false};
+  RefusalBackoff backoff;
+  Instant now = kTermSince;
+  for (const int pause : {15, 30, 60, 120, 120}) {
+    backoff.refused(offer, seconds(15), now);
+    EXPECT_EQ(backoff.paused(now + seconds(pause) - Nanos(1)), std::set{offer});
+    EXPECT_TRUE(backoff.paused(now + seconds(pause)).empty());
+    now += seconds(pause);
+  }
+  backoff.refused(offer, seconds(15), now);
+  backoff.refused(other, seconds(15), now);
+  backoff.reset(offer);
+  EXPECT_EQ(backoff.paused(now), std::set{other});
+  backoff.refused(offer, seconds(15), now);
+  EXPECT_TRUE(backoff.paused(now + seconds(15)).empty()) << "as after a first refusal";
+  backoff.clear();
+  EXPECT_TRUE(backoff.paused(now).empty());
+}
+
+}  // namespace
+}  // namespace dunlinknot::autoscaler
