--- a/tests/role_handover_test.cpp
+++ b/tests/role_handover_test.cpp
@@ -1,6 +1,6 @@
-// Handovers of the singleton roles amid acts: holders that stand still, end, are cut off or
-// refused, and messages that come late, alone and several at once. The history is checked over the
-// whole run.
+// Handovers of the singleton roles while requests are under way: holders that are suspended, crash,
+// are cut off or refused, and messages that arrive late, one fault alone and several at once. The
+// history is checked over the whole run.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -19,6 +19,7 @@
   return call.target == "/rentals" && call.method == "POST";
 }
 
+// Three controllers that acted for a few seconds, and the history of their acts.
 struct Fixture {
   explicit Fixture(bool roles = true) {
     site.op.roles = roles;
@@ -55,155 +56,159 @@
   return site.nodes.size();
 }
 
-// The holder decided to return an idle machine, looked at its lease, and stands still before the
-// deletion is sent. Work comes for which the machine would do. Then the holder goes on.
-void pause_amid_a_termination(Fixture& f) {
-  f.site.submit(job("run-000001"), 0);
-  Site::Node* stopped = f.pause_at(is_deletion);
+// The holder decided to terminate an idle machine, checked its lease, and is suspended before the
+// request is sent. Work is submitted for which the machine would do. Then the holder resumes.
+void pause_amid_a_termination(Fixture& fixture) {
+  fixture.site.submit(job("run-000001"), 0);
+  Site::Node* stopped = fixture.pause_at(is_deletion);
   ASSERT_NE(stopped, nullptr);
-  const size_t other = (index_of(f.site, stopped) + 1) % kControllers;
-  for (auto& [id, worker] : f.site.workers) {
+  const size_t other = (index_of(fixture.site, stopped) + 1) % kControllers;
+  for (auto& [id, worker] : fixture.site.workers) {
     worker->run_time = [](const TaskRef&) { return seconds(30); };
   }
-  f.site.submit(job("run-000002"), other);
-  f.site.run_for(seconds(25));
+  fixture.site.submit(job("run-000002"), other);
+  fixture.site.run_for(seconds(25));
   stopped->paused = false;
-  f.site.run_for(seconds(90));
-  EXPECT_EQ(f.site.standing("run-000002", other), "done");
+  fixture.site.run_for(seconds(90));
+  EXPECT_EQ(fixture.site.standing("run-000002", other), "done");
 }
 
 TEST(RoleHandover, AHolderPausedBeforeItSendsADeletionHarmsNobody) {
-  Fixture f;
-  pause_amid_a_termination(f);
-  f.expect_clean();
-  EXPECT_GE(f.history.counts().fenced_without_effect, 1u) << "it was sent, and changed nothing";
+  Fixture fixture;
+  pause_amid_a_termination(fixture);
+  fixture.expect_clean();
+  EXPECT_GE(fixture.history.counts().fenced_without_effect, 1u)
+      << "it was sent, and changed nothing";
 }
 
-// The same without the intents: the checks have to find what they are for.
+// The same without intents: shows that the checks find such a violation.
 TEST(RoleHandover, TheChecksFindWhatHappensWithoutIntents) {
-  Fixture f(false);
-  pause_amid_a_termination(f);
-  EXPECT_FALSE(f.history.violations().empty());
+  Fixture fixture(false);
+  pause_amid_a_termination(fixture);
+  EXPECT_FALSE(fixture.history.violations().empty());
 }
 
 TEST(RoleHandover, AHolderPausedBeforeItSendsALaunchLaunchesNothingTwice) {
-  Fixture f;
-  f.site.cloud.capacity["box/a/ordinary"] = 5;
-  f.site.submit(job("run-000001"), 0);
-  Site::Node* stopped = f.pause_at(is_launch);
+  Fixture fixture;
+  fixture.site.cloud.capacity["box/a/ordinary"] = 5;
+  fixture.site.submit(job("run-000001"), 0);
+  Site::Node* stopped = fixture.pause_at(is_launch);
   ASSERT_NE(stopped, nullptr);
-  f.site.run_for(seconds(20));
-  EXPECT_EQ(f.site.cloud.machines.size(), 1u);
+  fixture.site.run_for(seconds(20));
+  EXPECT_EQ(fixture.site.cloud.machines.size(), 1u);
   stopped->paused = false;
-  f.site.run_for(seconds(90));
-  EXPECT_EQ(f.site.cloud.machines.size(), 1u) << "the successor went on under the same name";
-  EXPECT_EQ(f.history.machines_held(), 0u);
-  f.expect_clean();
+  fixture.site.run_for(seconds(90));
+  EXPECT_EQ(fixture.site.cloud.machines.size(), 1u) << "the successor went on under the same name";
+  EXPECT_EQ(fixture.history.machines_held(), 0u);
+  fixture.expect_clean();
 }
 
 TEST(RoleHandover, ALaunchThatIsExecutedMinutesLaterIsTheSameLaunch) {
-  Fixture f;
-  f.site.cloud.capacity["box/a/ordinary"] = 5;
-  f.site.cloud.late_by = seconds(120);
+  Fixture fixture;
+  fixture.site.cloud.capacity["box/a/ordinary"] = 5;
+  fixture.site.cloud.late_by = seconds(120);
   bool first = true;
-  f.site.cloud.fate = [&](const http::Call& call) {
+  fixture.site.cloud.fate = [&](const http::Call& call) {
     return is_launch(call) && std::exchange(first, false) ? Fate::apply_late : Fate::normal;
   };
-  f.site.submit(job("run-000001"), 0);
-  f.site.run_for(seconds(2));
+  fixture.site.submit(job("run-000001"), 0);
+  fixture.site.run_for(seconds(2));
   ASSERT_FALSE(first);
-  f.site.restart(*f.site.leader());
-  f.site.run_for(seconds(200));
-  EXPECT_EQ(f.site.cloud.machines.size(), 1u);
-  EXPECT_EQ(f.history.machines_held(), 0u);
-  f.expect_clean();
+  fixture.site.restart(*fixture.site.leader());
+  fixture.site.run_for(seconds(200));
+  EXPECT_EQ(fixture.site.cloud.machines.size(), 1u);
+  EXPECT_EQ(fixture.history.machines_held(), 0u);
+  fixture.expect_clean();
 }
 
-// The cloud has none of a kind when the successor asks, and the former holder's request is carried
-// out long after: its name is still open, and no other was used meanwhile.
+// The cloud has no capacity when the successor asks, and the former holder's request is carried out
+// long after: its name is still open, and no other was used meanwhile.
 TEST(RoleHandover, ANameWithACopyUnderWayStaysOpenWhileTheCloudHasNone) {
-  Fixture f;
-  auto& capacity = f.site.cloud.capacity["box/a/ordinary"];
+  Fixture fixture;
+  auto& capacity = fixture.site.cloud.capacity["box/a/ordinary"];
   capacity = 0;
-  f.site.cloud.late_by = seconds(60);
+  fixture.site.cloud.late_by = seconds(60);
   bool first = true;
-  f.site.cloud.fate = [&](const http::Call& call) {
+  fixture.site.cloud.fate = [&](const http::Call& call) {
     return is_launch(call) && std::exchange(first, false) ? Fate::apply_late : Fate::normal;
   };
   JobSpec spec = job("run-000001");
   spec.types = {"box"};
   spec.zone = "a";
-  f.site.submit(spec, 0);
-  f.site.run_for(seconds(2));
-  f.site.restart(*f.site.leader());
-  f.site.run_for(seconds(30));
-  EXPECT_EQ(f.site.cloud.machines.size(), 0u);
+  fixture.site.submit(spec, 0);
+  fixture.site.run_for(seconds(2));
+  fixture.site.restart(*fixture.site.leader());
+  fixture.site.run_for(seconds(30));
+  EXPECT_EQ(fixture.site.cloud.machines.size(), 0u);
   capacity = 2;
-  f.site.run_for(seconds(120));
-  EXPECT_EQ(f.site.cloud.machines.size(), 1u) << "the late copy repeats the name that was used";
-  EXPECT_EQ(f.site.standing("run-000001", 0), "done");
-  EXPECT_EQ(f.history.machines_held(), 0u);
-  f.expect_clean();
+  fixture.site.run_for(seconds(120));
+  EXPECT_EQ(fixture.site.cloud.machines.size(), 1u)
+      << "the late copy repeats the name that was used";
+  EXPECT_EQ(fixture.site.standing("run-000001", 0), "done");
+  EXPECT_EQ(fixture.history.machines_held(), 0u);
+  fixture.expect_clean();
 }
 
-// The launch was answered, its machine boots and is not in the list yet when the leader ends.
+// The launch was answered; its machine boots and is not in the list yet when the leader restarts.
 TEST(RoleHandover, AMachineThatOnlyItsLauncherKnewIsNotLaunchedAgain) {
-  Fixture f;
-  f.site.cloud.capacity["box/a/ordinary"] = 5;
-  f.site.submit(job("run-000001"), 0);
-  for (int i = 0; i < 300 && f.site.cloud.launches == 0; ++i) f.site.run_for(Millis(10));
-  ASSERT_EQ(f.site.cloud.launches, 1u);
-  f.site.run_for(Millis(200));  // the answer arrives
-  f.site.restart(*f.site.leader());
-  f.site.run_for(seconds(60));
-  EXPECT_EQ(f.site.cloud.machines.size(), 1u);
-  EXPECT_EQ(f.site.standing("run-000001", 0), "done");
-  f.expect_clean();
+  Fixture fixture;
+  fixture.site.cloud.capacity["box/a/ordinary"] = 5;
+  fixture.site.submit(job("run-000001"), 0);
+  for (int i = 0; i < 300 && fixture.site.cloud.launches == 0; ++i)
+    fixture.site.run_for(Millis(10));
+  ASSERT_EQ(fixture.site.cloud.launches, 1u);
+  fixture.site.run_for(Millis(200));  // the answer arrives
+  fixture.site.restart(*fixture.site.leader());
+  fixture.site.run_for(seconds(60));
+  EXPECT_EQ(fixture.site.cloud.machines.size(), 1u);
+  EXPECT_EQ(fixture.site.standing("run-000001", 0), "done");
+  fixture.expect_clean();
 }
 
-// An idle machine that a new leader has not heard yet would do for what waits.
+// A new leader has had no heartbeat yet from an idle machine that would do for what waits.
 TEST(RoleHandover, OwnLaunchesWaitUntilTheMachinesAreKnown) {
-  Fixture f;
-  f.site.op.idle_return = Seconds(600);
-  for (size_t i = 0; i < kControllers; ++i) f.site.restart(i);
-  f.site.cloud.capacity["box/a/ordinary"] = 5;
-  f.site.run_for(seconds(5));
-  f.site.submit(job("run-000001"), 0);
-  f.site.run_for(seconds(40));
-  ASSERT_EQ(f.site.cloud.machines.size(), 1u);
-  const size_t leader = *f.site.leader();
-  f.site.crash(leader);
-  f.site.submit(job("run-000002"), (leader + 1) % kControllers);
-  f.site.run_for(seconds(20));
-  EXPECT_EQ(f.site.cloud.machines.size(), 1u);
-  EXPECT_EQ(f.site.standing("run-000002", (leader + 1) % kControllers), "done");
-  f.expect_clean();
+  Fixture fixture;
+  fixture.site.op.idle_return = Seconds(600);
+  for (size_t i = 0; i < kControllers; ++i) fixture.site.restart(i);
+  fixture.site.cloud.capacity["box/a/ordinary"] = 5;
+  fixture.site.run_for(seconds(5));
+  fixture.site.submit(job("run-000001"), 0);
+  fixture.site.run_for(seconds(40));
+  ASSERT_EQ(fixture.site.cloud.machines.size(), 1u);
+  const size_t leader = *fixture.site.leader();
+  fixture.site.crash(leader);
+  fixture.site.submit(job("run-000002"), (leader + 1) % kControllers);
+  fixture.site.run_for(seconds(20));
+  EXPECT_EQ(fixture.site.cloud.machines.size(), 1u);
+  EXPECT_EQ(fixture.site.standing("run-000002", (leader + 1) % kControllers), "done");
+  fixture.expect_clean();
 }
 
 enum class Fault {
   crash,            // back within a fraction of a second or some seconds
-  crash_all,        // all controllers end amid their acts
-  pause,            // the leader stands still, up to well over its lease
+  crash_all,        // all controllers crash while requests are under way
+  pause,            // the leader is suspended, up to well over its lease
   refused_alone,    // the key-value store refuses the leader, and serves the others
   cut_from_store,   // the leader loses the key-value store
   cut_from_cloud,   // the leader loses the cloud, not the key-value store
   late_acts,        // launches and deletions are executed late
   lost_answers,     // they are executed, and their answers are lost
   late_writes,      // transactions are applied late
-  crash_successor,  // the leader ends, and the next one during its take-over
-  cloud_trouble,    // the cloud answers nobody
+  crash_successor,  // the leader crashes, and the next one during its failover
+  cloud_outage,     // the cloud answers nobody
 };
 constexpr int kFaults = 11;
 
-// Draws jobs and troubles over a while, lets all troubles end, and expects a clean history.
-class Drawn {
+// One random run: submits jobs and begins faults of the given kinds for a while, lets all faults
+// end, and expects a clean history. The seed determines the run.
+class RandomRun {
  public:
-  Drawn(uint64_t seed, std::vector<Fault> kinds) : random_(seed), kinds_(std::move(kinds)) {
-    f_.site.cloud.capacity["box/a/ordinary"] = 4;
-    f_.site.cloud.capacity["crate/a/ordinary"] = 2;
-    f_.site.cloud.late_by = seconds(15);
-    f_.site.store.late_by = seconds(4);
-    f_.site.on_worker = [this](Worker& worker) {
+  RandomRun(uint64_t seed, std::vector<Fault> kinds) : random_(seed), kinds_(std::move(kinds)) {
+    fixture_.site.cloud.capacity["box/a/ordinary"] = 4;
+    fixture_.site.cloud.capacity["crate/a/ordinary"] = 2;
+    fixture_.site.cloud.late_by = seconds(15);
+    fixture_.site.store.late_by = seconds(4);
+    fixture_.site.on_worker = [this](Worker& worker) {
       worker.run_time = [this](const TaskRef& task) { return seconds(2 + (task.index + 3) % 5); };
     };
   }
@@ -211,18 +216,18 @@
   void run() {
     constexpr int kSeconds = 100;
     for (int second = 0; second < kSeconds; ++second) {
-      end_troubles();
+      end_faults();
       if (draw(4) == 0) submit_next();
       if (draw(5) == 0) begin(kinds_[draw(kinds_.size())]);
-      f_.site.run_for(seconds(1));
+      fixture_.site.run_for(seconds(1));
     }
     while (!ends_.empty()) {
-      end_troubles();
-      f_.site.run_for(seconds(1));
+      end_faults();
+      fixture_.site.run_for(seconds(1));
     }
-    f_.site.cloud.fate = nullptr;
-    f_.site.store.fate = nullptr;
-    f_.site.run_for(seconds(240));
+    fixture_.site.cloud.fate = nullptr;
+    fixture_.site.store.fate = nullptr;
+    fixture_.site.run_for(seconds(240));
     expect_all_settled();
   }
 
@@ -237,8 +242,8 @@
     const JobSpec spec = job("run-" + std::to_string(100'000 + accepted_.size()),
                              static_cast<uint32_t>(1 + draw(8)));
     for (size_t i = 0; i < kControllers; ++i) {
-      if (f_.site.nodes[i]->dead || f_.site.nodes[i]->paused) continue;
-      const http::Response response = f_.site.submit(spec, i);
+      if (fixture_.site.nodes[i]->dead || fixture_.site.nodes[i]->paused) continue;
+      const http::Response response = fixture_.site.submit(spec, i);
       if (response.status != 200 && response.status != 201) continue;
       accepted_.push_back(spec.id);
       return;
@@ -246,41 +251,42 @@
   }
 
   void for_a_while(size_t most, std::function<void()> end) {
-    ends_.push_back({f_.site.clock.now() + seconds(1 + draw(most)), std::move(end)});
+    ends_.push_back({fixture_.site.clock.now() + seconds(1 + draw(most)), std::move(end)});
   }
-  void end_troubles() {
+  void end_faults() {
     std::vector<End> due;
     std::erase_if(ends_, [&](End& end) {
-      if (end.at > f_.site.clock.now()) return false;
+      if (end.at > fixture_.site.clock.now()) return false;
       due.push_back(std::move(end));
       return true;
     });
     for (End& end : due) end.what();
   }
   void crash(size_t node) {
-    if (f_.site.nodes[node]->dead) return;
-    f_.site.nodes[node]->paused = false;
-    f_.site.crash(node);
+    if (fixture_.site.nodes[node]->dead) return;
+    fixture_.site.nodes[node]->paused = false;
+    fixture_.site.crash(node);
     const Nanos away = draw(2) == 0 ? Nanos(Millis(200)) : Nanos(seconds(1 + draw(6)));
-    ends_.push_back({f_.site.clock.now() + away, [this, node] { f_.site.restart(node); }});
+    ends_.push_back(
+        {fixture_.site.clock.now() + away, [this, node] { fixture_.site.restart(node); }});
   }
-  // The node may have been replaced by a new process meanwhile: its troubles ended with it.
+  // The node may have been replaced by a new process meanwhile: its faults ended with it.
   void set_for_a_while(bool Site::Node::*flag, size_t node, size_t most) {
-    Site::Node* process = f_.site.nodes[node].get();
+    Site::Node* process = fixture_.site.nodes[node].get();
     process->*flag = true;
     for_a_while(most, [process, flag] { process->*flag = false; });
   }
   void some_calls(Fate fate) {
-    f_.site.cloud.fate = [this, fate](const http::Call& call) {
+    fixture_.site.cloud.fate = [this, fate](const http::Call& call) {
       const bool act = is_launch(call) || is_deletion(call);
       return act && draw(3) == 0 ? fate : Fate::normal;
     };
-    for_a_while(15, [this] { f_.site.cloud.fate = nullptr; });
+    for_a_while(15, [this] { fixture_.site.cloud.fate = nullptr; });
   }
 
-  void begin(Fault trouble) {
-    const size_t leader = f_.site.leader().value_or(draw(kControllers));
-    switch (trouble) {
+  void begin(Fault fault) {
+    const size_t leader = fixture_.site.leader().value_or(draw(kControllers));
+    switch (fault) {
       case Fault::crash:
         return crash(leader);
       case Fault::crash_all:
@@ -299,34 +305,34 @@
       case Fault::lost_answers:
         return some_calls(Fate::lose_reply);
       case Fault::late_writes:
-        f_.site.store.fate = [this](const http::Call& call) {
+        fixture_.site.store.fate = [this](const http::Call& call) {
           return call.target == "/multi" && draw(8) == 0 ? Fate::apply_late : Fate::normal;
         };
-        return for_a_while(10, [this] { f_.site.store.fate = nullptr; });
+        return for_a_while(10, [this] { fixture_.site.store.fate = nullptr; });
       case Fault::crash_successor:
         crash(leader);
-        for (int i = 0; i < 1000 && !f_.site.leader(); ++i) f_.site.run_for(Millis(10));
-        if (f_.site.leader()) crash(*f_.site.leader());
+        for (int i = 0; i < 1000 && !fixture_.site.leader(); ++i) fixture_.site.run_for(Millis(10));
+        if (fixture_.site.leader()) crash(*fixture_.site.leader());
         return;
-      case Fault::cloud_trouble:
-        f_.site.cloud.trouble = true;
-        return for_a_while(8, [this] { f_.site.cloud.trouble = false; });
+      case Fault::cloud_outage:
+        fixture_.site.cloud.trouble = true;
+        return for_a_while(8, [this] { fixture_.site.cloud.trouble = false; });
     }
   }
 
   void expect_all_settled() {
-    for (const auto& violation : f_.history.violations()) ADD_FAILURE() << violation;
-    EXPECT_EQ(f_.site.ran_twice, 0u);
-    for (const auto& broken : f_.site.rules.broken()) ADD_FAILURE() << broken;
-    for (const std::string& id : accepted_) EXPECT_EQ(f_.site.standing(id, 0), "done") << id;
-    EXPECT_EQ(f_.history.machines_held(), 0u) << "paid for and forgotten";
-    for (const auto& [key, entry] : f_.site.store.data) {
+    for (const auto& violation : fixture_.history.violations()) ADD_FAILURE() << violation;
+    EXPECT_EQ(fixture_.site.ran_twice, 0u);
+    for (const auto& broken : fixture_.site.rules.broken()) ADD_FAILURE() << broken;
+    for (const std::string& id : accepted_) EXPECT_EQ(fixture_.site.standing(id, 0), "done") << id;
+    EXPECT_EQ(fixture_.history.machines_held(), 0u) << "paid for and forgotten";
+    for (const auto& [key, entry] : fixture_.site.store.data) {
       EXPECT_FALSE(key.starts_with(roles::scale_in_key(""))) << key << " is still open";
     }
-    EXPECT_GT(f_.history.counts().changed, 0u);
+    EXPECT_GT(fixture_.history.counts().changed, 0u);
   }
 
-  Fixture f_;
+  Fixture fixture_;
   std::mt19937_64 random_;
   std::vector<Fault> kinds_;
   std::vector<std::string> accepted_;
@@ -338,7 +344,7 @@
 TEST_P(RoleFaults, AloneLeaveACleanHistory) {
   for (uint64_t seed = 1; seed <= 2; ++seed) {
     SCOPED_TRACE(testing::Message() << "seed " << seed);
-    Drawn(seed, {static_cast<Fault>(GetParam())}).run();
+    RandomRun(seed, {static_cast<Fault>(GetParam())}).run();
   }
 }
 INSTANTIATE_TEST_SUITE_P(Kinds, RoleFaults, testing::Range(0, kFaults));
@@ -349,7 +355,7 @@
   std::vector<Fault> all;
   all.reserve(kFaults);
   for (int i = 0; i < kFaults; ++i) all.push_back(static_cast<Fault>(i));
-  Drawn(static_cast<uint64_t>(100 + GetParam()), all).run();
+  RandomRun(static_cast<uint64_t>(100 + GetParam()), all).run();
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, RoleConcurrentFaults, testing::Range(0, 36));
 
--- a/tests/role_history.cpp
+++ b/tests/role_history.cpp
@@ -1,3 +1,4 @@
+// Checks over the history of acts under the singleton roles.
 #include "role_history.hpp"
 
 #include <algorithm>
@@ -49,8 +50,8 @@
   }
 }
 
-// While one launch of a kind of machine is decided and unanswered, another of that kind would be
-// for the same need.
+// While one launch of a kind of machine is decided and unanswered, a second one of that kind would
+// be for the same work.
 void RoleHistory::check_launch(const std::string& request) {
   std::optional<roles::ScaleOutIntent> own;
   std::vector<roles::ScaleOutIntent> others;
@@ -73,14 +74,17 @@
   }
 }
 
-// Whoever leads must not count on a machine that goes: no task may be started there between the
-// decision and the deletion, and none that can be reached may be killed by it.
+// No task may be started on a machine between the decision to terminate it and the termination, and
+// the termination may kill none on a machine that can be reached.
 void RoleHistory::check_scale_in(const std::string& machine) {
   const auto worker = site_.workers.find(machine);
   if (worker == site_.workers.end()) return;
-  const Worker& w = *worker->second;
-  if (!w.on || w.cut || w.hung || w.mute || w.drop_responses || w.interruption_notice) return;
-  for (const auto& [key, task] : w.tasks) {
+  const Worker& reached = *worker->second;
+  if (!reached.on || reached.cut || reached.hung || reached.mute || reached.drop_responses ||
+      reached.interruption_notice) {
+    return;
+  }
+  for (const auto& [key, task] : reached.tasks) {
     if (task.state == TaskState::exited) continue;
     violations_.push_back("machine " + machine + " was returned with " + key.first.text());
   }
--- a/tests/role_history.hpp
+++ b/tests/role_history.hpp
@@ -1,5 +1,5 @@
-// The history of what controllers did under their singleton roles, as the scripted cloud and state
-// service saw it, and the checks over it.
+// The history of what controllers did under their singleton roles, as the scripted cloud and
+// key-value store saw it, and the checks over it.
 #pragma once
 #include <map>
 #include <string>
@@ -9,17 +9,19 @@
 
 namespace dunlinknot::test {
 
+// Checks each act at the moment when the cloud or the store applies it. Must not outlive the site.
 class RoleHistory {
  public:
   // Watches the site from now on.
   explicit RoleHistory(Site& site);
 
-  // What was wrong, in words.
+  // Descriptions of what was wrong, in the order in which it was seen.
   const std::vector<std::string>& violations() const { return violations_; }
+  // Launch and termination requests that the cloud carried out. Fenced: sent by a replaced holder.
   struct Counts {
     uint64_t acts = 0;
-    uint64_t changed = 0;
-    uint64_t fenced_repeats = 0;  // by a replaced holder, of what the present one has open as well
+    uint64_t changed = 0;         // of all, those that launched or terminated something
+    uint64_t fenced_repeats = 0;  // of these, fenced; the present holder has the same intent open
     uint64_t fenced_without_effect = 0;
   };
   const Counts& counts() const { return counts_; }
