--- a/src/dunlinknot/autoscaler/scale_in.hpp
+++ b/src/dunlinknot/autoscaler/scale_in.hpp
@@ -33,7 +33,7 @@
   // Decides that the machine is terminated; without effect if that is decided already, or if the
   // machine is not known. It gets no more work from now on.
   void decide(const Termination& termination);
-  // Sends those of the resumed terminations whose machines are empty by now.
+  // Lets those of the resumed terminations be sent whose machines are empty by now.
   void release_resumed();
   // Makes decisions durable; a failure is tried again with the next call.
   Task<void> record(uint64_t term);
--- a/src/dunlinknot/autoscaler/termination_policy.hpp
+++ b/src/dunlinknot/autoscaler/termination_policy.hpp
@@ -14,6 +14,7 @@
 
 namespace dunlinknot::autoscaler {
 
+// Why a machine is terminated. The enumerators are not stored; their texts are.
 enum class TerminationReason : uint8_t {
   failed,              // the cloud lists it as failed
   unreachable,         // its heartbeats arrive, but our responses do not reach it
--- a/src/dunlinknot/roles/intent_log.hpp
+++ b/src/dunlinknot/roles/intent_log.hpp
@@ -52,9 +52,6 @@
   // Removes the records of settled requests, as long as the term lasts.
   Task<void> remove_ended(uint64_t term);
 
-  // The number of open intents.
-  size_t open() const { return mod_revisions_.size(); }
-
  private:
   struct Entry {
     std::string key;
