--- a/benchmarks/cost_driver.cpp
+++ b/benchmarks/cost_driver.cpp
@@ -7,7 +7,7 @@
 #include <iostream>
 
 #include "dunlinknot/http/message.hpp"
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 namespace {
@@ -65,7 +65,7 @@
     site_.cloud.capacity["cpu/b/ordinary"] = load.machines / 4;
     site_.cloud.capacity["gpu/a/ordinary"] = load.machines / 4;
     site_.op.max_machines = load.machines;
-    site_.on_worker = [this](Worker& worker) {
+    site_.on_worker = [this](ScriptedWorker& worker) {
       worker.run_time = [this](const TaskRef& task) {
         const double factor = 0.5 + static_cast<double>(task.index * 37 % 100) / 100;
         return to_nanos(Seconds(load_.task_seconds * factor));
--- a/src/dunlinknot/cluster/job_holders.cpp
+++ b/src/dunlinknot/cluster/job_holders.cpp
@@ -18,9 +18,9 @@
 }
 
 const std::vector<Machine*>& JobHolders::of(const std::string& job) const {
-  static const std::vector<Machine*> kNone;
+  static const std::vector<Machine*> none;
   const auto it = machines_by_job_.find(job);
-  return it == machines_by_job_.end() ? kNone : it->second;
+  return it == machines_by_job_.end() ? none : it->second;
 }
 
 }  // namespace dunlinknot::cluster
--- a/src/dunlinknot/node/catalog_keeper.cpp
+++ b/src/dunlinknot/node/catalog_keeper.cpp
@@ -74,7 +74,7 @@
 
 kv::Transaction CatalogKeeper::transaction_for(std::string record) const {
   kv::Transaction transaction;
-  transaction.compares.push_back({std::string(wire::kEpochKey), context_.epoch_mod_revision});
+  transaction.compares.push_back(context_.epoch_compare());
   transaction.compares.push_back({std::string(wire::kCatalogKey), 0});
   transaction.writes.push_back({std::string(wire::kCatalogKey), std::move(record), 0});
   return transaction;
--- a/src/dunlinknot/roles/intent_log.hpp
+++ b/src/dunlinknot/roles/intent_log.hpp
@@ -4,7 +4,7 @@
 //
 // A successor reads the open intents and repeats the same requests under the same names before it
 // decides anything of its own. So whatever a former holder still sends, however late, is a
-// duplicate of what is decided anyway (docs/duties.md).
+// duplicate of what is decided anyway (docs/singleton_roles.md).
 #pragma once
 #include <deque>
 #include <map>
--- a/src/dunlinknot/roles/role_holder.cpp
+++ b/src/dunlinknot/roles/role_holder.cpp
@@ -16,10 +16,6 @@
 constexpr Nanos kHaltedRetryPause = std::chrono::seconds(5);
 constexpr int kLateWakeShare = 2;  // of the lease: a timer later than its half is distrusted
 
-kv::Compare epoch_compare(const cluster::LeaderContext& context) {
-  return {std::string(wire::kEpochKey), context.epoch_mod_revision};
-}
-
 }  // namespace
 
 RoleHolder::RoleHolder(cluster::LeaderContext& context, kv::Client& store)
@@ -37,7 +33,7 @@
 }
 
 std::vector<kv::Compare> RoleHolder::compares(Role role) const {
-  return {epoch_compare(context_), {role_key(role), holding(role).lease.grant().mod_revision}};
+  return {context_.epoch_compare(), {role_key(role), holding(role).lease.grant().mod_revision}};
 }
 
 void RoleHolder::lose() {
@@ -96,7 +92,7 @@
 Task<bool> RoleHolder::acquire_role(uint64_t term, Role role, StoredRoles& stored) {
   const uint64_t fencing_token = stored.fencing_token + 1;
   kv::Transaction txn;
-  txn.compares.push_back(epoch_compare(context_));
+  txn.compares.push_back(context_.epoch_compare());
   txn.compares.push_back({role_key(role), stored.mod_revisions[static_cast<size_t>(role)]});
   txn.compares.push_back({std::string(kFencingTokenKey), stored.token_mod_revision});
   txn.writes.push_back(holder_write(role, fencing_token));
@@ -234,7 +230,7 @@
 // A transaction that only compares shows that they are as this process wrote them.
 Task<bool> RoleHolder::prove() {
   kv::Transaction compare;
-  compare.compares.push_back(epoch_compare(context_));
+  compare.compares.push_back(context_.epoch_compare());
   for (const Role role : kAllRoles) compare.compares.push_back(compares(role).back());
   const Instant sent = context_.loop.boot_now();
   const kv::TransactionResult result =
--- a/src/dunlinknot/roles/role_holder.hpp
+++ b/src/dunlinknot/roles/role_holder.hpp
@@ -2,7 +2,7 @@
 //
 // Only the leader acquires roles, and at once, whoever held them: the transaction compares the
 // epoch, and from then on whatever the former holder writes fails on the role's key. It need not
-// wait for the expiry of the former holder's lease (docs/duties.md).
+// wait for the expiry of the former holder's lease (docs/singleton_roles.md).
 #pragma once
 #include <array>
 #include <optional>
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -8,7 +8,7 @@
 #include "dunlinknot/cluster/replica_backoff.hpp"
 #include "dunlinknot/cluster/stop_calls.hpp"
 #include "dunlinknot/cluster/team_usage.hpp"
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::cluster {
 namespace {
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "dunlinknot/leadership/elector.hpp"
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::cluster {
 namespace {
--- a/tests/concurrent_faults_test.cpp
+++ b/tests/concurrent_faults_test.cpp
@@ -1,9 +1,9 @@
-// Where two troubles meet (docs/meetings.md): each test brings one meeting about and asserts the
-// protocol's rules through the checker of rules.hpp, which watches the whole scenario.
+// Where two troubles meet (docs/concurrent_faults.md): each test brings one meeting about and
+// asserts the protocol's rules through the checker of rules.hpp, which watches the whole scenario.
 #include <gtest/gtest.h>
 
 #include "random_scenario.hpp"
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 namespace {
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 namespace {
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "dunlinknot/scheduler/scheduler.hpp"
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::preemption {
 namespace {
--- a/tests/random_placements_test.cpp
+++ b/tests/random_placements_test.cpp
@@ -44,12 +44,12 @@
   // One that is up goes, most often with a notice; the cloud has as many as before.
   Task<void> lose_machine(Nanos begins) {
     co_await s.loop.sleep(begins);
-    std::vector<Worker*> up;
+    std::vector<ScriptedWorker*> up;
     for (auto& [id, w] : s.workers) {
       if (w->on) up.push_back(w.get());
     }
     if (up.empty()) co_return;
-    Worker& worker = *up[pick(up.size())];
+    ScriptedWorker& worker = *up[pick(up.size())];
     if (chance(0.6)) {
       worker.interruption_notice = Seconds(8);
       co_await s.loop.sleep(seconds(8));
--- a/tests/random_scenario.hpp
+++ b/tests/random_scenario.hpp
@@ -4,7 +4,7 @@
 
 #include <random>
 
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 
@@ -130,10 +130,10 @@
     s.store.fate = nullptr;
   }
 
-  using Flags = std::vector<bool Worker::*>;
-  Task<void> set_for_a_while(const std::vector<Worker*>& some, const Flags& flags) {
+  using Flags = std::vector<bool ScriptedWorker::*>;
+  Task<void> set_for_a_while(const std::vector<ScriptedWorker*>& some, const Flags& flags) {
     const auto set = [&](bool on) {
-      for (Worker* worker : some) {
+      for (ScriptedWorker* worker : some) {
         for (const auto flag : flags) worker->*flag = on;
       }
     };
@@ -142,8 +142,9 @@
     set(false);
   }
 
-  Task<void> reach_one_controller_alone(const std::vector<Worker*>& some, size_t controller) {
-    for (Worker* worker : some) {
+  Task<void> reach_one_controller_alone(const std::vector<ScriptedWorker*>& some,
+                                        size_t controller) {
+    for (ScriptedWorker* worker : some) {
       for (size_t i = 0; i < 3; ++i) {
         if (i != controller) s.cut.insert({i, worker->id});
       }
@@ -167,12 +168,13 @@
     co_await s.loop.sleep(begins);
     const size_t leader = s.leader().value_or(pick(3));
     const size_t node = chance(0.7) ? leader : pick(3);
-    std::vector<Worker*> some;
+    std::vector<ScriptedWorker*> some;
     for (auto& [id, w] : s.workers) {
       if (w->on && chance(0.4)) some.push_back(w.get());
     }
-    const Flags hung = {&Worker::hung}, mute = {&Worker::mute}, cut_off = {&Worker::cut};
-    const Flags unreachable = {&Worker::drop_responses, &Worker::refuse_direct};
+    const Flags hung = {&ScriptedWorker::hung}, mute = {&ScriptedWorker::mute},
+                cut_off = {&ScriptedWorker::cut};
+    const Flags unreachable = {&ScriptedWorker::drop_responses, &ScriptedWorker::refuse_direct};
     const size_t kind = pick(13);
     log += " " + std::to_string(kind) + "@" +
            std::to_string(to_seconds(s.loop.now().time_since_epoch()).count() - 1000);
@@ -246,7 +248,7 @@
     const size_t h = std::hash<std::string>{}(task.text()) + salt;
     return Nanos(seconds(h % 5 == 0 ? 60 : 3 + h % 17));
   };
-  s.on_worker = [this, run_time](Worker& worker) {
+  s.on_worker = [this, run_time](ScriptedWorker& worker) {
     worker.run_time = run_time;
     worker.fetch_time = fetch_time();
   };
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -5,7 +5,7 @@
 #include "dunlinknot/cluster/cluster.hpp"
 #include "dunlinknot/preemption/fit.hpp"
 #include "dunlinknot/scheduler/scheduler.hpp"
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 namespace {
@@ -24,7 +24,7 @@
   const JobSpec api = service("run-000001", 4);
   void SetUp() override {
     s.cloud.capacity = {{"box/a/ordinary", 3}, {"box/b/ordinary", 3}};
-    s.on_worker = [](Worker& worker) {
+    s.on_worker = [](ScriptedWorker& worker) {
       worker.run_time = [](const TaskRef&) { return std::chrono::hours(1); };
     };
     s.run_for(seconds(2));
@@ -40,7 +40,7 @@
     for (uint32_t i = 0; i < spec.tasks; ++i) n += s.copies({spec.id, i});
     return n;
   }
-  Worker& machine_of(uint32_t replica) {
+  ScriptedWorker& machine_of(uint32_t replica) {
     for (auto& [id, w] : s.workers) {
       for (const auto& [key, task] : w->tasks) {
         if (key.first == TaskRef{api.id, replica} && task.state == TaskState::running) return *w;
@@ -77,7 +77,7 @@
 
 TEST_F(Replicas, ThatReportTheirCompletionRunAgainAndAreNeverDone) {
   for (auto& n : s.nodes) ASSERT_FALSE(n->dead);
-  s.on_worker = [](Worker& worker) {
+  s.on_worker = [](ScriptedWorker& worker) {
     worker.run_time = [](const TaskRef&) { return seconds(40); };
   };
   ASSERT_EQ(s.submit(api).status, 201);
@@ -93,7 +93,7 @@
 }
 
 TEST_F(Replicas, ThatFailAtTheirStartWaitLongerEachTime) {
-  s.on_worker = [](Worker& worker) {
+  s.on_worker = [](ScriptedWorker& worker) {
     worker.run_time = [](const TaskRef&) { return seconds(1); };
     worker.fails = [](const TaskRef&) { return true; };
   };
@@ -111,7 +111,7 @@
 
 TEST_F(Replicas, OfALostMachineRunElsewhereAndInOnePlaceOnly) {
   start();
-  Worker& lost = machine_of(0);
+  ScriptedWorker& lost = machine_of(0);
   lost.cut = true;
   s.run_for(seconds(30));
   for (uint32_t i = 0; i < api.tasks; ++i) EXPECT_EQ(s.copies({api.id, i}), 1u) << i;
@@ -123,7 +123,7 @@
 
 TEST_F(Replicas, LeaveAnInterruptedMachineBeforeItGoes) {
   start();
-  Worker& interrupted = machine_of(0);
+  ScriptedWorker& interrupted = machine_of(0);
   const auto on_it = [&] {
     size_t n = 0;
     for (uint32_t i = 0; i < api.tasks; ++i) {
--- a/tests/role_handover_test.cpp
+++ b/tests/role_handover_test.cpp
@@ -208,7 +208,7 @@
     fixture_.site.cloud.capacity["crate/a/ordinary"] = 2;
     fixture_.site.cloud.late_by = seconds(15);
     fixture_.site.store.late_by = seconds(4);
-    fixture_.site.on_worker = [this](Worker& worker) {
+    fixture_.site.on_worker = [this](ScriptedWorker& worker) {
       worker.run_time = [this](const TaskRef& task) { return seconds(2 + (task.index + 3) % 5); };
     };
   }
--- a/tests/role_history.cpp
+++ b/tests/role_history.cpp
@@ -79,7 +79,7 @@
 void RoleHistory::check_scale_in(const std::string& machine) {
   const auto worker = site_.workers.find(machine);
   if (worker == site_.workers.end()) return;
-  const Worker& reached = *worker->second;
+  const ScriptedWorker& reached = *worker->second;
   if (!reached.on || reached.cut || reached.hung || reached.mute || reached.drop_responses ||
       reached.interruption_notice) {
     return;
--- a/tests/role_history.hpp
+++ b/tests/role_history.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 namespace {
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -2,7 +2,7 @@
 // a take-over with 100,000 allocations, and the end of the largest job that there can be.
 #include <gtest/gtest.h>
 
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 namespace {
@@ -143,7 +143,7 @@
                                          site.clock.now(),         false, {},  "10.1.0.1:9000"};
     site.cloud.machines[machine.id] = machine;
     site.add_worker(machine);
-    Worker& worker = *site.workers.at(machine.id);
+    ScriptedWorker& worker = *site.workers.at(machine.id);
     worker.fencing_token = kFormerEpoch;
     wire::MachineRecord record{machine.type, machine.zone, worker.address, false, {}};
     wire::MachineRecord::Group group{kLargest, spec.team, spec.need, false, {}};
@@ -151,7 +151,8 @@
       const TaskRef task{kLargest, static_cast<uint32_t>(number) * kTasksPerMachine + k};
       constexpr uint64_t kAttempt = 17;
       group.tasks.emplace_back(task.index, kAttempt);
-      Worker::Running running{task, kAttempt, TaskState::running, ExitCause::none, false, {}, {}};
+      ScriptedWorker::Running running{task, kAttempt, TaskState::running, ExitCause::none, false,
+                                      {},   {}};
       running.since = site.clock.now();
       running.ends = site.clock.now() + std::chrono::hours(1);
       worker.tasks[{task, kAttempt}] = running;
--- a/tests/scenario_api_test.cpp
+++ b/tests/scenario_api_test.cpp
@@ -1,7 +1,7 @@
 // The users' API and the lives of jobs, amid failures of the whole service.
 #include <gtest/gtest.h>
 
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 namespace {
--- a/tests/scenario_leadership_test.cpp
+++ b/tests/scenario_leadership_test.cpp
@@ -1,7 +1,7 @@
 // Elections, changes of leader and take-overs, against scripted peers.
 #include <gtest/gtest.h>
 
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 namespace {
--- a/tests/scenario_machines_test.cpp
+++ b/tests/scenario_machines_test.cpp
@@ -1,7 +1,7 @@
 // Machines and the allocation store amid failures, against scripted peers.
 #include <gtest/gtest.h>
 
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 namespace {
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -7,7 +7,7 @@
 #include <random>
 
 #include "dunlinknot/scheduler/apply.hpp"
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::scheduler {
 namespace {
--- a/tests/scripted_worker.cpp
+++ b/tests/scripted_worker.cpp
@@ -8,8 +8,8 @@
 using wire::Document;
 using wire::View;
 
-Worker::Worker(EventLoop& loop, std::string machine_id, const MachineType& type, std::string zone,
-               bool spot, std::string worker_address, Nanos lease)
+ScriptedWorker::ScriptedWorker(EventLoop& loop, std::string machine_id, const MachineType& type,
+                               std::string zone, bool spot, std::string worker_address, Nanos lease)
     : id(std::move(machine_id)),
       address(std::move(worker_address)),
       loop_(loop),
@@ -19,7 +19,7 @@
       lease_(lease),
       answered_sent_(loop.now()) {}
 
-Heartbeat Worker::heartbeat() {
+Heartbeat ScriptedWorker::heartbeat() {
   advance();
   Heartbeat heartbeat;
   heartbeat.machine = id;
@@ -38,20 +38,20 @@
 }
 
 // The image is there: the task is on the machine from now on.
-void Worker::begin(Running& r) {
+void ScriptedWorker::begin(Running& r) {
   started.emplace_back(r.task, r.attempt);
   if (on_start) on_start(r.task);
   r.state = TaskState::running;
   r.ends = loop_.now() + (run_time ? run_time(r.task) : Nanos(seconds(5)));
 }
 
-void Worker::end(Running& r, ExitCause cause) {
+void ScriptedWorker::end(Running& r, ExitCause cause) {
   if (on_end) on_end(Running{r.task, r.attempt, r.state, cause, r.saved, r.since, r.ends});
   r.state = TaskState::exited;
   r.cause = cause;
 }
 
-void Worker::advance() {
+void ScriptedWorker::advance() {
   for (auto& [key, t] : tasks) {
     if (t.state == TaskState::fetching && loop_.now() >= t.ends) begin(t);
     if (t.state == TaskState::running && loop_.now() >= t.ends) {
@@ -63,25 +63,25 @@
   }
 }
 
-void Worker::end_all() {
+void ScriptedWorker::end_all() {
   for (auto& [key, t] : tasks) {
     if (t.state != TaskState::exited) end(t, ExitCause::none);
   }
 }
 
-void Worker::power_off() {
+void ScriptedWorker::power_off() {
   on = false;
   end_all();
 }
 
-void Worker::lose_lease() {
+void ScriptedWorker::lose_lease() {
   end_all();
   tasks.clear();
   ++incarnation;
   answered_sent_ = loop_.now();
 }
 
-void Worker::obey(View orders) {
+void ScriptedWorker::obey(View orders) {
   advance();
   for (size_t i = 0; i < orders.size(); ++i) {
     const View value = orders.at(i);
@@ -120,7 +120,8 @@
   }
 }
 
-Task<void> Worker::run(std::function<Task<http::Response>(http::Request)> handler, Nanos pace) {
+Task<void> ScriptedWorker::run(std::function<Task<http::Response>(http::Request)> handler,
+                               Nanos pace) {
   while (on) {
     const Instant sent = loop_.now();
     if (hung) {
@@ -156,7 +157,7 @@
   }
 }
 
-Task<void> Worker::watch_lease() {
+Task<void> ScriptedWorker::watch_lease() {
   while (on) {
     const Instant ends = answered_sent_ + lease_;
     co_await loop_.sleep_until(std::max(ends, loop_.now()) + Millis(1));
@@ -165,14 +166,14 @@
 }
 
 // A hung machine has the command in its socket, and executes it when it goes on.
-Task<void> Worker::execute_later(std::string body) {
+Task<void> ScriptedWorker::execute_later(std::string body) {
   while (on && hung) co_await loop_.sleep(Millis(20));
   if (!on) co_return;
   if (loop_.now() - answered_sent_ > lease_) lose_lease();
   (void)execute(body);
 }
 
-Task<Reply> Worker::direct(Call call) {
+Task<Reply> ScriptedWorker::direct(Call call) {
   co_await loop_.sleep(Millis(1));
   if (on && hung) loop_.spawn(execute_later(call.body));
   if (!on || cut || refuse_direct || hung) {
@@ -182,7 +183,7 @@
   co_return execute(call.body);
 }
 
-Reply Worker::execute(const std::string& body) {
+Reply ScriptedWorker::execute(const std::string& body) {
   const auto doc = Document::parse(body);
   const View root = doc->root();
   int status = 409;
--- a/tests/scripted_worker.hpp
+++ b/tests/scripted_worker.hpp
@@ -11,7 +11,7 @@
 namespace dunlinknot::test {
 
 // A worker that keeps to the protocol: fencing tokens, incarnations, leases, dropped responses.
-class Worker {
+class ScriptedWorker {
  public:
   struct Running {
     TaskRef task;
@@ -22,8 +22,8 @@
     Instant since{};
     Instant ends{};
   };
-  Worker(EventLoop& loop, std::string id, const MachineType& type, std::string zone, bool spot,
-         std::string address, Nanos lease);
+  ScriptedWorker(EventLoop& loop, std::string id, const MachineType& type, std::string zone,
+                 bool spot, std::string address, Nanos lease);
 
   Task<void> run(std::function<Task<http::Response>(http::Request)> handler, Nanos pace);
   Task<void> watch_lease();
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,7 +1,7 @@
 // The whole service, one or more controllers, against scripted peers.
 #include <gtest/gtest.h>
 
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 namespace {
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -8,7 +8,7 @@
 #include <fstream>
 
 #include "dunlinknot/node/connection_limit.hpp"
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::settings {
 namespace {
--- a/tests/singleton_roles_test.cpp
+++ b/tests/singleton_roles_test.cpp
@@ -6,7 +6,7 @@
 #include <sstream>
 
 #include "dunlinknot/roles/overview.hpp"
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 namespace {
@@ -265,7 +265,7 @@
                                        site.clock.now(), false, {},  "10.1.0.1:9000"};
   site.cloud.machines[machine.id] = machine;
   site.add_worker(machine);
-  Worker& worker = *site.workers.at(machine.id);
+  ScriptedWorker& worker = *site.workers.at(machine.id);
   worker.run_time = [](const TaskRef&) { return seconds(20); };
   site.run_for(seconds(5));
   site.submit(job("run-000001"));
--- a/tests/site.cpp
+++ b/tests/site.cpp
@@ -174,17 +174,17 @@
   const size_t number = workers.size() + 1;
   const std::string address =
       "10.1." + std::to_string(number / 256) + "." + std::to_string(number % 256) + ":9000";
-  auto w = std::make_unique<Worker>(loop, machine.id, *type, machine.zone, machine.spot, address,
-                                    seconds(14));
+  auto w = std::make_unique<ScriptedWorker>(loop, machine.id, *type, machine.zone, machine.spot,
+                                            address, seconds(14));
   w->specs = &specs;
-  Worker* raw = w.get();
+  ScriptedWorker* raw = w.get();
   const Rules::Place place{machine.id, machine.type, machine.zone, machine.spot};
   w->on_start = [this, place, raw](const TaskRef& task) {
     ++starts;
     if (copies(task) > 0) ++ran_twice;
     rules.started(place, task, raw->started.back().second);
   };
-  w->on_end = [this, id = machine.id](const Worker::Running& r) {
+  w->on_end = [this, id = machine.id](const ScriptedWorker::Running& r) {
     rules.ended(id, r.task, r.attempt, r.cause == ExitCause::done);
   };
   if (on_worker) on_worker(*w);
@@ -206,7 +206,7 @@
     }
     co_return out;
   };
-  const auto boot = [](EventLoop& event_loop, Worker* worker,
+  const auto boot = [](EventLoop& event_loop, ScriptedWorker* worker,
                        std::function<Task<http::Response>(http::Request)> h) -> Task<void> {
     co_await event_loop.sleep(seconds(2));
     co_await worker->run(std::move(h), Millis(1500));
--- a/tests/site.hpp
+++ b/tests/site.hpp
@@ -68,10 +68,10 @@
   std::vector<std::unique_ptr<Node>> nodes;
   std::vector<std::unique_ptr<Node>> graveyard;
   std::set<std::pair<size_t, std::string>> cut;  // node and machine that do not reach one another
-  std::map<std::string, std::unique_ptr<Worker>> workers;
+  std::map<std::string, std::unique_ptr<ScriptedWorker>> workers;
   size_t ran_twice = 0;
   size_t starts = 0;
-  std::function<void(Worker&)> on_worker;  // each new one
+  std::function<void(ScriptedWorker&)> on_worker;  // each new one
   // Each call of a controller, as it is about to be sent.
   std::function<void(Node&, const http::Call&)> on_send;
   // What passes between the peers and a controller; for measuring what its encoding costs.
--- a/tests/store_messages_test.cpp
+++ b/tests/store_messages_test.cpp
@@ -5,7 +5,7 @@
 #include <gtest/gtest.h>
 
 #include "dunlinknot/kv/pager.hpp"
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 namespace {
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -4,7 +4,7 @@
 // this version writes too.
 #include <gtest/gtest.h>
 
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 namespace {
@@ -50,7 +50,9 @@
     s.store.erase(wire::job_key(spec.id));
   }
   void run_long_tasks() {
-    s.on_worker = [](Worker& worker) { worker.run_time = [](const TaskRef&) { return kLongRun; }; };
+    s.on_worker = [](ScriptedWorker& worker) {
+      worker.run_time = [](const TaskRef&) { return kLongRun; };
+    };
   }
   // The job is done by then, whoever leads, and no rule was broken.
   void expect_done(const JobSpec& spec, Nanos within) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -5,7 +5,7 @@
 
 #include "dunlinknot/wire/peer.hpp"
 #include "dunlinknot/wire/records.hpp"
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::wire {
 namespace {
--- a/tests/zoned_cluster.hpp
+++ b/tests/zoned_cluster.hpp
@@ -5,7 +5,7 @@
 
 #include "dunlinknot/cluster/leader_context.hpp"
 #include "dunlinknot/scheduler/scheduler.hpp"
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 
--- a/tools/handover_run.cpp
+++ b/tools/handover_run.cpp
@@ -19,7 +19,7 @@
 #include <random>
 
 #include "dunlinknot/http/server.hpp"
-#include "support.hpp"
+#include "site.hpp"
 
 namespace dunlinknot::test {
 namespace {
@@ -206,15 +206,16 @@
 
   // --- machines
   void add_worker(const ScriptedCloud::Machine& machine) {
-    auto worker = std::make_unique<Worker>(loop_, machine.id, cloud_.types.front(), machine.zone,
-                                           machine.spot, cloud_.machine_address, kWorkerLease);
+    auto worker =
+        std::make_unique<ScriptedWorker>(loop_, machine.id, cloud_.types.front(), machine.zone,
+                                         machine.spot, cloud_.machine_address, kWorkerLease);
     worker->specs = &specs_;
     worker->run_time = [this](const TaskRef&) { return Nanos(Millis(500 + random_() % 2500)); };
     worker->on_start = [this](const TaskRef& task) { apply_start(task); };
-    worker->on_end = [this](const Worker::Running& r) {
+    worker->on_end = [this](const ScriptedWorker::Running& r) {
       if (r.state != TaskState::fetching) running_.erase(r.task);
     };
-    Worker* raw = worker.get();
+    ScriptedWorker* raw = worker.get();
     workers_[machine.id] = std::move(worker);
     const auto at = std::make_shared<size_t>(0);
     loop_.spawn(raw->run(
@@ -354,7 +355,7 @@
   }
 
   void check_scale_in(const std::string& machine) {
-    const Worker& worker = *workers_.at(machine);
+    const ScriptedWorker& worker = *workers_.at(machine);
     for (const auto& [key, task] : worker.tasks) {
       if (task.state == TaskState::exited) continue;
       violation("machine " + machine + " was returned with " + key.first.text());
@@ -537,7 +538,7 @@
   http::Client client_{loop_, 4, seconds(10)};
   std::vector<std::unique_ptr<http::Server>> servers_;
   std::deque<Controller> controllers_;
-  std::map<std::string, std::unique_ptr<Worker>> workers_;
+  std::map<std::string, std::unique_ptr<ScriptedWorker>> workers_;
   std::map<std::string, JobSpec> specs_;
   std::set<TaskRef> running_;
   std::vector<std::string> accepted_;
