--- a/src/dunlinknot/cluster/allocation_store/machine_record_writer.cpp
+++ b/src/dunlinknot/cluster/allocation_store/machine_record_writer.cpp
@@ -29,7 +29,8 @@
 void leave_out_new_allocations(wire::MachineRecord& record, const Machine& machine,
                                const std::set<std::string>& but_of) {
   for (const Allocation& allocation : machine.allocations) {
-    if (allocation.phase != AllocationPhase::planned || but_of.contains(allocation.task.job)) continue;
+    if (allocation.phase != AllocationPhase::planned || but_of.contains(allocation.task.job))
+      continue;
     for (auto& group : record.groups) {
       if (group.job != allocation.task.job) continue;
       std::erase(group.tasks, std::pair(allocation.task.index, allocation.attempt));
--- a/src/dunlinknot/http/client.cpp
+++ b/src/dunlinknot/http/client.cpp
@@ -1,3 +1,4 @@
+// Outgoing HTTP/1.1 calls over kept connections, and what a failure says of the request.
 #include "dunlinknot/http/client.hpp"
 
 #include <array>
--- a/src/dunlinknot/http/message.cpp
+++ b/src/dunlinknot/http/message.cpp
@@ -1,3 +1,4 @@
+// The HTTP/1.1 parser, one step a phase, and the rendering of messages.
 #include "dunlinknot/http/message.hpp"
 
 #include <algorithm>
--- a/src/dunlinknot/http/server.cpp
+++ b/src/dunlinknot/http/server.cpp
@@ -1,3 +1,4 @@
+// Serves connections: one coroutine each, with time limits and a bound on their number.
 #include "dunlinknot/http/server.hpp"
 
 #include <spdlog/spdlog.h>
--- a/src/dunlinknot/http/server.hpp
+++ b/src/dunlinknot/http/server.hpp
@@ -10,6 +10,7 @@
 // Answers one request. May suspend; an exception is answered with 503.
 using Handler = std::function<Task<Response>(Request)>;
 
+// Bounds of a server.
 struct ServerOptions {
   size_t max_connections = 256;
   Limits limits;                                  // of one request
--- a/src/dunlinknot/http/socket.cpp
+++ b/src/dunlinknot/http/socket.cpp
@@ -1,3 +1,4 @@
+// Non-blocking TCP sockets on the event loop.
 #include "dunlinknot/http/socket.hpp"
 
 #include <arpa/inet.h>
--- a/src/dunlinknot/jobs/admission.cpp
+++ b/src/dunlinknot/jobs/admission.cpp
@@ -1,3 +1,4 @@
+// Checks of a submission that need no call: can the job ever run, can it be stored.
 #include "dunlinknot/jobs/admission.hpp"
 
 #include <algorithm>
--- a/src/dunlinknot/jobs/final_cache.cpp
+++ b/src/dunlinknot/jobs/final_cache.cpp
@@ -1,3 +1,4 @@
+// The terminal states that this node remembers.
 #include "dunlinknot/jobs/final_cache.hpp"
 
 namespace dunlinknot::jobs {
--- a/src/dunlinknot/jobs/job_lookup.cpp
+++ b/src/dunlinknot/jobs/job_lookup.cpp
@@ -1,3 +1,4 @@
+// Reads job/ID before final/ID: a job moves between them in one transaction.
 #include "dunlinknot/jobs/job_lookup.hpp"
 
 #include <spdlog/spdlog.h>
--- a/src/dunlinknot/jobs/job_lookup.hpp
+++ b/src/dunlinknot/jobs/job_lookup.hpp
@@ -12,6 +12,7 @@
 
 namespace dunlinknot::jobs {
 
+// What is known of a job.
 struct LookupResult {
   enum class Kind : uint8_t {
     open,      // accepted, not ended
@@ -28,6 +29,7 @@
   static LookupResult ended(const wire::FinalRecord& record);
 };
 
+// Answers from memory where the answer can no longer change, else asks the store. Event loop only.
 class JobLookup {
  public:
   // `on_cancelled` is called with the id of every job that this node newly finds or makes
--- a/src/dunlinknot/jobs/progress_cache.cpp
+++ b/src/dunlinknot/jobs/progress_cache.cpp
@@ -1,3 +1,4 @@
+// The counts of open jobs as the leader last sent them.
 #include "dunlinknot/jobs/progress_cache.hpp"
 
 #include <utility>
--- a/src/dunlinknot/jobs/request_handler.cpp
+++ b/src/dunlinknot/jobs/request_handler.cpp
@@ -1,3 +1,4 @@
+// Submissions, polls and cancellations as compare-and-swaps on the job's keys.
 #include "dunlinknot/jobs/request_handler.hpp"
 
 #include <spdlog/spdlog.h>
@@ -65,7 +66,7 @@
   const auto id = wire::submitted_id(document->root());
   if (!id) co_return error_response(kStatusBadRequest, "missing or invalid: id");
   if (const auto* final = finals().find(*id))
-    co_return standing_of(*id, LookupResult::ended(*final), false);
+    co_return job_response(*id, LookupResult::ended(*final), false);
   if (submissions_in_flight_ >= op_.max_submissions ||
       !store_.has_room_for_users(kWritesOfSubmission)) {
     co_return put_off();
@@ -96,7 +97,7 @@
 // refused, or put off when there is no refusal.
 Task<Response> RequestHandler::answer_unless_known(std::string id, std::optional<Refusal> refusal) {
   const LookupResult found = co_await lookup_.find(id, loop_.now() + kPollTime);
-  if (found.known()) co_return standing_of(id, found, false);
+  if (found.known()) co_return job_response(id, found, false);
   if (found.kind == LookupResult::Kind::unproven || !refusal) co_return put_off();
   spdlog::debug("{} answered {}: {}", id, refusal->status, refusal->reason);
   co_return error_response(refusal->status, refusal->reason);
@@ -115,7 +116,7 @@
       co_return accepted_response(id);
     }
     const LookupResult found = co_await lookup_.find(id, deadline);
-    if (found.known()) co_return standing_of(id, found, false);
+    if (found.known()) co_return job_response(id, found, false);
     if (found.kind == LookupResult::Kind::unproven) break;
   }
   co_return put_off();
@@ -126,12 +127,12 @@
   if (lookups_in_flight_ >= op_.max_polls) co_return put_off();
   const ScopedCount in_flight(lookups_in_flight_);
   const LookupResult found = co_await lookup_.find(id, loop_.now() + kPollTime);
-  if (found.known()) co_return standing_of(id, found, true);
+  if (found.known()) co_return job_response(id, found, true);
   if (found.kind == LookupResult::Kind::unproven) co_return put_off();
   co_return error_response(kStatusNotFound, kNoSuchJob);
 }
 
-Task<Response> RequestHandler::withdraw(std::string id) {
+Task<Response> RequestHandler::cancel(std::string id) {
   if (!wire::valid_job_id(id)) co_return error_response(kStatusNotFound, kNoSuchJob);
   if (lookups_in_flight_ >= op_.max_polls) co_return put_off();
   const ScopedCount in_flight(lookups_in_flight_);
@@ -141,7 +142,7 @@
     if (found.kind == LookupResult::Kind::unproven) break;
     if (found.kind == LookupResult::Kind::absent)
       co_return error_response(kStatusNotFound, kNoSuchJob);
-    if (found.kind == LookupResult::Kind::final) co_return standing_of(id, found, false);
+    if (found.kind == LookupResult::Kind::final) co_return job_response(id, found, false);
     kv::Transaction transaction = cancellation(id, found);
     const Nanos within = call_time(deadline - loop_.now());
     const kv::TransactionResult result =
@@ -154,9 +155,9 @@
   co_return put_off();
 }
 
-Response RequestHandler::standing_of(const std::string& id, const LookupResult& found,
-                                     bool with_counts) const {
-  return standing_response(id, found, progress_.counts(id), with_counts);
+Response RequestHandler::job_response(const std::string& id, const LookupResult& found,
+                                      bool with_counts) const {
+  return status_response(id, found, progress_.counts(id), with_counts);
 }
 
 // Refused at once rather than held back, with a random time to come back.
--- a/src/dunlinknot/jobs/request_handler.hpp
+++ b/src/dunlinknot/jobs/request_handler.hpp
@@ -34,7 +34,7 @@
   Task<http::Response> poll(std::string id);
   // Cancels a job: 200 with its terminal state once that is durable, 404 when it was never
   // accepted.
-  Task<http::Response> withdraw(std::string id);
+  Task<http::Response> cancel(std::string id);
 
   // Submissions are put off until the machine types are known.
   void set_catalog(std::vector<MachineType> types) { admission_.set_catalog(std::move(types)); }
@@ -62,8 +62,8 @@
   Submission read_submission(wire::View root) const;
   Task<http::Response> answer_unless_known(std::string id, std::optional<Refusal> refusal);
   Task<http::Response> store_job(std::string id, std::string record, Instant deadline);
-  http::Response standing_of(const std::string& id, const LookupResult& found,
-                             bool with_counts) const;
+  http::Response job_response(const std::string& id, const LookupResult& found,
+                              bool with_counts) const;
   http::Response put_off();
 
   EventLoop& loop_;
--- a/src/dunlinknot/jobs/responses.cpp
+++ b/src/dunlinknot/jobs/responses.cpp
@@ -1,3 +1,4 @@
+// The HTTP responses of the users' API.
 #include "dunlinknot/jobs/responses.hpp"
 
 namespace dunlinknot::jobs {
@@ -10,8 +11,8 @@
 constexpr int kStatusCreated = 201;
 constexpr int kStatusUnavailable = 503;
 
-JobStanding standing_of(const std::string& id, const LookupResult& found, JobCounts counts) {
-  using State = JobStanding::State;
+JobStatus status_of(const std::string& id, const LookupResult& found, JobCounts counts) {
+  using State = JobStatus::State;
   if (found.kind != LookupResult::Kind::final)
     return {id, counts.running > 0 ? State::running : State::queued, counts.done, counts.running};
   if (found.final.cancelled) return {id, State::cancelled, 0, 0};
@@ -28,14 +29,14 @@
 }  // namespace
 
 Response accepted_response(const std::string& id) {
-  const JobStanding standing{id, JobStanding::State::queued, 0, 0};
-  return response_with(kStatusCreated, wire::write_standing(standing, false));
+  const JobStatus status{id, JobStatus::State::queued, 0, 0};
+  return response_with(kStatusCreated, wire::write_job_status(status, false));
 }
 
-Response standing_response(const std::string& id, const LookupResult& found, JobCounts counts,
-                           bool with_counts) {
+Response status_response(const std::string& id, const LookupResult& found, JobCounts counts,
+                         bool with_counts) {
   return response_with(kStatusOk,
-                       wire::write_standing(standing_of(id, found, counts), with_counts));
+                       wire::write_job_status(status_of(id, found, counts), with_counts));
 }
 
 Response error_response(int status, std::string_view reason) {
--- a/src/dunlinknot/jobs/responses.hpp
+++ b/src/dunlinknot/jobs/responses.hpp
@@ -12,8 +12,8 @@
 // 201: the job is durable.
 http::Response accepted_response(const std::string& id);
 // 200 with the job's state. `counts`: of an open job; `with_counts`: whether they are shown.
-http::Response standing_response(const std::string& id, const LookupResult& found, JobCounts counts,
-                                 bool with_counts);
+http::Response status_response(const std::string& id, const LookupResult& found, JobCounts counts,
+                               bool with_counts);
 // 4xx with the reason.
 http::Response error_response(int status, std::string_view reason);
 // 503: the request was not carried out, or that cannot be confirmed.
--- a/src/dunlinknot/node/catalog_keeper.cpp
+++ b/src/dunlinknot/node/catalog_keeper.cpp
@@ -1,3 +1,4 @@
+// Reads the machine types from the key-value store or the cloud, and stores them.
 #include "dunlinknot/node/catalog_keeper.hpp"
 
 #include <spdlog/spdlog.h>
--- a/src/dunlinknot/node/cluster_summary.cpp
+++ b/src/dunlinknot/node/cluster_summary.cpp
@@ -1,3 +1,4 @@
+// Sums over the cluster state, and the log lines made of them.
 #include "dunlinknot/node/cluster_summary.hpp"
 
 #include <spdlog/spdlog.h>
--- a/src/dunlinknot/node/connection_limit.cpp
+++ b/src/dunlinknot/node/connection_limit.cpp
@@ -1,3 +1,4 @@
+// How many of the platform's connections the server may use.
 #include "dunlinknot/node/connection_limit.hpp"
 
 #include <algorithm>
--- a/src/dunlinknot/node/counters.cpp
+++ b/src/dunlinknot/node/counters.cpp
@@ -1,3 +1,4 @@
+// The periodic log line of what this node did.
 #include "dunlinknot/node/counters.hpp"
 
 #include <spdlog/spdlog.h>
--- a/src/dunlinknot/node/counters.hpp
+++ b/src/dunlinknot/node/counters.hpp
@@ -20,6 +20,7 @@
   uint64_t preemptions = 0;  // tasks
 };
 
+// Reads the counters of the other parts and logs the difference. Event loop only.
 class CounterLog {
  public:
   // The referenced objects outlive the log.
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -1,3 +1,4 @@
+// Constructs the parts in the order of their dependencies and passes events between them.
 #include "dunlinknot/node/daemon.hpp"
 
 #include "dunlinknot/node/connection_limit.hpp"
--- a/src/dunlinknot/node/failover.cpp
+++ b/src/dunlinknot/node/failover.cpp
@@ -1,3 +1,4 @@
+// What a new leader does before it answers workers, and what a deposed one undoes.
 #include "dunlinknot/node/failover.hpp"
 
 #include <spdlog/spdlog.h>
--- a/src/dunlinknot/node/leader_loop.cpp
+++ b/src/dunlinknot/node/leader_loop.cpp
@@ -1,3 +1,4 @@
+// The leader's loop: expiry, scheduling cycle, pause.
 #include "dunlinknot/node/leader_loop.hpp"
 
 #include <spdlog/spdlog.h>
--- a/src/dunlinknot/node/leader_loop.hpp
+++ b/src/dunlinknot/node/leader_loop.hpp
@@ -12,6 +12,7 @@
 
 namespace dunlinknot::node {
 
+// One instance a process; runs only while this node leads. Event loop only.
 class LeaderLoop {
  public:
   // The referenced objects outlive the loop.
--- a/src/dunlinknot/node/local_status.cpp
+++ b/src/dunlinknot/node/local_status.cpp
@@ -1,3 +1,4 @@
+// Collects what the peers are sent from the parts that know it.
 #include "dunlinknot/node/local_status.hpp"
 
 namespace dunlinknot::node {
--- a/src/dunlinknot/node/local_status.hpp
+++ b/src/dunlinknot/node/local_status.hpp
@@ -9,6 +9,7 @@
 
 namespace dunlinknot::node {
 
+// Reads from the other parts whenever a peer is sent a status. Event loop only.
 class LocalStatus {
  public:
   // The referenced objects outlive this one.
--- a/src/dunlinknot/node/readiness.cpp
+++ b/src/dunlinknot/node/readiness.cpp
@@ -1,3 +1,4 @@
+// The answer to the load balancer's probe.
 #include "dunlinknot/node/readiness.hpp"
 
 #include "dunlinknot/wire/records.hpp"
--- a/src/dunlinknot/node/readiness.hpp
+++ b/src/dunlinknot/node/readiness.hpp
@@ -7,6 +7,7 @@
 
 namespace dunlinknot::node {
 
+// Keeps no state of its own. Event loop only.
 class Readiness {
  public:
   // The referenced objects outlive this one.
--- a/src/dunlinknot/node/renewal_policy.cpp
+++ b/src/dunlinknot/node/renewal_policy.cpp
@@ -1,3 +1,4 @@
+// Whether workers' leases may be renewed, with the peers' confirmation (safety 2).
 #include "dunlinknot/node/renewal_policy.hpp"
 
 namespace dunlinknot::node {
--- a/src/dunlinknot/node/router.cpp
+++ b/src/dunlinknot/node/router.cpp
@@ -1,3 +1,4 @@
+// Paths and methods of the HTTP interface.
 #include "dunlinknot/node/router.hpp"
 
 #include <string>
@@ -42,7 +43,7 @@
   std::string_view job_id = path.substr(wire::kJobPathPrefix.size());
   if (job_id.ends_with(wire::kWithdrawSuffix)) {
     job_id.remove_suffix(wire::kWithdrawSuffix.size());
-    return only("POST", Action::withdraw_job, job_id);
+    return only("POST", Action::cancel_job, job_id);
   }
   return only("GET", Action::poll_job, job_id);
 }
@@ -64,8 +65,8 @@
       co_return co_await jobs_.submit(std::move(request.body));
     case Action::poll_job:
       co_return co_await jobs_.poll(std::string(route.job_id));
-    case Action::withdraw_job:
-      co_return co_await jobs_.withdraw(std::string(route.job_id));
+    case Action::cancel_job:
+      co_return co_await jobs_.cancel(std::string(route.job_id));
     case Action::method_not_allowed:
       co_return empty_response(kStatusMethodNotAllowed);
     case Action::not_found:
--- a/src/dunlinknot/node/router.hpp
+++ b/src/dunlinknot/node/router.hpp
@@ -16,11 +16,12 @@
   ready,
   submit_job,
   poll_job,
-  withdraw_job,
+  cancel_job,
   method_not_allowed,  // the path exists, but not with this method
   not_found,
 };
 
+// Where a request goes.
 struct Route {
   Action action = Action::not_found;
   std::string_view job_id;  // points into the request's target; not checked; only with poll_job and
--- a/src/dunlinknot/runtime/event_loop.cpp
+++ b/src/dunlinknot/runtime/event_loop.cpp
@@ -1,3 +1,4 @@
+// Timers, sockets on epoll, and the outermost frames of spawned coroutines.
 #include "dunlinknot/runtime/event_loop.hpp"
 
 #include <spdlog/spdlog.h>
--- a/src/dunlinknot/settings/text_file.cpp
+++ b/src/dunlinknot/settings/text_file.cpp
@@ -1,3 +1,4 @@
+// Reads a settings file as a whole.
 #include "dunlinknot/settings/text_file.hpp"
 
 #include <fstream>
--- a/src/dunlinknot/settings/toml_reader.cpp
+++ b/src/dunlinknot/settings/toml_reader.cpp
@@ -1,3 +1,4 @@
+// Typed access to TOML fields; every error names file, line and field.
 #include "dunlinknot/settings/toml_reader.hpp"
 
 #include <cmath>
--- a/src/dunlinknot/wire/messages.cpp
+++ b/src/dunlinknot/wire/messages.cpp
@@ -1,3 +1,4 @@
+// The platform's messages: the only place that knows their field names.
 #include "dunlinknot/wire/messages.hpp"
 
 #include <algorithm>
@@ -31,10 +32,10 @@
                                        {ExitCause::unknown, "unknown"}}};
 constexpr Names<Command::Op, 3> kOps{
     {{Command::Op::start, "run"}, {Command::Op::stop, "stop"}, {Command::Op::forget, "forget"}}};
-constexpr Names<JobStanding::State, 4> kStandings{{{JobStanding::State::queued, "queued"},
-                                                   {JobStanding::State::running, "running"},
-                                                   {JobStanding::State::done, "done"},
-                                                   {JobStanding::State::cancelled, "cancelled"}}};
+constexpr Names<JobStatus::State, 4> kJobStates{{{JobStatus::State::queued, "queued"},
+                                                 {JobStatus::State::running, "running"},
+                                                 {JobStatus::State::done, "done"},
+                                                 {JobStatus::State::cancelled, "cancelled"}}};
 constexpr Names<MachineState, 3> kMachineStates{{{MachineState::booting, "starting"},
                                                  {MachineState::running, "running"},
                                                  {MachineState::failed, "failed"}}};
@@ -209,13 +210,13 @@
   spec.deadline ? writer.amount(spec.deadline->count()) : writer.null();
 }
 
-std::string write_standing(const JobStanding& standing, bool with_counts) {
+std::string write_job_status(const JobStatus& standing, bool with_counts) {
   Writer writer;
   writer.map(with_counts ? 4 : 2)
       .key("id")
       .text(standing.id)
       .key("standing")
-      .text(name_of(kStandings, standing.state));
+      .text(name_of(kJobStates, standing.state));
   if (with_counts) writer.key("done").count(standing.done).key("running").count(standing.running);
   return writer.take();
 }
--- a/src/dunlinknot/wire/messages.hpp
+++ b/src/dunlinknot/wire/messages.hpp
@@ -11,6 +11,7 @@
 
 namespace dunlinknot {
 
+// Amounts of what machines have and tasks need.
 struct Resources {
   double cpus = 0;
   double gpus = 0;
@@ -22,24 +23,25 @@
     return cpus <= room.cpus + kSlack && gpus <= room.gpus + kSlack &&
            memory_gb <= room.memory_gb + kSlack;
   }
-  Resources& operator+=(const Resources& o) {
-    cpus += o.cpus, gpus += o.gpus, memory_gb += o.memory_gb;
+  Resources& operator+=(const Resources& other) {
+    cpus += other.cpus, gpus += other.gpus, memory_gb += other.memory_gb;
     return *this;
   }
-  Resources& operator-=(const Resources& o) {
-    cpus -= o.cpus, gpus -= o.gpus, memory_gb -= o.memory_gb;
+  Resources& operator-=(const Resources& other) {
+    cpus -= other.cpus, gpus -= other.gpus, memory_gb -= other.memory_gb;
     return *this;
   }
-  friend Resources operator+(Resources a, const Resources& b) { return a += b; }
-  friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
-  friend Resources operator*(Resources a, double n) {
-    a.cpus *= n, a.gpus *= n, a.memory_gb *= n;
-    return a;
+  friend Resources operator+(Resources left, const Resources& right) { return left += right; }
+  friend Resources operator-(Resources left, const Resources& right) { return left -= right; }
+  friend Resources operator*(Resources each, double times) {
+    each.cpus *= times, each.gpus *= times, each.memory_gb *= times;
+    return each;
   }
 };
 
 enum class Priority : uint8_t { low = 0, normal = 1, high = 2, production = 3 };
 
+// A job as it was submitted; never changes.
 struct JobSpec {
   std::string id;
   std::string job_class;
@@ -64,6 +66,7 @@
 
 inline constexpr uint32_t kMaxTasks = 100'000;
 
+// A type of machine that the cloud offers. Prices are per hour.
 struct MachineType {
   std::string name;
   Resources size;
@@ -78,6 +81,7 @@
 enum class TaskState : uint8_t { fetching, waiting, running, saving, exited };
 enum class ExitCause : uint8_t { none, done, stopped, peers, alone, error, no_room, busy, unknown };
 
+// One task of a job.
 struct TaskRef {
   std::string job;
   uint32_t index = 0;
@@ -86,6 +90,7 @@
   auto operator<=>(const TaskRef&) const = default;
 };
 
+// What a worker says of one attempt of a task.
 struct TaskStatus {
   TaskRef task;
   uint64_t attempt = 0;
@@ -94,6 +99,8 @@
   bool saved = false;
 };
 
+// A worker's status: complete, so what is not in it is not on the machine. Incarnation, then
+// sequence, tell the newer of two.
 struct Heartbeat {
   std::string machine;
   std::string address;
@@ -107,6 +114,7 @@
   std::vector<TaskStatus> tasks;
 };
 
+// What the leader tells a worker to do about one attempt of a task.
 struct Command {
   enum class Op : uint8_t { start, stop, forget };
   Op op = Op::start;
@@ -115,7 +123,8 @@
   Seconds grace{0};
 };
 
-struct JobStanding {
+// What a user is told of a job.
+struct JobStatus {
   enum class State : uint8_t { queued, running, done, cancelled };
   std::string id;
   State state = State::queued;
@@ -125,6 +134,7 @@
 
 enum class MachineState : uint8_t { booting, running, failed };
 
+// A machine in the list of the cloud, which lags.
 struct ListedMachine {
   std::string id;
   std::string address;
@@ -135,6 +145,7 @@
   Seconds age{0};
 };
 
+// One page of that list.
 struct MachineList {
   std::vector<ListedMachine> machines;
   bool more = false;
@@ -149,7 +160,7 @@
 std::optional<JobSpec> read_job(View root, std::string& why);
 void write_job(Writer& writer, const JobSpec& job);
 
-std::string write_standing(const JobStanding& standing, bool with_counts);
+std::string write_job_status(const JobStatus& standing, bool with_counts);
 std::string write_error(std::string_view text);
 
 std::optional<Heartbeat> read_heartbeat(std::string_view body);
--- a/src/dunlinknot/wire/pack.cpp
+++ b/src/dunlinknot/wire/pack.cpp
@@ -1,3 +1,4 @@
+// Reading of MessagePack, and the size of a value in JSON.
 #include "dunlinknot/wire/pack.hpp"
 
 #include <fmt/format.h>
@@ -9,7 +10,7 @@
 
 View View::operator[](std::string_view key) const {
   if (!is_map()) return View();
-  const auto& m = o_->via.map;
+  const auto& m = object_->via.map;
   for (uint32_t i = 0; i < m.size; ++i) {
     const auto& k = m.ptr[i].key;
     if (k.type == msgpack::type::STR && std::string_view(k.via.str.ptr, k.via.str.size) == key) {
@@ -20,25 +21,25 @@
 }
 
 std::optional<std::string_view> View::text() const {
-  if (!o_ || o_->type != msgpack::type::STR) return std::nullopt;
-  return std::string_view(o_->via.str.ptr, o_->via.str.size);
+  if (!object_ || object_->type != msgpack::type::STR) return std::nullopt;
+  return std::string_view(object_->via.str.ptr, object_->via.str.size);
 }
 
 std::optional<uint64_t> View::count() const {
-  if (!o_ || o_->type != msgpack::type::POSITIVE_INTEGER) return std::nullopt;
-  return o_->via.u64;
+  if (!object_ || object_->type != msgpack::type::POSITIVE_INTEGER) return std::nullopt;
+  return object_->via.u64;
 }
 
 std::optional<double> View::amount() const {
-  if (!o_) return std::nullopt;
-  switch (o_->type) {
+  if (!object_) return std::nullopt;
+  switch (object_->type) {
     case msgpack::type::POSITIVE_INTEGER:
-      return static_cast<double>(o_->via.u64);
+      return static_cast<double>(object_->via.u64);
     case msgpack::type::NEGATIVE_INTEGER:
-      return static_cast<double>(o_->via.i64);
+      return static_cast<double>(object_->via.i64);
     case msgpack::type::FLOAT32:
     case msgpack::type::FLOAT64:
-      if (std::isfinite(o_->via.f64)) return o_->via.f64;
+      if (std::isfinite(object_->via.f64)) return object_->via.f64;
       return std::nullopt;
     default:
       return std::nullopt;
@@ -46,8 +47,8 @@
 }
 
 std::optional<bool> View::flag() const {
-  if (!o_ || o_->type != msgpack::type::BOOLEAN) return std::nullopt;
-  return o_->via.boolean;
+  if (!object_ || object_->type != msgpack::type::BOOLEAN) return std::nullopt;
+  return object_->via.boolean;
 }
 
 namespace {
--- a/src/dunlinknot/wire/pack.hpp
+++ b/src/dunlinknot/wire/pack.hpp
@@ -9,22 +9,23 @@
 
 namespace dunlinknot::wire {
 
+// A value inside a Document, which must outlive it; also of a field that is not there.
 class View {
  public:
   View() = default;
-  explicit View(const msgpack::object* o) : o_(o) {}
+  explicit View(const msgpack::object* object) : object_(object) {}
 
   View operator[](std::string_view key) const;
-  bool null() const { return !o_ || o_->type == msgpack::type::NIL; }
-  bool is_map() const { return o_ && o_->type == msgpack::type::MAP; }
-  bool is_list() const { return o_ && o_->type == msgpack::type::ARRAY; }
-  size_t size() const { return is_list() ? o_->via.array.size : 0; }
-  View at(size_t i) const { return View(&o_->via.array.ptr[i]); }
-  size_t map_size() const { return is_map() ? o_->via.map.size : 0; }
-  std::string_view key_at(size_t i) const {
-    return View(&o_->via.map.ptr[i].key).text().value_or(std::string_view());
+  bool null() const { return !object_ || object_->type == msgpack::type::NIL; }
+  bool is_map() const { return object_ && object_->type == msgpack::type::MAP; }
+  bool is_list() const { return object_ && object_->type == msgpack::type::ARRAY; }
+  size_t size() const { return is_list() ? object_->via.array.size : 0; }
+  View at(size_t index) const { return View(&object_->via.array.ptr[index]); }
+  size_t map_size() const { return is_map() ? object_->via.map.size : 0; }
+  std::string_view key_at(size_t index) const {
+    return View(&object_->via.map.ptr[index].key).text().value_or(std::string_view());
   }
-  View value_at(size_t i) const { return View(&o_->via.map.ptr[i].val); }
+  View value_at(size_t index) const { return View(&object_->via.map.ptr[index].val); }
 
   std::optional<std::string_view> text() const;
   std::optional<uint64_t> count() const;  // a whole number of at least 0
@@ -32,9 +33,10 @@
   std::optional<bool> flag() const;
 
  private:
-  const msgpack::object* o_ = nullptr;
+  const msgpack::object* object_ = nullptr;
 };
 
+// A parsed message; owns what its views point into.
 class Document {
  public:
   static std::optional<Document> parse(std::string_view bytes);
@@ -44,20 +46,23 @@
   msgpack::object_handle handle_;
 };
 
+// Packs one value, element by element; maps and lists are announced with their size.
 class Writer {
  public:
-  Writer& map(size_t n) { return p_.pack_map(static_cast<uint32_t>(n)), *this; }
-  Writer& list(size_t n) { return p_.pack_array(static_cast<uint32_t>(n)), *this; }
-  Writer& text(std::string_view s) {
-    p_.pack_str(static_cast<uint32_t>(s.size()));
-    p_.pack_str_body(s.data(), static_cast<uint32_t>(s.size()));
+  Writer& map(size_t size) { return packer_.pack_map(static_cast<uint32_t>(size)), *this; }
+  Writer& list(size_t size) { return packer_.pack_array(static_cast<uint32_t>(size)), *this; }
+  Writer& text(std::string_view value) {
+    packer_.pack_str(static_cast<uint32_t>(value.size()));
+    packer_.pack_str_body(value.data(), static_cast<uint32_t>(value.size()));
     return *this;
   }
-  Writer& key(std::string_view s) { return text(s); }
-  Writer& count(uint64_t n) { return p_.pack_uint64(n), *this; }
-  Writer& amount(double d) { return p_.pack_double(d), *this; }
-  Writer& flag(bool b) { return b ? (p_.pack_true(), *this) : (p_.pack_false(), *this); }
-  Writer& null() { return p_.pack_nil(), *this; }
+  Writer& key(std::string_view name) { return text(name); }
+  Writer& count(uint64_t value) { return packer_.pack_uint64(value), *this; }
+  Writer& amount(double value) { return packer_.pack_double(value), *this; }
+  Writer& flag(bool value) {
+    return value ? (packer_.pack_true(), *this) : (packer_.pack_false(), *this);
+  }
+  Writer& null() { return packer_.pack_nil(), *this; }
   // A value packed before.
   Writer& raw(std::string_view packed) {
     buffer_.write(packed.data(), packed.size());
@@ -68,14 +73,14 @@
 
  private:
   msgpack::sbuffer buffer_{512};
-  msgpack::packer<msgpack::sbuffer> p_{buffer_};
+  msgpack::packer<msgpack::sbuffer> packer_{buffer_};
 };
 
 // The size of a value in JSON, with a space after each separator: no smaller than what an outside
 // service counts that limits its values in that form.
 size_t json_size(View value);
 // The same for one number, as part of a value.
-size_t json_size_of_amount(double d);
-size_t json_size_of_count(uint64_t n);
+size_t json_size_of_amount(double value);
+size_t json_size_of_count(uint64_t value);
 
 }  // namespace dunlinknot::wire
--- a/src/dunlinknot/wire/peer.cpp
+++ b/src/dunlinknot/wire/peer.cpp
@@ -1,3 +1,4 @@
+// Layout of the frames between controllers; every length is checked before a read.
 #include "dunlinknot/wire/peer.hpp"
 
 #include <algorithm>
--- a/src/dunlinknot/wire/peer.hpp
+++ b/src/dunlinknot/wire/peer.hpp
@@ -28,11 +28,13 @@
 
 enum class Kind : uint16_t { status = 1, progress = 2, cancelled = 3 };
 
+// What stands before each frame.
 struct Header {
   Kind kind = Kind::status;
   uint32_t length = 0;
 };
 
+// What a controller says of itself, every half second.
 struct Status {
   uint64_t sequence = 0;  // of the sender
   uint64_t echo = 0;      // the last seq it has seen from the receiver
@@ -49,11 +51,13 @@
   std::string leader;  // the node leading `epoch`, if known
 };
 
+// Counts of one open job, for display.
 struct ProgressEntry {
   std::string id;
   uint32_t done = 0;
   uint32_t running = 0;
 };
+// Counts of open jobs, as the leader of `epoch` knows them.
 struct Progress {
   uint64_t epoch = 0;
   std::vector<ProgressEntry> entries;
--- a/src/dunlinknot/wire/records.cpp
+++ b/src/dunlinknot/wire/records.cpp
@@ -1,3 +1,4 @@
+// Stored records and their keys; the forms are fixed (docs/design.md, Compatibility).
 #include "dunlinknot/wire/records.hpp"
 
 #include <algorithm>
--- a/src/dunlinknot/wire/records.hpp
+++ b/src/dunlinknot/wire/records.hpp
@@ -26,6 +26,7 @@
 std::string_view after_prefix(std::string_view key, std::string_view prefix);
 std::optional<std::pair<std::string, uint32_t>> parse_done_key(std::string_view key);
 
+// An open job, under job/ID.
 struct JobRecord {
   JobSpec spec;
   WallTime submitted{};
@@ -35,6 +36,7 @@
 // Only the number of tasks; 0 when it cannot be read.
 uint32_t read_job_record_tasks(View value);
 
+// How a job ended, under final/ID.
 struct FinalRecord {
   bool cancelled = false;
   uint32_t tasks = 0;
@@ -42,13 +44,14 @@
 std::string write_final(const FinalRecord& record);
 std::optional<FinalRecord> read_final(View value);
 
+// Who leads, under leader.
 struct LeaderRecord {
   std::string node;
   uint64_t epoch = 0;
 };
 std::string write_leader(const LeaderRecord& record);
 std::optional<LeaderRecord> read_leader(View value);
-std::string write_epoch(uint64_t n);
+std::string write_epoch(uint64_t epoch);
 std::optional<uint64_t> read_epoch(View value);
 
 // A chunk covers kChunkTasks tasks, four in a character.
--- a/src/dunlinknot/workers/heartbeat_handler.cpp
+++ b/src/dunlinknot/workers/heartbeat_handler.cpp
@@ -1,3 +1,4 @@
+// From a heartbeat to its response; the commands are decided when it leaves.
 #include "dunlinknot/workers/heartbeat_handler.hpp"
 
 #include <spdlog/spdlog.h>
--- a/src/dunlinknot/workers/stop_caller.cpp
+++ b/src/dunlinknot/workers/stop_caller.cpp
@@ -1,3 +1,4 @@
+// Direct calls that stop tasks; the heartbeats carry the same stops.
 #include "dunlinknot/workers/stop_caller.hpp"
 
 #include <utility>
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -12,7 +12,7 @@
   EXPECT_EQ(find_route("POST", "/v1/jobs").action, Action::submit_job);
   EXPECT_EQ(find_route("GET", "/v1/jobs/j1").action, Action::poll_job);
   EXPECT_EQ(find_route("GET", "/v1/jobs/j1").job_id, "j1");
-  EXPECT_EQ(find_route("POST", "/v1/jobs/j1/withdraw").action, Action::withdraw_job);
+  EXPECT_EQ(find_route("POST", "/v1/jobs/j1/withdraw").action, Action::cancel_job);
   EXPECT_EQ(find_route("POST", "/v1/jobs/j1/withdraw").job_id, "j1");
 }
 
