--- a/src/dunlinknot/autoscaler/scale_out.cpp
+++ b/src/dunlinknot/autoscaler/scale_out.cpp
@@ -59,7 +59,7 @@
 scheduler::CloudCapacity ScaleOut::cloud_capacity(Instant now) const {
   scheduler::CloudCapacity capacity;
   for (const Launch& launch : launches_) {
-    if (!launch.parked) capacity.pending.emplace_back(launch.offer, launch.count);
+    if (!launch.parked) capacity.pending.push_back({launch.offer, launch.count});
   }
   capacity.refused = backoff_.paused(now);
   return capacity;
