--- a/src/dunlinknot/workers/heartbeat_handler.cpp
+++ b/src/dunlinknot/workers/heartbeat_handler.cpp
@@ -53,9 +53,9 @@
       return leader.cluster.commands_for(*heartbeat, context_.loop.now(), starts);
     });
   }
-  Decision decision = decide(*heartbeat, std::move(response));
+  const Decision decision = decide(*heartbeat, std::move(response));
   if (decision.verdict == Verdict::commands) last_answered_heartbeat_ = now;
-  co_return respond(std::move(decision));
+  co_return respond(decision);
 }
 
 // Safety 2: without the key-value store a leader renews leases for a bounded time only.
@@ -87,7 +87,7 @@
   return {Verdict::commands, std::move(response.commands)};
 }
 
-http::Response HeartbeatHandler::respond(Decision decision) const {
+http::Response HeartbeatHandler::respond(const Decision& decision) const {
   http::Response response;
   switch (decision.verdict) {
     case Verdict::commands:
--- a/src/dunlinknot/workers/heartbeat_handler.hpp
+++ b/src/dunlinknot/workers/heartbeat_handler.hpp
@@ -50,7 +50,7 @@
   bool may_answer() const;
   cluster::HeartbeatResponse apply(const Heartbeat& heartbeat, Instant now);
   Decision decide(const Heartbeat& heartbeat, cluster::HeartbeatResponse response);
-  http::Response respond(Decision decision) const;
+  http::Response respond(const Decision& decision) const;
   Task<void> await_run(std::string machine);
 
   cluster::LeaderContext& context_;
