--- a/src/dunlinknot/autoscaler/machine_inventory.hpp
+++ b/src/dunlinknot/autoscaler/machine_inventory.hpp
@@ -20,7 +20,7 @@
                    ScaleIn& scale_in);
 
   // Reads the list, and now and then the catalogue, as long as the term lasts. What cannot be read
-  // is read again in the next round.
+  // is read again in the next pass.
   Task<void> watch(uint64_t term);
 
  private:
--- a/src/dunlinknot/cluster/interruptions.cpp
+++ b/src/dunlinknot/cluster/interruptions.cpp
@@ -32,9 +32,9 @@
 }
 
 // A replica never ends by itself: it leaves a machine that is interrupted as late as the stop and
-// the report of it are sure to get there and back. One that runs on a drained machine stays: a
-// machine that fails what it starts does no harm to what runs (cellarline-qld-next, day `troubles`:
-// stopping them there cost more served time than the loss of machines).
+// the heartbeat after it are sure to get there and back. One that runs on a drained machine stays:
+// a machine that fails what it starts does no harm to what runs (cellarline-qld-next, day
+// `troubles`: stopping them there cost more served time than the loss of machines).
 void Interruptions::move_replicas(Machine& machine, Instant now) const {
   if (!machine.interruption_at ||
       *machine.interruption_at - now > to_nanos(platform_.heartbeat_interval * 2))
--- a/src/dunlinknot/kv/pager.hpp
+++ b/src/dunlinknot/kv/pager.hpp
@@ -12,7 +12,7 @@
 //   kv::Pager pager(store, prefix, std::chrono::seconds(3));
 //   while (!pager.done()) {
 //     const kv::ListResult page = co_await pager.next();
-//     if (page.outcome != kv::Outcome::ok) ...  // pause and go round again, or give up
+//     if (page.outcome != kv::Outcome::ok) ...  // pause and ask again, or give up
 //     for (const kv::KeyValue& item : page.items) ...
 //   }
 //
