--- a/src/dunlinknot/autoscaler/scale_out.cpp
+++ b/src/dunlinknot/autoscaler/scale_out.cpp
@@ -59,9 +59,9 @@
 scheduler::CloudCapacity ScaleOut::cloud_capacity(Instant now) const {
   scheduler::CloudCapacity capacity;
   for (const Launch& launch : launches_) {
-    if (!launch.parked) capacity.pending.push_back({launch.offer, launch.count});
+    if (!launch.parked) capacity.pending_launches.push_back({launch.offer, launch.count});
   }
-  capacity.refused = backoff_.paused(now);
+  capacity.refused_offers = backoff_.paused(now);
   return capacity;
 }
 
--- a/src/dunlinknot/cluster/allocation_store/job_records.cpp
+++ b/src/dunlinknot/cluster/allocation_store/job_records.cpp
@@ -28,7 +28,7 @@
   if (!job) return {};
   if (!job->all_done()) spdlog::info("job {} was cancelled", id);
   const Effects effects = leader.cluster.close_job(id, true, access_.context.loop.now());
-  leader.nominations.job_closed(id);
+  leader.nominations.end_all_of_job(id);
   return effects;
 }
 
@@ -57,7 +57,7 @@
   const bool cancelled = !record || record->cancelled;
   const Effects effects = context.leader_state.with([&](LeaderState& leader) {
     const Effects closed = leader.cluster.close_job(id, cancelled, context.loop.now());
-    leader.nominations.job_closed(id);
+    leader.nominations.end_all_of_job(id);
     return closed;
   });
   if (!cancelled) access_.handler.on_job_finished(id, record->tasks);
--- a/src/dunlinknot/cluster/allocation_store/progress_writer.cpp
+++ b/src/dunlinknot/cluster/allocation_store/progress_writer.cpp
@@ -98,7 +98,7 @@
     }
     for (const FinishedJob& job : batch.finished) {
       effects |= leader.cluster.close_job(job.id, false, context.loop.now());
-      leader.nominations.job_closed(job.id);
+      leader.nominations.end_all_of_job(job.id);
     }
   });
   for (const FinishedJob& job : batch.finished) {
--- a/src/dunlinknot/node/leader_loop.cpp
+++ b/src/dunlinknot/node/leader_loop.cpp
@@ -83,9 +83,9 @@
   Effects effects;
   // Planned and applied under one lock: nothing may change the state in between.
   const scheduler::Plan plan = context_.leader_state.with([&](LeaderState& leader) {
-    leader.nominations.settle(leader.cluster);
+    leader.nominations.remove_ended_victims(leader.cluster);
     scheduler::CloudCapacity cloud_capacity = autoscaler_.cloud_capacity(now);
-    cloud_capacity.machines = leader.cluster.machines().size();
+    cloud_capacity.machine_count = leader.cluster.machines().size();
     scheduler::Plan decided =
         scheduler::plan(leader.cluster, leader.nominations, cloud_capacity, context_.platform,
                         context_.op, context_.loop.wall(), now);
@@ -96,7 +96,7 @@
   context_.follow_up(effects);
   log_waiting(plan, now);
   autoscaler_.order(plan.capacity_requests);
-  autoscaler_.scan(plan.wanted, plan.waiting_tasks, now);
+  autoscaler_.scan(plan.machines_to_keep, plan.waiting_tasks, now);
 }
 
 // At `debug`, now and then: what each job waits for that should have begun long ago.
--- a/src/dunlinknot/preemption/nominations.cpp
+++ b/src/dunlinknot/preemption/nominations.cpp
@@ -8,17 +8,17 @@
 namespace dunlinknot::preemption {
 
 namespace {
-const char* text(End reason) {
+const char* text(NominationEnd reason) {
   switch (reason) {
-    case End::placed:
+    case NominationEnd::placed:
       return "placed";
-    case End::cancelled:
+    case NominationEnd::cancelled:
       return "cancelled";
-    case End::renominated:
+    case NominationEnd::renominated:
       return "renominated";
-    case End::stop_failed:
+    case NominationEnd::stop_failed:
       return "stop call failed";
-    case End::cleared:
+    case NominationEnd::cleared:
       return "cleared on re-evaluation";
   }
   return "?";
@@ -39,7 +39,7 @@
   return id;
 }
 
-void Nominations::end(uint64_t id, End why) {
+void Nominations::end(uint64_t id, NominationEnd why) {
   const auto it = nominations_.find(id);
   if (it == nominations_.end()) return;
   spdlog::debug("nomination {} of {} on {} ends: {}", id, it->second.job, it->second.machine,
@@ -55,21 +55,22 @@
   nominations_.erase(it);
 }
 
-void Nominations::job_closed(const std::string& job) {
-  for (const uint64_t id : of(job)) end(id, End::cancelled);
+void Nominations::end_all_of_job(const std::string& job) {
+  for (const uint64_t id : of(job)) end(id, NominationEnd::cancelled);
 }
 
-void Nominations::stop_failed(const std::string& machine, const std::vector<Victim>& victims) {
+void Nominations::handle_stop_failure(const std::string& machine,
+                                      const std::vector<Victim>& victims) {
   const auto it = victims_.find(machine);
   if (it == victims_.end()) return;
   bool any = false;
   for (const Victim& victim : victims) any |= std::erase(it->second, victim) > 0;
   if (it->second.empty()) victims_.erase(it);
   if (!any) return;
-  for (const uint64_t id : std::vector(on(machine))) end(id, End::stop_failed);
+  for (const uint64_t id : std::vector(on(machine))) end(id, NominationEnd::stop_failed);
 }
 
-void Nominations::settle(const cluster::Cluster& cluster) {
+void Nominations::remove_ended_victims(const cluster::Cluster& cluster) {
   for (auto it = victims_.begin(); it != victims_.end();) {
     const auto machine = cluster.machines().find(it->first);
     if (machine == cluster.machines().end()) {
--- a/src/dunlinknot/preemption/nominations.hpp
+++ b/src/dunlinknot/preemption/nominations.hpp
@@ -32,14 +32,14 @@
 };
 
 // Why a nomination ended.
-enum class End : uint8_t {
+enum class NominationEnd : uint8_t {
   placed,       // its task was placed
   cancelled,    // its job is closed
   renominated,  // another nomination replaces it
   stop_failed,  // the call that was to stop its victims failed
   cleared,      // the cycle found that it is of no use any more
 };
-inline constexpr size_t kEnds = 5;  // the number of values of End
+inline constexpr size_t kEnds = 5;  // the number of values of NominationEnd
 
 // All nominations and victim lists of the leader's term. Part of the leader's state: every call is
 // made under the lock that guards it.
@@ -50,14 +50,14 @@
   uint64_t add(std::string job, std::string machine, Resources room, Priority priority,
                const std::vector<Victim>& victims);
   // Ends a nomination and counts why; one that has ended already is ignored.
-  void end(uint64_t id, End why);
+  void end(uint64_t id, NominationEnd why);
   // Ends all nominations of a job that was cancelled or is done.
-  void job_closed(const std::string& job);
+  void end_all_of_job(const std::string& job);
   // The stop call for these victims failed: the nominations on that machine are cleared and the
   // victims taken off the list, so that preemption can be tried again.
-  void stop_failed(const std::string& machine, const std::vector<Victim>& victims);
+  void handle_stop_failure(const std::string& machine, const std::vector<Victim>& victims);
   // Takes victims that are no longer allocated off the lists.
-  void settle(const cluster::Cluster& cluster);
+  void remove_ended_victims(const cluster::Cluster& cluster);
   // Forgets all, without counting any as ended: a take-over starts with none.
   void clear();
 
@@ -72,8 +72,8 @@
   // Whether victims on the machine are still to leave.
   bool settling(const std::string& machine) const { return victims_on(machine) != nullptr; }
   // How many nominations were made, and ended so, since this process began.
-  uint64_t made() const { return next_id_ - 1; }
-  uint64_t ended(End why) const { return ended_[static_cast<size_t>(why)]; }
+  uint64_t created_count() const { return next_id_ - 1; }
+  uint64_t ended_count(NominationEnd why) const { return ended_[static_cast<size_t>(why)]; }
 
  private:
   uint64_t next_id_ = 1;
--- a/src/dunlinknot/scheduler/apply.cpp
+++ b/src/dunlinknot/scheduler/apply.cpp
@@ -15,7 +15,7 @@
 void allocate_tasks(const Placement& placement, LeaderState& state, Instant now, Effects& effects) {
   cluster::Cluster& cluster = state.cluster;
   for (const uint64_t id : placement.ends_nominations) {
-    state.nominations.end(id, preemption::End::placed);
+    state.nominations.end(id, preemption::NominationEnd::placed);
   }
   Job& job = *cluster.job(placement.job);
   Machine& machine = *cluster.find_machine(placement.machine);
@@ -66,7 +66,8 @@
 
 void preempt_victims(const Preemption& preemption, LeaderState& state, Instant now,
                      Effects& effects) {
-  if (preemption.renews) state.nominations.end(preemption.renews, preemption::End::renominated);
+  if (preemption.renews)
+    state.nominations.end(preemption.renews, preemption::NominationEnd::renominated);
   Machine& machine = *state.cluster.find_machine(preemption.machine);
   std::string names;
   for (const auto& victim : preemption.victims) {
@@ -84,11 +85,12 @@
 
 Effects apply(const Plan& plan, LeaderState& state, Instant now) {
   Effects effects;
-  for (const uint64_t id : plan.cleared) state.nominations.end(id, preemption::End::cleared);
+  for (const uint64_t id : plan.cleared)
+    state.nominations.end(id, preemption::NominationEnd::cleared);
   for (const Placement& placement : plan.placements) allocate_tasks(placement, state, now, effects);
   for (const GangPlacement& gang : plan.gangs) allocate_gang(gang, state, now, effects);
   for (const QueuedPlacement& placement : plan.queued) queue_tasks(placement, state, now, effects);
-  state.cluster.set_held(plan.held, plan.saved);
+  state.cluster.set_held(plan.reserved_room, plan.saved);
   state.cluster.set_work_waits(plan.waiting_tasks > 0);
   for (const Preemption& preemption : plan.preemptions)
     preempt_victims(preemption, state, now, effects);
--- a/src/dunlinknot/scheduler/candidates.cpp
+++ b/src/dunlinknot/scheduler/candidates.cpp
@@ -54,7 +54,7 @@
     candidate.queued_tasks = machine->queued_tasks;
     note_fetches(candidate);
   }
-  for (const PendingLaunch& launch : inputs.cloud_capacity.pending) {
+  for (const PendingLaunch& launch : inputs.cloud_capacity.pending_launches) {
     for (uint32_t i = 0; i < launch.count; ++i) add_pending(launch.offer);
   }
 }
--- a/src/dunlinknot/scheduler/gang_placement.cpp
+++ b/src/dunlinknot/scheduler/gang_placement.cpp
@@ -72,7 +72,7 @@
     candidate->gang_fetches = true;
     reserve_record_space(state.cluster(), job, *candidate, count);
     placement.on.push_back({candidate->machine->id, count});
-    state.plan.wanted.push_back(candidate->machine->id);
+    state.plan.machines_to_keep.push_back(candidate->machine->id);
   }
   state.quotas.charge(job, spec.tasks);
   return placement;
--- a/src/dunlinknot/scheduler/gang_reservation.cpp
+++ b/src/dunlinknot/scheduler/gang_reservation.cpp
@@ -114,7 +114,7 @@
     reserved.room += spec.need;
     reserved.owner = spec.id;
     reserved.priority = Priority::production;  // no ordinary work may take its room
-    state_.plan.wanted.push_back(place.candidate->machine->id);
+    state_.plan.machines_to_keep.push_back(place.candidate->machine->id);
   }
   reserved_.insert(&job);
   return true;
--- a/src/dunlinknot/scheduler/headroom.cpp
+++ b/src/dunlinknot/scheduler/headroom.cpp
@@ -134,7 +134,7 @@
     candidate->reserved = {spec.need * tasks, job_class, spec.priority};
     left -= tasks;
     counted += tasks;
-    if (candidate->machine) state.plan.wanted.push_back(candidate->machine->id);
+    if (candidate->machine) state.plan.machines_to_keep.push_back(candidate->machine->id);
   }
 }
 
--- a/src/dunlinknot/scheduler/scale_out.cpp
+++ b/src/dunlinknot/scheduler/scale_out.cpp
@@ -47,7 +47,8 @@
       if (constraints.tasks_allowed(zone) == 0) continue;
       for (const bool spot : {true, false}) {
         const Offer offer{type.name, zone, spot};
-        if (!offer_allowed(spec, offer) || inputs.cloud_capacity.refused.contains(offer)) continue;
+        if (!offer_allowed(spec, offer) || inputs.cloud_capacity.refused_offers.contains(offer))
+          continue;
         const double price = spot ? type.spot_price : type.price;
         ranked.push_back({offer, tasks_per_machine, price / tasks_per_machine, &type});
       }
@@ -114,7 +115,7 @@
 }
 
 bool ScaleOutRequests::machine_limit_reached() const {
-  return state_.inputs.cloud_capacity.machines + requested_ >=
+  return state_.inputs.cloud_capacity.machine_count + requested_ >=
          state_.inputs.operator_settings.max_machines;
 }
 
--- a/src/dunlinknot/scheduler/scheduler.hpp
+++ b/src/dunlinknot/scheduler/scheduler.hpp
@@ -31,9 +31,9 @@
 
 // What is known of the cloud, from the autoscaler.
 struct CloudCapacity {
-  std::vector<PendingLaunch> pending;
-  std::set<Offer> refused;  // of late: not asked for again for a while
-  size_t machines = 0;      // that we have, counted against Operator::max_machines
+  std::vector<PendingLaunch> pending_launches;
+  std::set<Offer> refused_offers;  // of late: not asked for again for a while
+  size_t machine_count = 0;        // that we have, counted against Operator::max_machines
 };
 
 // Tasks of an array or a service to be allocated on a machine with room for them.
@@ -105,13 +105,14 @@
   std::vector<Placement> placements;
   std::vector<GangPlacement> gangs;
   std::vector<QueuedPlacement> queued;
-  std::map<std::string, Resources> held;  // by machine: room that queued tasks must leave
-  std::vector<Resources> saved;           // by team: of its limit, for gangs
+  std::map<std::string, Resources> reserved_room;  // by machine: room that queued tasks must leave
+  std::vector<Resources> saved;                    // by team: of its limit, for gangs
   std::vector<CapacityRequest> capacity_requests;
   std::vector<Preemption> preemptions;
-  std::vector<uint64_t> cleared;    // nominations that are of no use any more
-  std::vector<std::string> wanted;  // idle machines that waiting work will use: not to be returned
-  size_t waiting_tasks = 0;         // before this cycle's placements
+  std::vector<uint64_t> cleared;  // nominations that are of no use any more
+  std::vector<std::string>
+      machines_to_keep;      // idle machines that waiting work will use: not to be returned
+  size_t waiting_tasks = 0;  // before this cycle's placements
   std::vector<WaitingJob> waiting_jobs;
 };
 
--- a/src/dunlinknot/scheduler/scheduling_cycle.cpp
+++ b/src/dunlinknot/scheduler/scheduling_cycle.cpp
@@ -40,7 +40,7 @@
     Resources held = candidate.capacity.held();
     if (candidate.reserved.taken()) held += candidate.reserved.room;
     if (held.cpus > 0 || held.gpus > 0 || held.memory_gb > 0)
-      state_.plan.held[candidate.machine->id] = held;
+      state_.plan.reserved_room[candidate.machine->id] = held;
   }
 }
 
--- a/src/dunlinknot/workers/stop_caller.cpp
+++ b/src/dunlinknot/workers/stop_caller.cpp
@@ -86,7 +86,7 @@
   std::vector<preemption::Victim> victims;
   for (const Command& command : stop.commands) victims.push_back({command.task, command.attempt});
   context_.leader_state.with(
-      [&](LeaderState& leader) { leader.nominations.stop_failed(stop.machine, victims); });
+      [&](LeaderState& leader) { leader.nominations.handle_stop_failure(stop.machine, victims); });
   context_.schedule.notify();
 }
 
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -26,7 +26,7 @@
     c.set_catalog({box});
     machine("vm-1");
     // Nothing can be launched.
-    cloud_capacity.refused = {{"box", "a", false}, {"box", "a", true}};
+    cloud_capacity.refused_offers = {{"box", "a", false}, {"box", "a", true}};
   }
   Machine& machine(const std::string& id) {
     Heartbeat heartbeat;
@@ -58,15 +58,15 @@
     return allocation;
   }
   scheduler::Plan plan() {
-    nominations.settle(c);
+    nominations.remove_ended_victims(c);
     return scheduler::plan(c, nominations, cloud_capacity, platform, op, WallTime(Millis(100'000)),
                            now);
   }
   // Carries the plan's preemptions out, as the leader does.
   void carry_out(const scheduler::Plan& plan) {
-    for (const uint64_t id : plan.cleared) nominations.end(id, End::cleared);
+    for (const uint64_t id : plan.cleared) nominations.end(id, NominationEnd::cleared);
     for (const auto& e : plan.preemptions) {
-      if (e.renews) nominations.end(e.renews, End::renominated);
+      if (e.renews) nominations.end(e.renews, NominationEnd::renominated);
       for (const auto& v : e.victims) {
         Machine& machine = *c.find_machine(e.machine);
         c.stop(machine, *machine.find(v.task, v.attempt), cluster::StopReason::preempted,
@@ -92,7 +92,7 @@
     }
     Effects effects;
     c.handle_heartbeat(heartbeat, now, false, effects);
-    nominations.settle(c);
+    nominations.remove_ended_victims(c);
   }
 
   // Room is made on vm-1 for run-000002, and taken by a higher priority. Returns the nomination.
@@ -119,10 +119,10 @@
   Machine& machine = *c.find_machine("vm-1");
   run(add("run-000001", Priority::low, 8), machine);
   add("run-000002", Priority::high, 4);
-  cloud_capacity.refused.clear();
+  cloud_capacity.refused_offers.clear();
   EXPECT_TRUE(plan().preemptions.empty());
   EXPECT_FALSE(plan().capacity_requests.empty());
-  cloud_capacity.refused = {{"box", "a", false}, {"box", "a", true}};
+  cloud_capacity.refused_offers = {{"box", "a", false}, {"box", "a", true}};
   const auto result_plan = plan();
   ASSERT_EQ(result_plan.preemptions.size(), 1u);
   EXPECT_EQ(result_plan.preemptions[0].room.cpus, 4) << "the exact room, not the victim's";
@@ -236,7 +236,7 @@
   ASSERT_FALSE(result_plan.placements.empty());
   EXPECT_EQ(result_plan.placements[0].machine, "vm-1");
   ASSERT_EQ(result_plan.placements[0].ends_nominations.size(), 1u);
-  nominations.end(result_plan.placements[0].ends_nominations[0], End::placed);
+  nominations.end(result_plan.placements[0].ends_nominations[0], NominationEnd::placed);
   EXPECT_TRUE(nominations.all().empty());
 }
 
@@ -245,10 +245,10 @@
   run(add("run-000001", Priority::low, 8), machine);
   add("run-000002", Priority::high, 4);
   carry_out(plan());
-  nominations.job_closed("run-000002");  // cancelled
+  nominations.end_all_of_job("run-000002");  // cancelled
   EXPECT_TRUE(nominations.all().empty());
   EXPECT_TRUE(nominations.settling("vm-1"));
-  nominations.settle(c);
+  nominations.remove_ended_victims(c);
   EXPECT_TRUE(nominations.settling("vm-1"));
   victims_removed(machine);
   EXPECT_FALSE(nominations.settling("vm-1"));
@@ -260,9 +260,9 @@
   const Victim victim{allocation.task, allocation.attempt};
   add("run-000002", Priority::high, 4);
   carry_out(plan());
-  nominations.stop_failed("vm-2", {victim});
+  nominations.handle_stop_failure("vm-2", {victim});
   EXPECT_EQ(nominations.all().size(), 1u) << "another machine's call";
-  nominations.stop_failed("vm-1", {victim});
+  nominations.handle_stop_failure("vm-1", {victim});
   EXPECT_TRUE(nominations.all().empty());
   EXPECT_FALSE(nominations.settling("vm-1"));
 }
@@ -285,7 +285,7 @@
 TEST_F(PreemptionTest, ATaskWhoseRoomIsLostIsLaunchedForOnceMachinesCanBeLaunched) {
   const uint64_t first = nominate_and_lose_the_room();
   c.close_job("run-000001", false, now);
-  cloud_capacity.refused.clear();
+  cloud_capacity.refused_offers.clear();
   const auto result_plan = plan();
   EXPECT_TRUE(result_plan.preemptions.empty());
   EXPECT_EQ(result_plan.cleared, std::vector<uint64_t>{first});
--- a/tests/random_placements_test.cpp
+++ b/tests/random_placements_test.cpp
@@ -21,9 +21,9 @@
     for (const auto* processes : {&s.nodes, &s.graveyard}) {
       for (const auto& n : *processes) {
         n->daemon->context().leader_state.with([&](cluster::LeaderState& state) {
-          sum.made += state.nominations.made();
-          sum.used += state.nominations.ended(preemption::End::placed);
-          sum.cleared += state.nominations.ended(preemption::End::cleared);
+          sum.made += state.nominations.created_count();
+          sum.used += state.nominations.ended_count(preemption::NominationEnd::placed);
+          sum.cleared += state.nominations.ended_count(preemption::NominationEnd::cleared);
           sum.refused_allocations += state.cluster.refused_allocations();
         });
       }
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -250,7 +250,7 @@
 }
 
 TEST_F(ReplicaDecisions, NoRoomIsKeptWhereOnlyReplicasWouldHaveToEnd) {
-  cloud_capacity.refused = {{"box", "a", false}, {"box", "b", false}};
+  cloud_capacity.refused_offers = {{"box", "a", false}, {"box", "b", false}};
   cluster::Machine& taken = machine("vm-1");
   cluster::Job& api = add(service("run-000001", 4));
   for (int i = 0; i < 4; ++i) run(taken, api);
@@ -258,7 +258,7 @@
   gang.gang = true;
   add(gang);
   const scheduler::Plan result_plan = plan();
-  EXPECT_TRUE(result_plan.held.empty()) << "a replica never ends by itself";
+  EXPECT_TRUE(result_plan.reserved_room.empty()) << "a replica never ends by itself";
   ASSERT_EQ(result_plan.waiting_jobs.size(), 1u);
   EXPECT_EQ(result_plan.waiting_jobs[0].cause, scheduler::WaitCause::no_room);
 }
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -16,7 +16,7 @@
 using cluster::Effects;
 using cluster::Job;
 using cluster::Machine;
-using preemption::End;
+using preemption::NominationEnd;
 using std::chrono::seconds;
 
 // What a set of clusters brought about, to show that they were no idle ones.
@@ -82,8 +82,8 @@
       store_some();
       heartbeat_all();
     }
-    tally_.used += state_.nominations.ended(End::placed);
-    tally_.cleared += state_.nominations.ended(End::cleared);
+    tally_.used += state_.nominations.ended_count(NominationEnd::placed);
+    tally_.cleared += state_.nominations.ended_count(NominationEnd::cleared);
     for (const auto& broken : rules_.broken()) ADD_FAILURE() << broken;
     EXPECT_EQ(state_.cluster.refused_allocations(), 0u) << "a plan broke its job's constraints";
   }
@@ -155,7 +155,7 @@
 
   void close(const std::string& id, bool cancelled) {
     (void)state_.cluster.close_job(id, cancelled, clock_.now());
-    state_.nominations.job_closed(id);
+    state_.nominations.end_all_of_job(id);
     open_.erase(id);
   }
 
@@ -178,7 +178,7 @@
     for (const auto& [id, machine] : state_.cluster.machines()) {
       const auto* victims = state_.nominations.victims_on(id);
       if (!victims) continue;
-      state_.nominations.stop_failed(id, std::vector(*victims));
+      state_.nominations.handle_stop_failure(id, std::vector(*victims));
       return;
     }
   }
@@ -270,11 +270,11 @@
     for (const auto& t : types_) {
       for (const auto& zone : t.zones) {
         for (const bool spot : {false, true}) {
-          if (chance(0.95)) cloud_capacity.refused.insert({t.name, zone, spot});
+          if (chance(0.95)) cloud_capacity.refused_offers.insert({t.name, zone, spot});
         }
       }
     }
-    state_.nominations.settle(state_.cluster);
+    state_.nominations.remove_ended_victims(state_.cluster);
     const Plan decided = plan(state_.cluster, state_.nominations, cloud_capacity, platform_, op_,
                               clock_.wall(), clock_.now());
     tally_.preemptions += decided.preemptions.size();
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -38,7 +38,8 @@
   void none_to_launch() {
     for (const char* type : {"box", "rig"}) {
       for (const char* zone : {"a", "b"}) {
-        for (const bool spot : {false, true}) cloud_capacity.refused.insert({type, zone, spot});
+        for (const bool spot : {false, true})
+          cloud_capacity.refused_offers.insert({type, zone, spot});
       }
     }
   }
@@ -242,10 +243,10 @@
   spec.team = "blue";
   spec.need = {6, 0, 4};
   add(spec);
-  EXPECT_EQ(plan().held.count("vm-1"), 0u) << "the accelerators are wanted";
+  EXPECT_EQ(plan().reserved_room.count("vm-1"), 0u) << "the accelerators are wanted";
   Machine& used = machine("vm-2", "a", "rig");
   for (int i = 0; i < 2; ++i) run(open_job, used);
-  EXPECT_EQ(plan().held.count("vm-1"), 1u) << "the room is kept for the gang";
+  EXPECT_EQ(plan().reserved_room.count("vm-1"), 1u) << "the room is kept for the gang";
 }
 
 TEST_F(SchedulerTest, AnAimForTheLastOfAClassBringsTheBoundOnWaitingForward) {
@@ -277,7 +278,7 @@
 TEST_F(SchedulerTest, AMachineThatJustCameUpIsCountedOnBeforeItBearsOurFencingToken) {
   // Its first heartbeat bears none: for the moment until the next, another was launched in its
   // place.
-  cloud_capacity.refused.erase({"box", "a", false});
+  cloud_capacity.refused_offers.erase({"box", "a", false});
   add(job("run-000001", 2));
   EXPECT_EQ(plan().capacity_requests.size(), 1u);
   Heartbeat heartbeat;
@@ -332,15 +333,15 @@
 }
 
 TEST_F(SchedulerTest, LaunchesTheCheapestThatIsAllowedAndNotRefused) {
-  cloud_capacity.refused.clear();
+  cloud_capacity.refused_offers.clear();
   add(job("run-000001", 4));
   auto result_plan = plan();
   ASSERT_EQ(result_plan.capacity_requests.size(), 1u);
   EXPECT_EQ(result_plan.capacity_requests[0].offer, (Offer{"box", "a", false}))
       << "its job takes no spot machines";
-  cloud_capacity.refused.insert({"box", "a", false});
+  cloud_capacity.refused_offers.insert({"box", "a", false});
   EXPECT_EQ(plan().capacity_requests[0].offer, (Offer{"box", "b", false}));
-  cloud_capacity.pending = {{{"box", "b", false}, 1}};
+  cloud_capacity.pending_launches = {{{"box", "b", false}, 1}};
   EXPECT_TRUE(plan().capacity_requests.empty()) << "what is asked for counts as coming";
 }
 
@@ -409,7 +410,7 @@
   EXPECT_TRUE(result_plan.gangs.empty());
   EXPECT_TRUE(result_plan.placements.empty()) << "the free half of vm-1 is the gang's";
   EXPECT_TRUE(result_plan.queued.empty());
-  EXPECT_EQ(result_plan.held.count("vm-1") + result_plan.held.count("vm-2"), 2u)
+  EXPECT_EQ(result_plan.reserved_room.count("vm-1") + result_plan.reserved_room.count("vm-2"), 2u)
       << "queued tasks leave it too";
 }
 
@@ -432,7 +433,7 @@
   EXPECT_FALSE(plan().placements.empty());
   wall += seconds(100);
   EXPECT_TRUE(plan().placements.empty());
-  EXPECT_EQ(plan().held.count("vm-1"), 1u);
+  EXPECT_EQ(plan().reserved_room.count("vm-1"), 1u);
   machine("vm-2");
   EXPECT_EQ(plan().gangs.size(), 1u) << "and where there is room it goes first";
 }
@@ -451,7 +452,7 @@
   spec.priority = Priority::high;
   spec.need = {6, 0, 4};
   add(spec);
-  cloud_capacity.refused.erase({"box", "a", false});
+  cloud_capacity.refused_offers.erase({"box", "a", false});
   Plan result_plan = plan();
   EXPECT_TRUE(result_plan.gangs.empty());
   ASSERT_FALSE(result_plan.capacity_requests.empty());
@@ -546,7 +547,7 @@
 }
 
 TEST_F(SchedulerTest, TellsThatAMachineIsComing) {
-  cloud_capacity.refused.clear();
+  cloud_capacity.refused_offers.clear();
   add(job("run-000001", 1));
   EXPECT_EQ(wait_causes(plan()).at("run-000001"), WaitCause::machine_coming);
 }
--- a/tests/zone_constraints_test.cpp
+++ b/tests/zone_constraints_test.cpp
@@ -129,7 +129,7 @@
     Machine& machine = add_machine("vm-" + held, held);
     run(job, machine);
     run(job, machine);
-    cloud_capacity.refused.clear();
+    cloud_capacity.refused_offers.clear();
     const Plan result_plan = plan();
     ASSERT_EQ(result_plan.capacity_requests.size(), 1u);
     EXPECT_EQ(result_plan.capacity_requests[0].offer.zone, "b");
@@ -144,12 +144,12 @@
   gang.need = {8, 0, 4};
   gang.spread = true;
   add(gang);
-  cloud_capacity.refused.clear();
+  cloud_capacity.refused_offers.clear();
   Plan result_plan = plan();
   ASSERT_EQ(result_plan.capacity_requests.size(), 1u);
   EXPECT_EQ(result_plan.capacity_requests[0].offer.zone, "a");
   EXPECT_EQ(result_plan.capacity_requests[0].count, 2u);
-  cloud_capacity.pending = {{result_plan.capacity_requests[0].offer, 2}};
+  cloud_capacity.pending_launches = {{result_plan.capacity_requests[0].offer, 2}};
   result_plan = plan();
   ASSERT_EQ(result_plan.capacity_requests.size(), 1u);
   EXPECT_EQ(result_plan.capacity_requests[0].offer.zone, "b");
@@ -165,8 +165,8 @@
   gang.spread = true;
   add(gang);
   const Plan result_plan = plan();
-  EXPECT_EQ(result_plan.held.size(), 2u);
-  EXPECT_TRUE(result_plan.held.contains("vm-3"));
+  EXPECT_EQ(result_plan.reserved_room.size(), 2u);
+  EXPECT_TRUE(result_plan.reserved_room.contains("vm-3"));
 }
 
 // Found while looking for decisions that miss what the cycle itself has placed: a record longer
--- a/tests/zoned_cluster.hpp
+++ b/tests/zoned_cluster.hpp
@@ -23,7 +23,8 @@
     cluster.begin_term(1, now);
     cluster.set_catalog({box});
     for (const char* zone : {"a", "b"}) {
-      for (const bool spot : {false, true}) cloud_capacity.refused.insert({"box", zone, spot});
+      for (const bool spot : {false, true})
+        cloud_capacity.refused_offers.insert({"box", zone, spot});
     }
   }
   Heartbeat heartbeat(const std::string& id, const std::string& zone) {
