--- a/src/dunlinknot/cluster/allocation_store.hpp
+++ b/src/dunlinknot/cluster/allocation_store.hpp
@@ -26,11 +26,11 @@
   // Writes the records of machines and deletes dead records, until the term ends.
   Task<void> store_machines(uint64_t term);
   // Writes the progress and the ends of jobs, until the term ends.
-  Task<void> store_done(uint64_t term) { return progress_writer_.run(term); }
+  Task<void> store_progress(uint64_t term) { return progress_writer_.run(term); }
   // Follows submissions and cancellations, until the term ends.
   Task<void> watch_jobs(uint64_t term) { return watcher_.run(term); }
   // Another node reports that the job was cancelled; the watch will show it too.
-  void cancelled(const std::string& id) { watcher_.cancelled(id); }
+  void apply_cancellation(const std::string& id) { watcher_.apply_cancellation(id); }
   // Every change of the open jobs up to this revision has been carried out here.
   uint64_t jobs_revision() const { return watcher_.revision(); }
 
--- a/src/dunlinknot/cluster/allocation_store/job_watcher.cpp
+++ b/src/dunlinknot/cluster/allocation_store/job_watcher.cpp
@@ -20,7 +20,7 @@
   access_.handler.on_cancellations_applied(start.sent);
 }
 
-void JobWatcher::cancelled(const std::string& id) const {
+void JobWatcher::apply_cancellation(const std::string& id) const {
   access_.context.follow_up(access_.context.leader_state.with(
       [&](LeaderState& leader) { return jobs_.close_removed(leader, id); }));
 }
--- a/src/dunlinknot/cluster/allocation_store/job_watcher.hpp
+++ b/src/dunlinknot/cluster/allocation_store/job_watcher.hpp
@@ -19,7 +19,7 @@
   // Runs until the term ends.
   Task<void> run(uint64_t term);
   // Another node reports that the job was cancelled; the watch will show it too.
-  void cancelled(const std::string& id) const;
+  void apply_cancellation(const std::string& id) const;
   // Every change of the open jobs up to this revision has been carried out here.
   uint64_t revision() const { return revision_; }
 
--- a/src/dunlinknot/cluster/allocation_store/machine_record_writer.cpp
+++ b/src/dunlinknot/cluster/allocation_store/machine_record_writer.cpp
@@ -116,7 +116,7 @@
   std::string value;
   if (!write.record.groups.empty()) value = wire::write_machine_record(write.record);
   if (value.empty() && write.mod_revision == 0) {
-    machine.dirty = machine.trailing = false;
+    machine.dirty = machine.shrunk = false;
     return true;
   }
   batch.jobs.insert(added_jobs.begin(), added_jobs.end());
@@ -153,7 +153,7 @@
   for (auto& [id, machine] : cluster.machines()) {
     if (full(batch)) break;
     const bool shrank =
-        machine->trailing && !machine->dirty && machine->mod_revision_known && !machine->storing;
+        machine->shrunk && !machine->dirty && machine->mod_revision_known && !machine->storing;
     if (shrank && !add_record(batch, cluster, *machine)) break;
   }
 }
@@ -200,7 +200,7 @@
   }
   for (const std::string& id : batch.jobs) {
     if (!result.compare_failed(wire::job_key(id))) continue;
-    applied.effects |= cluster.drop_unsent(id, access_.context.loop.now());
+    applied.effects |= cluster.drop_planned_for_job(id, access_.context.loop.now());
     applied.changed_jobs.push_back(id);
   }
   return applied;
--- a/src/dunlinknot/cluster/allocation_store/progress_writer.cpp
+++ b/src/dunlinknot/cluster/allocation_store/progress_writer.cpp
@@ -20,7 +20,7 @@
 Task<void> ProgressWriter::run(uint64_t term) {
   LeaderContext& context = access_.context;
   while (context.in_term(term)) {
-    (void)co_await context.store_done.wait_until(
+    (void)co_await context.store_progress.wait_until(
         std::max(next_open_, context.loop.now() + kLongestWait));
     for (bool more = true; more && context.in_term(term);) more = co_await write_some(term);
   }
--- a/src/dunlinknot/cluster/allocation_table.cpp
+++ b/src/dunlinknot/cluster/allocation_table.cpp
@@ -66,7 +66,7 @@
 template <class Predicate>
 PlacementConstraints AllocationTable::count_allocations(const Job& job, Predicate&& which) const {
   PlacementConstraints constraints(job.spec());
-  if (!constraints.zone_bound()) return constraints;
+  if (!constraints.has_zone_constraint()) return constraints;
   for (const Machine* machine : holders(job.spec().id)) {
     const auto counts = [&](const Allocation& allocation) {
       return allocation.task.job == job.spec().id && which(allocation);
@@ -102,7 +102,7 @@
     return other.task.job == allocation.task.job;
   });
   if (!other_tasks) holders_.remove(allocation.task.job, machine);
-  machine.trailing = true;
+  machine.shrunk = true;
 }
 
 Effects AllocationTable::end(Machine& machine, size_t index, Instant now, GangEffect gang) {
--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -192,7 +192,7 @@
   effects |= allocations_.end_all(machine, now);
   if (machine.mod_revision != 0 || !machine.mod_revision_known)
     dead_records_.push_back({wire::machine_key(id), machine.mod_revision});
-  std::erase(held_machines_, &machine);  // else `set_held` writes to a machine that is gone
+  std::erase(held_machines_, &machine);  // else `set_reserved` writes to a machine that is gone
   machines().erase(it);
   std::erase_if(removed_,
                 [&](const auto& removed) { return now - removed.second > kRememberRemoved; });
@@ -216,7 +216,7 @@
   return lease_counted_from(machine) + lease_;
 }
 
-Effects Cluster::expire(Instant now) {
+Effects Cluster::expire_leases(Instant now) {
   Effects effects;
   for (auto& [id, machine] : machines()) {
     if (machine->lost) continue;
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -95,7 +95,7 @@
   // When the lease of this machine's worker is certainly over, as far as is known now.
   Instant lease_expiry(const Machine& machine) const;
   // Ends the allocations of workers whose lease is certainly over.
-  Effects expire(Instant now);
+  Effects expire_leases(Instant now);
   // Called periodically: undoes what cannot start, stops what is about to be interrupted,
   // and ends back-offs that are over.
   Effects tick(Instant now);
@@ -112,7 +112,7 @@
   // Ids of the machines that became able to be sent a `run` since this was last called.
   std::vector<std::string> drain_runnable() { return std::exchange(runnable_, {}); }
   // Whether the last scheduling cycle left work that waits for a place.
-  void set_work_waits(bool waits) { work_waits_ = waits; }
+  void set_has_pending_work(bool waits) { work_waits_ = waits; }
   std::vector<StopCall> drain_stop_calls();
 
   // --- Decisions (scheduler, preemption)
@@ -131,14 +131,15 @@
   // Undoes one of the job's queued tasks, so that it can go elsewhere.
   bool withdraw_queued(const std::string& job, Instant now);
   // What queued tasks must leave free, on machines and of teams' limits; replaces what was held.
-  void set_held(const std::map<std::string, Resources>& by_machine, std::vector<Resources> by_team);
+  void set_reserved(const std::map<std::string, Resources>& by_machine,
+                    std::vector<Resources> by_team);
   // See AllocationTable::stop.
   void stop(Machine& machine, Allocation& allocation, StopReason reason, Seconds grace,
             Instant now);
   // Gives an allocation up for another: undone at once if its `run` was never sent, else stopped.
   Effects preempt(Machine& machine, const TaskRef& task, uint64_t attempt, Instant now);
   // Undoes the allocations of a job, or on a machine, that are not durable yet.
-  Effects drop_unsent(const std::string& job, Instant now);
+  Effects drop_planned_for_job(const std::string& job, Instant now);
   Effects drop_planned(Machine& machine, Instant now);
   // The machines that hold allocations of a job, open or closed, in no particular order.
   const std::vector<Machine*>& holders(const std::string& job) const {
--- a/src/dunlinknot/cluster/decisions.cpp
+++ b/src/dunlinknot/cluster/decisions.cpp
@@ -56,8 +56,8 @@
   return allocations_.withdraw_queued(id, now);
 }
 
-void Cluster::set_held(const std::map<std::string, Resources>& by_machine,
-                       std::vector<Resources> by_team) {
+void Cluster::set_reserved(const std::map<std::string, Resources>& by_machine,
+                           std::vector<Resources> by_team) {
   for (Machine* machine : held_machines_) machine->held = Resources{};
   held_machines_.clear();
   for (const auto& [id, room] : by_machine) {
@@ -91,7 +91,7 @@
   return effects;
 }
 
-Effects Cluster::drop_unsent(const std::string& id, Instant now) {
+Effects Cluster::drop_planned_for_job(const std::string& id, Instant now) {
   return allocations_.end_unsent(id, now, [](const Machine&, const Allocation& allocation) {
     return allocation.phase == AllocationPhase::planned;
   });
--- a/src/dunlinknot/cluster/demand_forecasts.cpp
+++ b/src/dunlinknot/cluster/demand_forecasts.cpp
@@ -43,7 +43,7 @@
   if (!within) return;
   DemandForecast& forecast = by_class_[spec.job_class];
   forecast.sample = spec;
-  forecast.within = *within;
+  forecast.target_wait = *within;
   forecast.images[spec.image] = submitted;
   forecast.arrivals.push_back({submitted, spec.tasks});
   const WallTime oldest = submitted - kRecent;
--- a/src/dunlinknot/cluster/demand_forecasts.hpp
+++ b/src/dunlinknot/cluster/demand_forecasts.hpp
@@ -19,7 +19,7 @@
 // Recent demand of one class of jobs that has an objective for its time to start.
 struct DemandForecast {
   JobSpec sample;  // the last job seen
-  Seconds within{0};
+  Seconds target_wait{0};
   std::vector<DemandArrival> arrivals;
   std::map<std::string, WallTime> images;  // last submission with each
 };
--- a/src/dunlinknot/cluster/effects.hpp
+++ b/src/dunlinknot/cluster/effects.hpp
@@ -9,14 +9,14 @@
 struct Effects {
   bool schedule = false;        // run a scheduling cycle: room, pending work or machines changed
   bool store_machines = false;  // records of machines wait to be written
-  bool store_done = false;      // completed tasks wait to be recorded
+  bool store_progress = false;  // completed tasks wait to be recorded
   bool stops = false;           // stop calls should go out at once, not with the next heartbeat
   bool runs = false;            // some machine may be sent a `run`
 
   void operator|=(const Effects& effects) {
     schedule |= effects.schedule;
     store_machines |= effects.store_machines;
-    store_done |= effects.store_done;
+    store_progress |= effects.store_progress;
     stops |= effects.stops;
     runs |= effects.runs;
   }
--- a/src/dunlinknot/cluster/heartbeat_reconciler.cpp
+++ b/src/dunlinknot/cluster/heartbeat_reconciler.cpp
@@ -227,7 +227,7 @@
   Job* job = job_of(task.task);
   const bool done = task.cause == ExitCause::done;
   const bool error = task.cause == ExitCause::error;
-  if (done && job && complete_task(*job, task.task.index)) effects.store_done = true;
+  if (done && job && complete_task(*job, task.task.index)) effects.store_progress = true;
   if (done) FailureDetector::on_task_completed(machine);
   Allocation* allocation = machine.find(task.task, task.attempt);
   if (!allocation) return effects;
--- a/src/dunlinknot/cluster/heartbeat_response.hpp
+++ b/src/dunlinknot/cluster/heartbeat_response.hpp
@@ -18,9 +18,10 @@
   };
   Kind kind = Kind::accept;
   std::vector<Command> commands;
-  bool read = false;      // newer than everything known before, so commands may be based on it
-  bool run_soon = false;  // a `run` for the machine is likely within moments: worth holding the
-                          // response back for it
+  bool status_applied =
+      false;                // newer than everything known before, so commands may be based on it
+  bool run_likely = false;  // a `run` for the machine is likely within moments: worth holding the
+                            // response back for it
 };
 
 // A call to a worker that must not wait for its next heartbeat.
--- a/src/dunlinknot/cluster/heartbeats.cpp
+++ b/src/dunlinknot/cluster/heartbeats.cpp
@@ -47,7 +47,7 @@
                                             Effects& effects) {
   HeartbeatResponse response = apply_heartbeat(heartbeat, now, may_start, effects);
   if (response.kind != HeartbeatResponse::Kind::accept) return response;
-  return commands_for(heartbeat, now, may_start && response.read);
+  return commands_for(heartbeat, now, may_start && response.status_applied);
 }
 
 HeartbeatResponse Cluster::apply_heartbeat(const Heartbeat& heartbeat, Instant now, bool may_start,
@@ -66,14 +66,14 @@
   // worker may still be waiting, so its lease is renewed, but nothing is read from it and nothing
   // started.
   if (!is_fresh(machine, heartbeat)) return response;
-  response.read = true;
+  response.status_applied = true;
   const bool was_fenced = machine.fenced;
   Effects changed;
   reconciler_.apply(machine, {heartbeat, now, epoch_, true}, changed);
   effects |= changed;
   if (!may_start || machine.draining || machine.terminating) return response;
   allocations_.start_queued(machine, resources_per_gpu(), now);
-  response.run_soon =
+  response.run_likely =
       worker_commands_.is_run_likely(machine, work_waits_ && (changed.schedule || !was_fenced));
   return response;
 }
--- a/src/dunlinknot/cluster/job.hpp
+++ b/src/dunlinknot/cluster/job.hpp
@@ -95,11 +95,11 @@
   uint32_t note_replica_end(uint32_t index, bool soon);
 
   // --- Counts over its allocations (AllocationTable)
-  uint32_t queued_tasks = 0;  // allocations that wait on machines for room there
-  uint32_t running = 0;       // tasks reported running
-  uint64_t gang_attempt = 0;  // the latest attempt
-  bool gang_go = false;       // all allocations of that attempt are durable: runs may be sent
-  Instant waiting_since{};    // since when some of it waits for a place
+  uint32_t queued_tasks = 0;    // allocations that wait on machines for room there
+  uint32_t running = 0;         // tasks reported running
+  uint64_t gang_attempt = 0;    // the latest attempt
+  bool gang_may_start = false;  // all allocations of that attempt are durable: runs may be sent
+  Instant waiting_since{};      // since when some of it waits for a place
 
  private:
   // Whether a task taken out of a list of candidates is really pending.
--- a/src/dunlinknot/cluster/leader_context.hpp
+++ b/src/dunlinknot/cluster/leader_context.hpp
@@ -29,7 +29,7 @@
         leader_state(platform_settings, operator_settings),
         schedule(event_loop),
         store_machines(event_loop),
-        store_done(event_loop),
+        store_progress(event_loop),
         stops(event_loop),
         runs(event_loop),
         scaling(event_loop) {}
@@ -42,7 +42,7 @@
   // Each is set when there is work of its kind, and when the term ends.
   AutoResetEvent schedule;        // a scheduling cycle may find something to do
   AutoResetEvent store_machines;  // records of machines wait to be written
-  AutoResetEvent store_done;      // progress or ends of jobs wait to be written
+  AutoResetEvent store_progress;  // progress or ends of jobs wait to be written
   AutoResetEvent stops;           // stop calls wait to be sent
   AutoResetEvent runs;            // some machine may be sent a `run`
   AutoResetEvent scaling;         // machines are to be added or returned
@@ -63,7 +63,7 @@
   void follow_up(const Effects& effects) {
     if (effects.schedule) schedule.notify();
     if (effects.store_machines) store_machines.notify();
-    if (effects.store_done) store_done.notify();
+    if (effects.store_progress) store_progress.notify();
     if (effects.stops) stops.notify();
     if (effects.runs) runs.notify();
   }
--- a/src/dunlinknot/cluster/machine.hpp
+++ b/src/dunlinknot/cluster/machine.hpp
@@ -98,7 +98,7 @@
   bool dirty = false;              // allocations were added since it was written
   bool write_queued = false;       // in the ordinary queue (RecordWriteQueue)
   bool urgent = false;             // in the queue that is served first
-  bool trailing = false;           // allocations ended since: rewritten when there is time
+  bool shrunk = false;             // allocations ended since: rewritten when there is time
   bool storing = false;            // a write is in flight
   std::vector<StoredAllocation> stored;
 
--- a/src/dunlinknot/cluster/machine_record.hpp
+++ b/src/dunlinknot/cluster/machine_record.hpp
@@ -11,8 +11,8 @@
 
 // Bytes that a job adds to a machine's record at most.
 struct RecordCost {
-  size_t group = 0;  // once, however many of its tasks are there
-  size_t task = 0;   // with each task
+  size_t group_bytes = 0;  // once, however many of its tasks are there
+  size_t task_bytes = 0;   // with each task
 };
 
 // Attempts are numbered from this bit upwards by the leader's epoch, and below it by the leader.
--- a/src/dunlinknot/cluster/placement_constraints.cpp
+++ b/src/dunlinknot/cluster/placement_constraints.cpp
@@ -15,12 +15,12 @@
   return type_allowed(spec, type) && (!spec.zone || *spec.zone == zone) && (!spot || spec.spot);
 }
 
-uint32_t most_in_one_zone(const JobSpec& spec) {
+uint32_t max_tasks_per_zone(const JobSpec& spec) {
   return (spec.tasks + 1) / 2;
 }
 
 void PlacementConstraints::add(std::string_view zone, uint32_t tasks) {
-  if (!zone_bound() || tasks == 0) return;
+  if (!has_zone_constraint() || tasks == 0) return;
   const auto it = tasks_by_zone_.find(zone);
   if (it == tasks_by_zone_.end()) {
     tasks_by_zone_.emplace(zone, tasks);
@@ -42,7 +42,7 @@
   const bool any_elsewhere = tasks_by_zone_.size() > (any_here ? 1 : 0);
   if (spec_->one_zone && any_elsewhere) return 0;
   if (!spec_->spread) return std::numeric_limits<uint32_t>::max();
-  const uint32_t most = most_in_one_zone(*spec_);
+  const uint32_t most = max_tasks_per_zone(*spec_);
   const uint32_t used = any_here ? here->second : 0;
   return used < most ? most - used : 0;
 }
--- a/src/dunlinknot/cluster/placement_constraints.hpp
+++ b/src/dunlinknot/cluster/placement_constraints.hpp
@@ -26,7 +26,7 @@
   explicit PlacementConstraints(const JobSpec& spec) : spec_(&spec) {}
 
   // Whether it matters where the job's other tasks are.
-  bool zone_bound() const { return spec_->one_zone || spec_->spread; }
+  bool has_zone_constraint() const { return spec_->one_zone || spec_->spread; }
   void add(std::string_view zone, uint32_t tasks);
   void remove(std::string_view zone, uint32_t tasks);
   // How many more tasks the job may have in this zone.
@@ -38,6 +38,6 @@
 };
 
 // The most tasks that a job whose tasks are to be spread may have in one zone: half, rounded up.
-uint32_t most_in_one_zone(const JobSpec& spec);
+uint32_t max_tasks_per_zone(const JobSpec& spec);
 
 }  // namespace dunlinknot::cluster
--- a/src/dunlinknot/cluster/records.cpp
+++ b/src/dunlinknot/cluster/records.cpp
@@ -17,7 +17,7 @@
   }
   machine.dirty = false;
   // Allocations that ended while the write was in flight are still in the record.
-  machine.trailing = std::any_of(
+  machine.shrunk = std::any_of(
       machine.stored.begin(), machine.stored.end(),
       [&](const StoredAllocation& stored) { return !machine.find(stored.task, stored.attempt); });
 }
@@ -52,8 +52,8 @@
   const std::string& id = allocation.task.job;
   Job* open_job = job(id);
   if (!open_job || open_job->gang_attempt != allocation.attempt) return;
-  open_job->gang_go = count_durable(id, allocation.attempt) == open_job->spec().tasks;
-  if (!open_job->gang_go) return;
+  open_job->gang_may_start = count_durable(id, allocation.attempt) == open_job->spec().tasks;
+  if (!open_job->gang_may_start) return;
   for (const Machine* holder : holders(id)) runnable_.push_back(holder->id);
 }
 
--- a/src/dunlinknot/cluster/worker_commands.cpp
+++ b/src/dunlinknot/cluster/worker_commands.cpp
@@ -39,7 +39,8 @@
   const Job* open_job = allocations_.job(allocation.task.job);
   if (!open_job) return false;
   // Safety 4: a gang starts as a whole.
-  return !allocation.gang || (open_job->gang_go && open_job->gang_attempt == allocation.attempt);
+  return !allocation.gang ||
+         (open_job->gang_may_start && open_job->gang_attempt == allocation.attempt);
 }
 
 void WorkerCommands::add_stops(const Machine& machine, const Heartbeat& heartbeat,
--- a/src/dunlinknot/jobs/admission.cpp
+++ b/src/dunlinknot/jobs/admission.cpp
@@ -80,7 +80,7 @@
 std::optional<AdmissionError> Admission::check_zones(const JobSpec& spec) const {
   const std::set<std::string> zones = zones_with_fitting_types(spec);
   if (zones.empty()) return AdmissionError::no_fitting_machine_type;
-  const bool divided = runs_at_once(spec) && cluster::most_in_one_zone(spec) < spec.tasks;
+  const bool divided = runs_at_once(spec) && cluster::max_tasks_per_zone(spec) < spec.tasks;
   if (spec.spread && divided && (spec.one_zone || zones.size() < 2))
     return AdmissionError::no_zone_for_the_rest;
   return std::nullopt;
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -72,7 +72,7 @@
 }
 
 void Daemon::on_peer_cancellation(const std::string& id) {
-  if (elector_.leading() && context_.loaded) allocation_store_.cancelled(id);
+  if (elector_.leading() && context_.loaded) allocation_store_.apply_cancellation(id);
 }
 
 void Daemon::elected(const leadership::Term& term) {
--- a/src/dunlinknot/node/failover.cpp
+++ b/src/dunlinknot/node/failover.cpp
@@ -30,8 +30,9 @@
   context_.loaded = false;
   ++context_.term;
   // A coroutine that waits for an event wakes up, finds that its term is over and ends.
-  for (AutoResetEvent* event : {&context_.schedule, &context_.store_machines, &context_.store_done,
-                                &context_.stops, &context_.runs, &context_.scaling}) {
+  for (AutoResetEvent* event :
+       {&context_.schedule, &context_.store_machines, &context_.store_progress, &context_.stops,
+        &context_.runs, &context_.scaling}) {
     event->notify();
   }
 }
@@ -68,7 +69,7 @@
   EventLoop& loop = context_.loop;
   loop.spawn(parts_.allocation_store.watch_jobs(term));
   loop.spawn(parts_.allocation_store.store_machines(term));
-  loop.spawn(parts_.allocation_store.store_done(term));
+  loop.spawn(parts_.allocation_store.store_progress(term));
   loop.spawn(parts_.stop_caller.run(term));
   loop.spawn(parts_.heartbeats.release_responses(term));
   loop.spawn(parts_.autoscaler.work(term));
--- a/src/dunlinknot/node/leader_loop.cpp
+++ b/src/dunlinknot/node/leader_loop.cpp
@@ -60,7 +60,7 @@
 
 void LeaderLoop::tick(Instant now) {
   const Effects effects = context_.leader_state.with([&](LeaderState& leader) {
-    Effects combined = leader.cluster.expire(now);
+    Effects combined = leader.cluster.expire_leases(now);
     combined |= leader.cluster.tick(now);
     return combined;
   });
--- a/src/dunlinknot/scheduler/apply.cpp
+++ b/src/dunlinknot/scheduler/apply.cpp
@@ -34,14 +34,14 @@
   cluster::Cluster& cluster = state.cluster;
   Job& job = *cluster.job(gang.job);
   const uint64_t attempt = cluster.next_attempt();
-  job.gang_go = false;
+  job.gang_may_start = false;
   for (const auto& [id, count] : gang.on) {
     Machine& machine = *cluster.find_machine(id);
     spdlog::debug("placing {} tasks of gang {} on {} ({})", count, gang.job, id, machine.type);
     for (uint32_t i = 0; i < count; ++i) {
       const auto index = job.pop_pending();
       if (!index || !cluster.allocate(machine, job, *index, attempt, now)) {
-        effects |= cluster.drop_unsent(gang.job, now);
+        effects |= cluster.drop_planned_for_job(gang.job, now);
         return;
       }
     }
@@ -90,8 +90,8 @@
   for (const Placement& placement : plan.placements) allocate_tasks(placement, state, now, effects);
   for (const GangPlacement& gang : plan.gangs) allocate_gang(gang, state, now, effects);
   for (const QueuedPlacement& placement : plan.queued) queue_tasks(placement, state, now, effects);
-  state.cluster.set_held(plan.reserved_room, plan.saved);
-  state.cluster.set_work_waits(plan.waiting_tasks > 0);
+  state.cluster.set_reserved(plan.reserved_room, plan.saved);
+  state.cluster.set_has_pending_work(plan.waiting_tasks > 0);
   for (const Preemption& preemption : plan.preemptions)
     preempt_victims(preemption, state, now, effects);
   return effects;
--- a/src/dunlinknot/scheduler/headroom.cpp
+++ b/src/dunlinknot/scheduler/headroom.cpp
@@ -112,7 +112,7 @@
 void reserve_for_class(CycleState& state, const std::string& job_class,
                        const cluster::DemandForecast& forecast) {
   // A class that has the time to wait for new machines needs no idle ones.
-  if (forecast.within > kTimeToMakeRoom) return;
+  if (forecast.target_wait > kTimeToMakeRoom) return;
   const ExpectedTasks expected = expected_tasks(forecast, state.inputs.wall);
   uint32_t left = expected.wanted;
   if (left == 0) return;
--- a/src/dunlinknot/scheduler/machine_queueing.cpp
+++ b/src/dunlinknot/scheduler/machine_queueing.cpp
@@ -69,7 +69,7 @@
   const JobSpec& spec = job.spec();
   if (tasks == 0 || span_ <= 0 || job.failing || spec.service) return;
   // Where a task that waits on a machine would be in the way of the others, or they in its way.
-  if (PlacementConstraints(spec).zone_bound()) return;
+  if (PlacementConstraints(spec).has_zone_constraint()) return;
   const cluster::QueuePosition position = absolute_position(entry, state_.inputs.now);
   if (state_.quotas.tasks_allowed(job) == 0) tasks = limit_by_turnover(job, tasks);
   for (auto& [offer, pool] : state_.candidates.pools()) {
--- a/src/dunlinknot/scheduler/placement.cpp
+++ b/src/dunlinknot/scheduler/placement.cpp
@@ -104,15 +104,16 @@
 uint32_t record_allows(const Cluster& cluster, const Job& job, const CandidateMachine& candidate) {
   if (!candidate.record_room) return std::numeric_limits<uint32_t>::max();
   const Cluster::RecordCost cost = cluster.record_cost(job);
-  const size_t left = *candidate.record_room - std::min(*candidate.record_room, cost.group);
-  return static_cast<uint32_t>(left / cost.task);
+  const size_t left = *candidate.record_room - std::min(*candidate.record_room, cost.group_bytes);
+  return static_cast<uint32_t>(left / cost.task_bytes);
 }
 
 void reserve_record_space(const Cluster& cluster, const Job& job, CandidateMachine& candidate,
                           uint32_t tasks) {
   if (!candidate.record_room) return;
   const Cluster::RecordCost cost = cluster.record_cost(job);
-  *candidate.record_room -= std::min(*candidate.record_room, cost.group + cost.task * tasks);
+  *candidate.record_room -=
+      std::min(*candidate.record_room, cost.group_bytes + cost.task_bytes * tasks);
 }
 
 uint32_t tasks_that_fit(const CycleState& state, const Job& job, const CandidateMachine& candidate,
--- a/src/dunlinknot/scheduler/preemption.cpp
+++ b/src/dunlinknot/scheduler/preemption.cpp
@@ -75,7 +75,7 @@
           spec.need.gpus,
           spec.need.memory_gb,
           spec.types,
-          promised.zone_bound() ? spec.id : spec.zone.value_or("")};
+          promised.has_zone_constraint() ? spec.id : spec.zone.value_or("")};
 }
 
 bool PreemptionStage::nominate(const QueueEntry& entry, uint64_t renews,
--- a/src/dunlinknot/workers/heartbeat_handler.cpp
+++ b/src/dunlinknot/workers/heartbeat_handler.cpp
@@ -41,14 +41,14 @@
   }
   HeartbeatResponse response = apply(*heartbeat, now);
   if (response.kind == HeartbeatResponse::Kind::accept) {
-    if (response.run_soon) {
+    if (response.run_likely) {
       // A `run` travels only in an answer, and the next one would be a whole period away.
       const uint64_t term = context_.term;
       co_await await_run(heartbeat->machine);
       if (!context_.in_term(term) || !may_answer()) co_return respond({Verdict::unavailable, {}});
     }
     // What the answer carries is decided when it leaves, since the state changed while it waited.
-    const bool starts = response.read && elector_.may_start();
+    const bool starts = response.status_applied && elector_.may_start();
     response = context_.leader_state.with([&](LeaderState& leader) {
       return leader.cluster.commands_for(*heartbeat, context_.loop.now(), starts);
     });
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -86,24 +86,24 @@
   Job& open_job = add(job("run-000001", 8));
   Heartbeat first = heartbeat();
   first.fencing_token = 4;
-  EXPECT_FALSE(c.apply_heartbeat(first, now, true, effects).run_soon)
+  EXPECT_FALSE(c.apply_heartbeat(first, now, true, effects).run_likely)
       << "does not bear our fencing token";
-  EXPECT_FALSE(c.apply_heartbeat(heartbeat(), now, true, effects).run_soon)
+  EXPECT_FALSE(c.apply_heartbeat(heartbeat(), now, true, effects).run_likely)
       << "nothing waits for a place";
-  c.set_work_waits(true);
-  EXPECT_FALSE(c.apply_heartbeat(heartbeat(), now, true, effects).run_soon)
+  c.set_has_pending_work(true);
+  EXPECT_FALSE(c.apply_heartbeat(heartbeat(), now, true, effects).run_likely)
       << "nothing changed there";
   Machine& machine = *c.find_machine("vm-1");
   c.allocate(machine, open_job, *open_job.pop_pending(), c.next_attempt(), now);
   const Heartbeat waiting = heartbeat();
-  EXPECT_TRUE(c.apply_heartbeat(waiting, now, true, effects).run_soon)
+  EXPECT_TRUE(c.apply_heartbeat(waiting, now, true, effects).run_likely)
       << "its allocation is being written";
   Effects ignored;
   c.machine_stored(machine, c.record_of(machine), 21, ignored);
   EXPECT_TRUE(ignored.runs);
   EXPECT_EQ(c.drain_runnable(), std::vector<std::string>{"vm-1"});
   const Heartbeat newer = heartbeat();  // its worker gave the answer up
-  EXPECT_FALSE(c.apply_heartbeat(newer, now, true, effects).run_soon) << "the run goes at once";
+  EXPECT_FALSE(c.apply_heartbeat(newer, now, true, effects).run_likely) << "the run goes at once";
   EXPECT_EQ(c.commands_for(waiting, now, true).kind, HeartbeatResponse::Kind::stale);
   EXPECT_TRUE(c.commands_for(newer, now, false).commands.empty())
       << "the key-value store went meanwhile";
@@ -183,10 +183,10 @@
   send(heartbeat());
   const Instant answered = now;
   now = answered + seconds(14);
-  c.expire(now);
+  c.expire_leases(now);
   EXPECT_EQ(allocated(), 1u) << "clocks drift: not on the second";
   now = answered + leadership::worker_lease_bound(platform);
-  c.expire(now);
+  c.expire_leases(now);
   EXPECT_EQ(allocated(), 0u);
   EXPECT_TRUE(c.find_machine("vm-1")->lost);
   // A heartbeat of the old incarnation that was held up on its way brings nothing back.
@@ -205,9 +205,9 @@
   c.load_machine("vm-1", record, 7, now);
   const Nanos wait =
       leadership::renewal_window(platform) + leadership::worker_lease_bound(platform);
-  c.expire(now + wait - Millis(1));
+  c.expire_leases(now + wait - Millis(1));
   EXPECT_EQ(allocated(), 1u);
-  c.expire(now + wait + seconds(1));
+  c.expire_leases(now + wait + seconds(1));
   EXPECT_EQ(allocated(), 0u);
   // blind window + lease + margin stay inside the time a cancellation has.
   EXPECT_LT(wait + seconds(1), to_nanos(platform.cancel));
@@ -246,7 +246,7 @@
   Heartbeat ended = heartbeat();
   ended.tasks = {on(allocation, TaskState::exited, ExitCause::done)};
   EXPECT_TRUE(send(ended).empty());
-  EXPECT_TRUE(effects.store_done);
+  EXPECT_TRUE(effects.store_progress);
   EXPECT_EQ(open_job.done_count(), 1u);
   open_job.chunk_stored(0, open_job.done_bits(), 30);
   ended.sequence = ++sequence;
@@ -449,7 +449,7 @@
   size_t n = 0;
   const auto room_for_one_more = [&] {
     const Cluster::RecordCost cost = c.record_cost(job);
-    return c.record_size(machine) + cost.group + cost.task <= c.record_limit();
+    return c.record_size(machine) + cost.group_bytes + cost.task_bytes <= c.record_limit();
   };
   while (room_for_one_more() && n < 10'000) {
     c.allocate(machine, job, *job.pop_pending(), c.next_attempt(), now);
@@ -488,7 +488,7 @@
   b.tasks = {on(first)};
   EXPECT_TRUE(send(b).empty());
   // The room is there; some of it is promised to a preemptor.
-  c.set_held({{"vm-1", {5, 0, 4}}}, {});
+  c.set_reserved({{"vm-1", {5, 0, 4}}}, {});
   b = heartbeat();
   b.tasks = {on(first, TaskState::exited, ExitCause::done)};
   const auto commands = send(b);
@@ -504,9 +504,9 @@
   // sanitizer).
   send(heartbeat());
   send(heartbeat("vm-2"));
-  c.set_held({{"vm-1", {5, 0, 4}}, {"vm-2", {1, 0, 1}}}, {});
+  c.set_reserved({{"vm-1", {5, 0, 4}}, {"vm-2", {1, 0, 1}}}, {});
   c.remove_machine("vm-1", now);
-  c.set_held({}, {});
+  c.set_reserved({}, {});
   EXPECT_EQ(c.find_machine("vm-2")->held.cpus, 0);
   EXPECT_FALSE(c.find_machine("vm-1"));
 }
@@ -524,7 +524,7 @@
   c.machine_stored(machine, c.record_of(machine), ++mod_revision, ignored);
   EXPECT_EQ(send(heartbeat()).size(), 2u);
   // Saved up for a gang of the team: nothing more of it is given away.
-  c.set_held({}, {Resources{}, Resources{}, Resources{4, 0, 0}});
+  c.set_reserved({}, {Resources{}, Resources{}, Resources{4, 0, 0}});
   EXPECT_EQ(job.queued_tasks, 1u);
 }
 
@@ -558,7 +558,7 @@
     now += seconds(1);
     EXPECT_EQ(c.handle_heartbeat(i % 2 ? answered : running, now, true, effects).kind,
               HeartbeatResponse::Kind::stale);
-    c.expire(now);
+    c.expire_leases(now);
   }
   EXPECT_TRUE(c.find_machine("vm-1")->lost);
   EXPECT_EQ(allocated(), 0u);
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -171,7 +171,7 @@
   const cluster::Job typical(job("run-000412"), WallTime{}, 1, 0, Instant{});
   const cluster::Cluster::RecordCost cost = c.record_cost(typical);
   const size_t frame = wire::machine_record_size("sortrig", "kamloops", "10.1.0.232:9000");
-  EXPECT_GE((c.record_limit() - frame) / (cost.group + cost.task), kLeastJobs);
+  EXPECT_GE((c.record_limit() - frame) / (cost.group_bytes + cost.task_bytes), kLeastJobs);
 }
 
 TEST_F(LowerLimits, ALargeJobsProgressDoesNotCrowdOutAllocations) {
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -23,7 +23,7 @@
   const JobSpec spec = zoned(4, false, false);
   PlacementConstraints constraints(spec);
   constraints.add("a", 4);
-  EXPECT_FALSE(constraints.zone_bound());
+  EXPECT_FALSE(constraints.has_zone_constraint());
   EXPECT_EQ(constraints.tasks_allowed("a"), kAny);
   EXPECT_EQ(constraints.tasks_allowed("b"), kAny);
 }
@@ -42,8 +42,8 @@
 }
 
 TEST(PlacementConstraintsTest, HalfOfTheTasksRoundedUpMayBeInAZone) {
-  EXPECT_EQ(most_in_one_zone(zoned(9, false, true)), 5u);
-  EXPECT_EQ(most_in_one_zone(zoned(1, false, true)), 1u);
+  EXPECT_EQ(max_tasks_per_zone(zoned(9, false, true)), 5u);
+  EXPECT_EQ(max_tasks_per_zone(zoned(1, false, true)), 1u);
   const JobSpec spec = zoned(9, false, true);
   PlacementConstraints constraints(spec);
   constraints.add("a", 3);
@@ -158,7 +158,7 @@
   Machine& machine = add_machine("vm-1", "a");
   allocate(job, machine, attempt);
   allocate(job, machine, attempt);
-  ASSERT_TRUE(job.gang_go);
+  ASSERT_TRUE(job.gang_may_start);
   EXPECT_TRUE(stops_any(send(with_orphan("vm-2", "b", 1))));
   EXPECT_FALSE(starts_any(send(heartbeat("vm-1", "a"))));
   EXPECT_TRUE(job.any_live()) << "no attempt begins while the orphan is there";
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -159,7 +159,7 @@
     if (m.zone == "b" && s.workers.contains(id)) s.workers.at(id)->cut = true;
   }
   s.run_for(seconds(40));
-  EXPECT_EQ(running(spread), cluster::most_in_one_zone(spread));
+  EXPECT_EQ(running(spread), cluster::max_tasks_per_zone(spread));
   for (auto& [id, w] : s.workers) w->cut = false;
   s.cloud.trouble = false;
   s.run_for(seconds(90));
--- a/tests/scenario_api_test.cpp
+++ b/tests/scenario_api_test.cpp
@@ -163,7 +163,7 @@
   context.leader_state.with([&](cluster::LeaderState& leader) {
     for (uint32_t i = 0; i + 1 < 100'000; ++i) leader.cluster.job("run-000001")->mark_done(i);
   });
-  context.store_done.notify();
+  context.store_progress.notify();
   site.run_for(seconds(3));
   EXPECT_TRUE(site.store.data.contains("done/run-000001/12"));
   EXPECT_LE(site.store.max_value, 8u * 1024);
@@ -174,7 +174,7 @@
     ASSERT_EQ(leader.cluster.job("run-000001")->done_count(), 99'999u);
     leader.cluster.job("run-000001")->mark_done(99'999);
   });
-  site.daemon(0).context().store_done.notify();
+  site.daemon(0).context().store_progress.notify();
   site.run_for(seconds(12));
   EXPECT_EQ(site.standing("run-000001"), "done");
   for (const auto& [key, value] : site.store.data) EXPECT_FALSE(key.starts_with("done/")) << key;
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -76,7 +76,7 @@
       if (chance(0.1)) fail_a_stop_call();
       end_tasks();
       heartbeat_all();
-      (void)state_.cluster.expire(clock_.now());
+      (void)state_.cluster.expire_leases(clock_.now());
       (void)state_.cluster.tick(clock_.now());
       cycle();
       store_some();
@@ -360,7 +360,7 @@
 
   void store_some() {
     for (const auto& [id, machine] : state_.cluster.machines()) {
-      if (!machine->dirty && !machine->trailing) continue;
+      if (!machine->dirty && !machine->shrunk) continue;
       if (chance(0.4)) continue;  // writes lag
       Effects effects;
       wire::MachineRecord record = state_.cluster.record_of(*machine);
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -305,7 +305,7 @@
   spec.job_class = "quick";
   add(spec);
   EXPECT_EQ(c.forecasts().at("quick").arrivals.size(), 1u);
-  EXPECT_EQ(c.forecasts().at("quick").within, Seconds(10));
+  EXPECT_EQ(c.forecasts().at("quick").target_wait, Seconds(10));
   c.begin_term(2, now);
   add(spec);
   EXPECT_EQ(c.forecasts().at("quick").arrivals.size(), 1u);
