--- a/src/dunlinknot/autoscaler/autoscaler.cpp
+++ b/src/dunlinknot/autoscaler/autoscaler.cpp
@@ -28,13 +28,13 @@
 Task<bool> Autoscaler::acquire_roles(uint64_t term) {
   if (!roles_) co_return true;
   const auto acquired = co_await roles_->holder.acquire(term);
-  if (acquired == roles::RoleHolder::Acquired::term_over) co_return false;
+  if (acquired == roles::RoleHolder::AcquireResult::term_ended) co_return false;
   const std::optional<roles::OpenIntents> open = co_await roles_->intents.load(term);
   if (!open) co_return false;
   scale_out_.resume(open->scale_out);
   scale_in_.resume(*open);
-  context_.loop.spawn(roles_->holder.keep(term));
-  context_.loop.spawn(roles_->intents.remove_ended(term));
+  context_.loop.spawn(roles_->holder.renew_until_term_ends(term));
+  context_.loop.spawn(roles_->intents.remove_settled(term));
   co_return true;
 }
 
--- a/src/dunlinknot/autoscaler/scale_in.cpp
+++ b/src/dunlinknot/autoscaler/scale_in.cpp
@@ -39,7 +39,7 @@
     }
     // Of an unreadable intent only the machine is known: it gets no work and is not terminated.
     for (const roles::UnreadableIntent& intent : open.unreadable) {
-      const std::string_view machine = roles::scale_in_name(intent.key);
+      const std::string_view machine = roles::machine_of_scale_in_key(intent.key);
       if (!machine.empty()) leader.cluster.mark_terminating(std::string(machine));
     }
   });
@@ -133,7 +133,7 @@
   });
   context_.follow_up(effects);
   if (!roles_) return;
-  for (const auto& id : machines) roles_->intents.end_scale_in(id);
+  for (const auto& id : machines) roles_->intents.mark_scale_in_settled(id);
 }
 
 }  // namespace dunlinknot::autoscaler
--- a/src/dunlinknot/autoscaler/scale_out.cpp
+++ b/src/dunlinknot/autoscaler/scale_out.cpp
@@ -71,7 +71,7 @@
   std::erase_if(launches_, [&](const Launch& launch) {
     const bool unsent = launch.tries == 0 && !in_flight_.contains(launch.request);
     if (launch.offer != offer || !unsent || launch.doubtful) return false;
-    if (roles_) roles_->intents.end_scale_out(launch.request);
+    if (roles_) roles_->intents.mark_scale_out_settled(launch.request);
     return true;
   });
 }
@@ -192,7 +192,7 @@
     current->parked = true;
   } else {
     forget(launch.request);
-    if (roles_) roles_->intents.end_scale_out(launch.request);
+    if (roles_) roles_->intents.mark_scale_out_settled(launch.request);
   }
   if (outcome != LaunchOutcome::no_capacity) return;
   back_off(launch.offer, context_.loop.now());
@@ -220,7 +220,7 @@
     };
     for (auto& [request, machines] : unseen_) {
       std::erase_if(machines, seen);
-      if (machines.empty()) roles_->intents.end_scale_out(request);
+      if (machines.empty()) roles_->intents.mark_scale_out_settled(request);
     }
     std::erase_if(unseen_, [](const auto& entry) { return entry.second.empty(); });
   });
--- a/src/dunlinknot/cluster/allocation_store/job_watcher.cpp
+++ b/src/dunlinknot/cluster/allocation_store/job_watcher.cpp
@@ -48,7 +48,7 @@
       co_await context.loop.sleep(StoreAccess::kRetry);
       continue;
     }
-    if (watch.too_old) {
+    if (watch.relist_required) {
       const bool relisted = co_await relist(term);
       if (!relisted) co_return;
       continue;
--- a/src/dunlinknot/cluster/allocation_store/store_access.cpp
+++ b/src/dunlinknot/cluster/allocation_store/store_access.cpp
@@ -20,15 +20,15 @@
 }
 
 bool StoreAccess::has_slack() const {
-  return store.write_level() >= store.write_burst() * kSlackLevel;
+  return store.available_writes() >= store.write_burst() * kSlackLevel;
 }
 
 // Without the reserve the allocations of a large cluster crowd the submissions at this node out.
 Task<void> StoreAccess::await_budget(uint64_t term, double writes) const {
   const double burst = store.write_burst();
   const double want = std::min(writes, burst * kLargestShare) + burst * kUserReserve;
-  while (context.in_term(term) && store.write_level() < want) {
-    co_await context.loop.sleep(std::max<Nanos>(store.writes_in(want), kLeastPause));
+  while (context.in_term(term) && store.available_writes() < want) {
+    co_await context.loop.sleep(std::max<Nanos>(store.time_until_writes(want), kLeastPause));
   }
 }
 
--- a/src/dunlinknot/jobs/request_handler.cpp
+++ b/src/dunlinknot/jobs/request_handler.cpp
@@ -68,7 +68,7 @@
   if (const auto* final = finals().find(*id))
     co_return job_response(*id, LookupResult::ended(*final), false);
   if (submissions_in_flight_ >= op_.max_submissions ||
-      !store_.has_room_for_users(kWritesOfSubmission)) {
+      !store_.has_user_budget(kWritesOfSubmission)) {
     co_return put_off();
   }
   const ScopedCount in_flight(submissions_in_flight_);
--- a/src/dunlinknot/kv/client.cpp
+++ b/src/dunlinknot/kv/client.cpp
@@ -90,7 +90,7 @@
   if (writes && limits_.on_throttled_write()) adopt_limits();
 }
 
-bool Client::has_room_for_users(double writes) {
+bool Client::has_user_budget(double writes) {
   const Instant now = loop_.now();
   return requests_.level(now) >= kUserRequests && user_writes_.level(now) >= writes;
 }
@@ -131,9 +131,9 @@
     reply.outcome = Outcome::refused;
     if (reply.status == kTooManyRequests) on_throttled(request.writes > 0);
   } else {
-    ever_served_ = true;
-    last_served_ = loop_.now();
-    last_served_sent_ = std::max(last_served_sent_, sent);
+    has_responded_ = true;
+    last_response_at_ = loop_.now();
+    last_answered_request_at_ = std::max(last_answered_request_at_, sent);
   }
   co_return reply;
 }
@@ -265,12 +265,12 @@
     spdlog::info("key-value store: the changes of {} since {} are too many for one answer", prefix,
                  since);
     out.outcome = Outcome::ok;
-    out.too_old = true;
+    out.relist_required = true;
     co_return out;
   }
   if (reply.outcome != Outcome::ok) co_return out;
   if (reply.status == kGone) {
-    out.too_old = true;
+    out.relist_required = true;
     co_return out;
   }
   out.document = parse(reply.body);
--- a/src/dunlinknot/kv/client.hpp
+++ b/src/dunlinknot/kv/client.hpp
@@ -32,20 +32,20 @@
   Task<WatchResult> watch(std::string prefix, uint64_t since, Millis block);
 
   // When the service last answered a request of ours, and when that request was sent.
-  bool ever_served() const { return ever_served_; }
-  Instant last_served() const { return last_served_; }
-  Instant last_served_sent() const { return last_served_sent_; }
+  bool has_responded() const { return has_responded_; }
+  Instant last_response_at() const { return last_response_at_; }
+  Instant last_answered_request_at() const { return last_answered_request_at_; }
   // Calls refused for their rate, here or by the service, since the process began.
   uint64_t throttled() const { return throttled_; }
 
   // Whether the budget has room for what users ask for: half of the writes, whatever the leader's
   // own work uses.
-  bool has_room_for_users(double writes);
+  bool has_user_budget(double writes);
   // How long until the budget allows so many writes.
-  Nanos writes_in(double writes) { return writes_.until(loop_.now(), writes); }
+  Nanos time_until_writes(double writes) { return writes_.until(loop_.now(), writes); }
   // How many writes the budget allows at once when it is full, and at present.
   double write_burst() const { return writes_.burst(); }
-  double write_level() { return writes_.level(loop_.now()); }
+  double available_writes() { return writes_.level(loop_.now()); }
   const Limits& limits() const { return limits_; }
 
  private:
@@ -73,9 +73,9 @@
   TokenBucket requests_;
   TokenBucket writes_;
   TokenBucket user_writes_;
-  bool ever_served_ = false;
-  Instant last_served_{};
-  Instant last_served_sent_{};
+  bool has_responded_ = false;
+  Instant last_response_at_{};
+  Instant last_answered_request_at_{};
   uint64_t throttled_ = 0;
 };
 
--- a/src/dunlinknot/kv/types.hpp
+++ b/src/dunlinknot/kv/types.hpp
@@ -56,7 +56,7 @@
 // Of waiting for changes under a prefix.
 struct WatchResult {
   Outcome outcome = Outcome::unknown;
-  bool too_old = false;  // or more than one answer may hold: the keys must be listed again
+  bool relist_required = false;  // or more than one answer may hold: the keys must be listed again
   std::vector<Change> changes;
   uint64_t revision = 0;  // to watch from next
   std::shared_ptr<wire::Document> document;
--- a/src/dunlinknot/leadership/elector.cpp
+++ b/src/dunlinknot/leadership/elector.cpp
@@ -36,7 +36,7 @@
 
 bool Elector::may_start() const {
   const Instant now = loop_.now();
-  return leading_ && now - store_.last_served_sent() < ttl_ * 2 / 3 &&
+  return leading_ && now - store_.last_answered_request_at() < ttl_ * 2 / 3 &&
          now - cancellations_read_at_ < ttl_ * 2;
 }
 
@@ -54,7 +54,7 @@
   return loop_.now() < from + renewal_window_;
 }
 
-void Elector::cancellations_read(Instant sent) {
+void Elector::on_cancellations_read(Instant sent) {
   cancellations_read_at_ = std::max(cancellations_read_at_, sent);
 }
 
@@ -86,7 +86,7 @@
   leading_ = false;
   if (known_leader_ == platform_.node && known_epoch_ <= term_.epoch) known_leader_.reset();
   spdlog::info("leadership: epoch {} ended here: {}", term_.epoch, why);
-  observer_.deposed();
+  observer_.on_leadership_lost();
   changed_.notify();
 }
 
@@ -100,7 +100,7 @@
   known_epoch_ = epoch;
   known_leader_ = platform_.node;
   spdlog::info("leadership: leading epoch {}", epoch);
-  observer_.elected(term_);
+  observer_.on_elected(term_);
 }
 
 // Leadership is never held back by the budget.
@@ -168,7 +168,7 @@
     co_await loop_.sleep(kRetry);
     co_return false;
   }
-  if (watch.too_old) co_return false;
+  if (watch.relist_required) co_return false;
   revision_ = std::max(revision_, watch.revision);
   for (const kv::Change& change : watch.changes) {
     // The watch is on a prefix.
--- a/src/dunlinknot/leadership/elector.hpp
+++ b/src/dunlinknot/leadership/elector.hpp
@@ -27,9 +27,9 @@
  public:
   virtual ~LeadershipObserver() = default;
   // This node has won `term`. It leads, but has not loaded any state yet.
-  virtual void elected(const Term& term) = 0;
+  virtual void on_elected(const Term& term) = 0;
   // The term is over, whatever ended it; nothing may be started under its epoch any more.
-  virtual void deposed() = 0;
+  virtual void on_leadership_lost() = 0;
 };
 
 // Campaigns for the key `leader`, keeps the lease on it while leading, and follows who holds it
@@ -59,7 +59,7 @@
 
   // A read sent at `sent` was answered and showed every cancellation that existed by then, and all
   // of them have been carried out here.
-  void cancellations_read(Instant sent);
+  void on_cancellations_read(Instant sent);
   // Until when it is certain that no cancellation exists that we do not know of, and that nobody
   // else was elected; the renewal window is counted from here. An answered request that shows
   // neither proves nothing of the kind.
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -75,11 +75,11 @@
   if (elector_.leading() && context_.loaded) allocation_store_.apply_cancellation(id);
 }
 
-void Daemon::elected(const leadership::Term& term) {
+void Daemon::on_elected(const leadership::Term& term) {
   failover_.begin_term(term);
 }
 
-void Daemon::deposed() {
+void Daemon::on_leadership_lost() {
   failover_.end_term();
 }
 
@@ -102,7 +102,7 @@
 }
 
 void Daemon::on_cancellations_applied(Instant sent) {
-  elector_.cancellations_read(sent);
+  elector_.on_cancellations_read(sent);
 }
 
 // The compares that a transaction which removes records needs; empty while this node may not remove
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -56,8 +56,8 @@
 
  private:
   // leadership::LeadershipObserver
-  void elected(const leadership::Term& term) override;
-  void deposed() override;
+  void on_elected(const leadership::Term& term) override;
+  void on_leadership_lost() override;
 
   // leadership::PeerHandler
   wire::peer::Progress progress() override { return local_status_.progress(); }
--- a/src/dunlinknot/node/failover.cpp
+++ b/src/dunlinknot/node/failover.cpp
@@ -23,7 +23,7 @@
 
 void Failover::end_term() {
   if (parts_.roles) {
-    parts_.roles->holder.lose();
+    parts_.roles->holder.on_term_ended();
     context_.loop.spawn(parts_.roles->holder.release());
   }
   context_.epoch = 0;
--- a/src/dunlinknot/node/local_status.cpp
+++ b/src/dunlinknot/node/local_status.cpp
@@ -20,8 +20,8 @@
   status.epoch = elector_.known_epoch();
   status.leader = elector_.known_leader().value_or("");
   status.up = to_millis(now - started_);
-  status.store_known = store_.ever_served();
-  if (status.store_known) status.store_silent = to_millis(now - store_.last_served());
+  status.store_known = store_.has_responded();
+  if (status.store_known) status.store_silent = to_millis(now - store_.last_response_at());
   const std::optional<Instant> last_heartbeat = heartbeats_.last_heartbeat();
   status.heartbeats_known = last_heartbeat.has_value();
   if (last_heartbeat) status.heartbeats_silent = to_millis(now - *last_heartbeat);
--- a/src/dunlinknot/node/readiness.cpp
+++ b/src/dunlinknot/node/readiness.cpp
@@ -18,13 +18,13 @@
     : loop_(loop), store_(store), peers_(peers), jobs_(jobs) {}
 
 Task<bool> Readiness::check() {
-  if (!jobs_.catalog_known() || !store_.ever_served()) co_return false;
-  if (loop_.now() - store_.last_served() > kStoreIdle) {
+  if (!jobs_.catalog_known() || !store_.has_responded()) co_return false;
+  if (loop_.now() - store_.last_response_at() > kStoreIdle) {
     // A node that had nothing to ask of the store has no answer of it either: the silence is a sign
     // of an outage only if a probe fails too.
     (void)co_await store_.get(std::string(wire::kLeaderKey), kProbeTime, kv::Importance::essential);
   }
-  if (loop_.now() - store_.last_served() < kStoreSilence) co_return true;
+  if (loop_.now() - store_.last_response_at() < kStoreSilence) co_return true;
   co_return !peers_.any_peer_reaches_store();
 }
 
--- a/src/dunlinknot/roles/intent_log.cpp
+++ b/src/dunlinknot/roles/intent_log.cpp
@@ -140,7 +140,7 @@
   has_ended_.notify();
 }
 
-Task<void> IntentLog::remove_ended(uint64_t term) {
+Task<void> IntentLog::remove_settled(uint64_t term) {
   while (context_.in_term(term)) {
     if (ended_.empty()) (void)co_await has_ended_.wait();
     if (!context_.in_term(term)) co_return;
--- a/src/dunlinknot/roles/intent_log.hpp
+++ b/src/dunlinknot/roles/intent_log.hpp
@@ -46,11 +46,15 @@
   Task<bool> record_scale_in(uint64_t term, std::vector<ScaleInIntent> intents);
   size_t max_batch() const;
 
-  // There is evidence that the request is settled: its record is removed by `remove_ended`.
-  void end_scale_out(const std::string& request) { end(Role::scale_out, scale_out_key(request)); }
-  void end_scale_in(const std::string& machine) { end(Role::scale_in, scale_in_key(machine)); }
+  // There is evidence that the request is settled: its record is removed by `remove_settled`.
+  void mark_scale_out_settled(const std::string& request) {
+    end(Role::scale_out, scale_out_key(request));
+  }
+  void mark_scale_in_settled(const std::string& machine) {
+    end(Role::scale_in, scale_in_key(machine));
+  }
   // Removes the records of settled requests, as long as the term lasts.
-  Task<void> remove_ended(uint64_t term);
+  Task<void> remove_settled(uint64_t term);
 
  private:
   struct Entry {
--- a/src/dunlinknot/roles/role_holder.cpp
+++ b/src/dunlinknot/roles/role_holder.cpp
@@ -36,7 +36,7 @@
   return {context_.epoch_compare(), {role_key(role), holding(role).lease.grant().mod_revision}};
 }
 
-void RoleHolder::lose() {
+void RoleHolder::on_term_ended() {
   for (Holding& each : holdings_) each.lease.lose();
 }
 
@@ -171,7 +171,7 @@
   co_return true;
 }
 
-Task<RoleHolder::Acquired> RoleHolder::acquire(uint64_t term) {
+Task<RoleHolder::AcquireResult> RoleHolder::acquire(uint64_t term) {
   halted_ = false;
   while (context_.in_term(term)) {
     for (Holding& each : holdings_) {
@@ -179,14 +179,14 @@
       each.lease.become_candidate();
     }
     const bool acquired = co_await try_acquire(term);
-    if (acquired) co_return Acquired::held;
-    if (halted_) co_return Acquired::halted;
+    if (acquired) co_return AcquireResult::held;
+    if (halted_) co_return AcquireResult::halted;
     if (context_.in_term(term)) co_await context_.loop.sleep(kRetryPause);
   }
-  co_return Acquired::term_over;
+  co_return AcquireResult::term_ended;
 }
 
-Task<void> RoleHolder::keep(uint64_t term) {
+Task<void> RoleHolder::renew_until_term_ends(uint64_t term) {
   const Nanos ttl = to_nanos(context_.op.roles_ttl);
   const Nanos every = to_nanos(context_.op.roles_renew);
   Instant planned = context_.loop.boot_now() + every;
@@ -203,9 +203,10 @@
     planned = woke + (renewal.proved ? every : std::min<Nanos>(every, kRetryPause * 2));
     if (!renewal.expired && all_held()) continue;
     spdlog::info("singleton roles: not all are held while this node leads: they are taken again");
-    const Acquired acquired = co_await acquire(term);
-    if (acquired == Acquired::term_over) co_return;
-    planned = context_.loop.boot_now() + (acquired == Acquired::held ? every : kHaltedRetryPause);
+    const AcquireResult acquired = co_await acquire(term);
+    if (acquired == AcquireResult::term_ended) co_return;
+    planned =
+        context_.loop.boot_now() + (acquired == AcquireResult::held ? every : kHaltedRetryPause);
     // Launches and terminations were held back while the roles were not held.
     context_.scaling.notify();
   }
--- a/src/dunlinknot/roles/role_holder.hpp
+++ b/src/dunlinknot/roles/role_holder.hpp
@@ -23,19 +23,19 @@
   RoleHolder(cluster::LeaderContext& context, kv::Client& store);
 
   // How an attempt to acquire all roles ended.
-  enum class Acquired : uint8_t {
+  enum class AcquireResult : uint8_t {
     held,
-    term_over,
+    term_ended,
     halted,  // the record of the last fencing token cannot be read: no token is known to be higher
   };
   // Acquires all roles; retries until they are held, the term ends, or it has to halt.
-  Task<Acquired> acquire(uint64_t term);
+  Task<AcquireResult> acquire(uint64_t term);
   // Renews them, and acquires them again when one is lost, as long as the term lasts.
-  Task<void> keep(uint64_t term);
+  Task<void> renew_until_term_ends(uint64_t term);
   // Revokes the lease, so that the roles' keys show no holder from now on.
   Task<void> release();
   // The term is over: no act is allowed any more.
-  void lose();
+  void on_term_ended();
 
   bool may_act(Role role) const;
   LeaseState state(Role role) const;
--- a/src/dunlinknot/roles/role_records.cpp
+++ b/src/dunlinknot/roles/role_records.cpp
@@ -46,10 +46,10 @@
 std::string scale_in_key(std::string_view machine) {
   return join(kScaleInPrefix, machine);
 }
-std::string_view scale_out_name(std::string_view key) {
+std::string_view request_of_scale_out_key(std::string_view key) {
   return after_prefix(key, kScaleOutPrefix);
 }
-std::string_view scale_in_name(std::string_view key) {
+std::string_view machine_of_scale_in_key(std::string_view key) {
   return after_prefix(key, kScaleInPrefix);
 }
 
@@ -94,7 +94,7 @@
   const auto zone = value["zone"].text();
   const auto spot = value["spot"].flag();
   const auto count = value["count"].count();
-  if (!request || *request != scale_out_name(key) || !type || !zone || !spot) {
+  if (!request || *request != request_of_scale_out_key(key) || !type || !zone || !spot) {
     return RecordError::damaged;
   }
   if (!count || *count == 0 || *count > kMaxMachines) return RecordError::damaged;
@@ -119,20 +119,20 @@
 Read<ScaleInIntent> read_scale_in_intent(std::string_view key, View value) {
   if (const auto error = check_header(value)) return *error;
   const auto machine = value["machine"].text();
-  if (!machine || *machine != scale_in_name(key)) return RecordError::damaged;
+  if (!machine || *machine != machine_of_scale_in_key(key)) return RecordError::damaged;
   return ScaleInIntent{std::string(*machine), std::string(value["reason"].text().value_or("")),
                        *value["token"].count()};
 }
 
 ReadIntent read_intent(std::string_view key, View value) {
-  if (!scale_out_name(key).empty()) {
+  if (!request_of_scale_out_key(key).empty()) {
     const auto read = read_scale_out_intent(key, value);
     if (const auto* intent = std::get_if<ScaleOutIntent>(&read)) return *intent;
     return std::get<RecordError>(read);
   }
   const auto read = read_scale_in_intent(key, value);
   if (const auto* error = std::get_if<RecordError>(&read)) return *error;
-  if (scale_in_name(key).empty()) return RecordError::damaged;
+  if (machine_of_scale_in_key(key).empty()) return RecordError::damaged;
   return std::get<ScaleInIntent>(read);
 }
 
--- a/src/dunlinknot/roles/role_records.hpp
+++ b/src/dunlinknot/roles/role_records.hpp
@@ -69,8 +69,8 @@
 std::string scale_in_key(std::string_view machine);
 // The request's or machine's name in a key of that kind; empty for any other key. A view into
 // `key`.
-std::string_view scale_out_name(std::string_view key);
-std::string_view scale_in_name(std::string_view key);
+std::string_view request_of_scale_out_key(std::string_view key);
+std::string_view machine_of_scale_in_key(std::string_view key);
 
 // Packed records. Reading an intent needs its key: a record under the key of another is damaged.
 std::string write_holder(const RoleHolderRecord& record);
--- a/tests/role_history.cpp
+++ b/tests/role_history.cpp
@@ -94,7 +94,8 @@
   if (key.starts_with(wire::kFinalPrefix)) {
     violations_.push_back("a final answer was removed: " + key);
   }
-  if (const auto machine = roles::scale_in_name(key); !machine.empty() && machine_lives(machine)) {
+  if (const auto machine = roles::machine_of_scale_in_key(key);
+      !machine.empty() && machine_lives(machine)) {
     violations_.push_back("an intent was removed before its machine was gone: " + key);
   }
   if (const auto machine = wire::after_prefix(key, wire::kMachinePrefix); machine_lives(machine)) {
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -62,7 +62,7 @@
     transport.beyond = beyond;
     const auto result = world.get(client.watch("job/", 3, Millis(100)));
     EXPECT_EQ(result.outcome, http::Outcome::ok);
-    EXPECT_EQ(result.too_old, beyond > 0) << beyond << " bytes above the bound";
+    EXPECT_EQ(result.relist_required, beyond > 0) << beyond << " bytes above the bound";
   }
 }
 
--- a/tools/handover_run.cpp
+++ b/tools/handover_run.cpp
@@ -368,7 +368,8 @@
       return found != cloud_.machines.end() && !found->second.removed;
     };
     if (key.starts_with(wire::kFinalPrefix)) violation("a final answer was removed: " + key);
-    if (const auto machine = roles::scale_in_name(key); !machine.empty() && lives(machine)) {
+    if (const auto machine = roles::machine_of_scale_in_key(key);
+        !machine.empty() && lives(machine)) {
       violation("an intent was removed before its machine was gone: " + key);
     }
   }
