--- a/src/dunlinknot/node/connection_limit.cpp
+++ b/src/dunlinknot/node/connection_limit.cpp
@@ -14,8 +14,8 @@
 // Calls on the users' behalf take one socket each at most; every peer takes two, one for each
 // direction. On a large quota all else is for workers and users: a leader holds a connection of
 // every machine. On a small one the server keeps three quarters.
-size_t server_connections(const settings::Platform& platform,
-                          const settings::Operator& operator_settings) {
+size_t max_server_connections(const settings::Platform& platform,
+                              const settings::Operator& operator_settings) {
   const size_t own = operator_settings.max_submissions + operator_settings.max_polls +
                      2 * platform.peers.size() + kOtherCalls;
   const size_t quota = platform.max_connections;
--- a/src/dunlinknot/node/connection_limit.hpp
+++ b/src/dunlinknot/node/connection_limit.hpp
@@ -7,7 +7,7 @@
 namespace dunlinknot::node {
 
 // How many connections the server may hold, so that the calls of this node find sockets too.
-size_t server_connections(const settings::Platform& platform,
-                          const settings::Operator& operator_settings);
+size_t max_server_connections(const settings::Platform& platform,
+                              const settings::Operator& operator_settings);
 
 }  // namespace dunlinknot::node
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 // The parts are handed *this while members are still to be constructed; none calls it before
-// start_parts().
+// start_components().
 Daemon::Daemon(EventLoop& loop, const settings::Platform& platform,
                const settings::Operator& operator_settings, http::Transport& transport,
                uint32_t seed)
@@ -45,17 +45,17 @@
 
 void Daemon::start() {
   http::ServerOptions options;
-  options.max_connections = server_connections(platform_, op_);
+  options.max_connections = max_server_connections(platform_, op_);
   server_ = std::make_unique<http::Server>(
       loop_, platform_.listen, options,
       [this](http::Request request) { return handle(std::move(request)); });
   counter_log_.include(*server_);
   loop_.spawn(server_->serve());
   peers_.start();
-  start_parts();
+  start_components();
 }
 
-void Daemon::start_parts() {
+void Daemon::start_components() {
   loop_.spawn(catalog_keeper_.learn());
   loop_.spawn(elector_.run());
   loop_.spawn(counter_log_.run());
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -39,7 +39,7 @@
   // Opens the listening sockets (throws std::runtime_error when that fails) and starts all parts.
   void start();
   // Starts the parts without any socket of their own; for tests with scripted peers.
-  void start_parts();
+  void start_components();
 
   // Serves one request; the HTTP server calls it, and tests do.
   Task<http::Response> handle(http::Request request) { return router_.handle(std::move(request)); }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -144,15 +144,15 @@
   settings::Platform settings = test::Site::platform(0, 3);
   const settings::Operator operator_settings;
   settings.max_connections = 4000;
-  const size_t large = node::server_connections(settings, operator_settings);
+  const size_t large = node::max_server_connections(settings, operator_settings);
   EXPECT_GT(large, 3600u);
   EXPECT_GE(settings.max_connections - large, operator_settings.max_submissions +
                                                   operator_settings.max_polls +
                                                   2 * settings.peers.size() + 20);
   settings.max_connections = 800;
-  EXPECT_EQ(node::server_connections(settings, operator_settings), 600u);
+  EXPECT_EQ(node::max_server_connections(settings, operator_settings), 600u);
   settings.max_connections = 32;
-  EXPECT_EQ(node::server_connections(settings, operator_settings), 24u);
+  EXPECT_EQ(node::max_server_connections(settings, operator_settings), 24u);
 }
 
 TEST(OperatorFile, IsReadAndEveryValueChecked) {
--- a/tests/site.cpp
+++ b/tests/site.cpp
@@ -16,7 +16,7 @@
   if (s.adjust_platform) s.adjust_platform(platform);
   daemon = std::make_unique<node::Daemon>(s.loop, platform, s.op, *this,
                                           static_cast<uint32_t>(index + 7));
-  daemon->start_parts();
+  daemon->start_components();
 }
 
 Task<Reply> Site::Node::exchange(Call call) {
