--- a/benchmarks/cost_driver.cpp
+++ b/benchmarks/cost_driver.cpp
@@ -64,7 +64,7 @@
     site_.cloud.capacity["cpu/a/ordinary"] = load.machines / 2;
     site_.cloud.capacity["cpu/b/ordinary"] = load.machines / 4;
     site_.cloud.capacity["gpu/a/ordinary"] = load.machines / 4;
-    site_.op.max_machines = load.machines;
+    site_.operator_settings.max_machines = load.machines;
     site_.on_worker = [this](ScriptedWorker& worker) {
       worker.run_time = [this](const TaskRef& task) {
         const double factor = 0.5 + static_cast<double>(task.index * 37 % 100) / 100;
--- a/tests/concurrent_faults_test.cpp
+++ b/tests/concurrent_faults_test.cpp
@@ -34,8 +34,8 @@
   // The workers reach the old leader alone.
   void tie_workers_to_old() {
     for (auto& [id, w] : s.workers) {
-      s.cut.insert({other, id});
-      s.cut.insert({third, id});
+      s.blocked_links.insert({other, id});
+      s.blocked_links.insert({third, id});
     }
   }
 };
@@ -58,8 +58,8 @@
     fresh.store.end_outage();
     fresh.nodes[l]->refused_by_store = false;
     fresh.run_for(seconds(30));
-    expect_rules(fresh);
-    EXPECT_EQ(fresh.standing("run-000002"), "cancelled");
+    expect_no_violations(fresh);
+    EXPECT_EQ(fresh.job_state("run-000002"), "cancelled");
   }
 }
 
@@ -68,13 +68,14 @@
   // began anew with each renewal, and the cancelled tasks ran on for as long as that lasted.
   s.nodes[old]->cut_from_peers = true;
   tie_workers_to_old();
-  s.store.fate = [&](const http::Call& call) {
-    return call.target.starts_with("/changes?starts=job/") ? Fate::lose_request : Fate::normal;
+  s.store.call_fault = [&](const http::Call& call) {
+    return call.target.starts_with("/changes?starts=job/") ? CallFault::lose_request
+                                                           : CallFault::none;
   };
   s.run_for(seconds(8));
   ASSERT_EQ(s.cancel(long_job.id, other).status, 200);
   s.run_for(seconds(60));
-  expect_rules(s);
+  expect_no_violations(s);
   EXPECT_EQ(on_machines(), 0u);
 }
 
@@ -86,8 +87,8 @@
   s.run_for(Millis(200));
   ASSERT_EQ(s.cancel(long_job.id, other).status, 200);
   s.store.outage = true;
-  s.store.fate = [&](const http::Call& call) {
-    return call.target.starts_with("/changes") ? Fate::refuse : Fate::normal;
+  s.store.call_fault = [&](const http::Call& call) {
+    return call.target.starts_with("/changes") ? CallFault::refuse : CallFault::none;
   };
   s.run_for(seconds(20));
   s.store.end_outage();
@@ -95,7 +96,7 @@
   s.run_for(seconds(1));
   s.store.outage = true;
   s.run_for(seconds(30));
-  expect_rules(s);
+  expect_no_violations(s);
   EXPECT_EQ(on_machines(), 0u);
 }
 
@@ -107,14 +108,15 @@
   s.store.outage = true;
   s.restart(other);
   s.run_for(seconds(45));
-  expect_rules(s);
+  expect_no_violations(s);
   EXPECT_EQ(on_machines(), 0u);
 }
 
 TEST_F(Gap, WhatOnlyTheLeaderItselfToldItKnows) {
   // Its user cancels at the leader, whose watch does not come; the others vouch for themselves.
-  s.store.fate = [&](const http::Call& call) {
-    return call.target.starts_with("/changes?starts=job/") ? Fate::lose_request : Fate::normal;
+  s.store.call_fault = [&](const http::Call& call) {
+    return call.target.starts_with("/changes?starts=job/") ? CallFault::lose_request
+                                                           : CallFault::none;
   };
   s.run_for(seconds(3));
   ASSERT_EQ(s.cancel(long_job.id, old).status, 200);
@@ -122,7 +124,7 @@
   EXPECT_EQ(on_machines(), 0u) << "stopped at once, not by the end of the leases";
   s.store.outage = true;
   s.run_for(seconds(45));
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(Gap, AnOutageForAllLongerThanTheWindowLosesNoTaskWhenNobodyToldOfACancellation) {
@@ -133,7 +135,7 @@
   s.run_for(seconds(20));
   EXPECT_EQ(on_machines(), 4u);
   EXPECT_EQ(s.starts, 4u) << "the leases were renewed all along";
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(Gap, ALeaderRefusedAloneGivesWaySoon) {
@@ -145,7 +147,7 @@
   s.run_for(seconds(20));
   EXPECT_EQ(on_machines(), 4u) << "and its tasks run on";
   EXPECT_EQ(s.starts, 4u);
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(Gap, APeersWordStopsTheTasksAtOnce) {
@@ -154,7 +156,7 @@
   s.daemon(old).on_peer_cancellation(long_job.id);
   s.run_for(seconds(2));
   EXPECT_EQ(on_machines(), 0u);
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(Gap, AMachineThatHangsMeanwhileGoesOnToNothing) {
@@ -171,14 +173,14 @@
     for (const auto& [key, t] : w.tasks) EXPECT_EQ(t.state, TaskState::exited);
     s.run_for(seconds(40));
   }
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(Gap, AHeartbeatOlderThanADirectAnswerIsStillAnsweredWithTheStops) {
   // Its lease was renewed by an answer without them.
   const size_t l = *s.leader();
   auto& w = *s.workers.begin()->second;
-  w.mute = true;
+  w.drop_heartbeats = true;
   w.refuse_direct = true;
   s.run_for(Millis(1600));
   const Heartbeat held = w.heartbeat();
@@ -204,8 +206,8 @@
   for (auto& [id, w] : site.workers) w->run_time = [](const TaskRef&) { return seconds(400); };
   site.run_for(seconds(12));
   site.store.too_old = true;
-  site.store.fate = [&](const http::Call& call) {
-    return call.target == "/keys/job/run-000001" ? Fate::lose_request : Fate::normal;
+  site.store.call_fault = [&](const http::Call& call) {
+    return call.target == "/keys/job/run-000001" ? CallFault::lose_request : CallFault::none;
   };
   site.store.erase("job/run-000001");
   site.store.put("final/run-000001", wire::write_final({true, 2}));
@@ -227,17 +229,17 @@
     w->run_time = [](const TaskRef& task) { return seconds(task.index == 0 ? 5 : 300); };
   }
   bool lost = false, read = false;
-  site.store.late_by = Millis(900);
-  site.store.fate = [&](const http::Call& call) {
-    if (!lost && is_commit_of(call, "done/run-000001")) {
+  site.store.fault_delay = Millis(900);
+  site.store.call_fault = [&](const http::Call& call) {
+    if (!lost && is_transaction_on(call, "done/run-000001")) {
       lost = true;
-      return Fate::lose_reply;
+      return CallFault::lose_reply;
     }
     if (lost && !read && call.target == "/keys/job/run-000001") {
       read = true;
-      return Fate::slow_reply;
+      return CallFault::slow_reply;
     }
-    return Fate::normal;
+    return CallFault::none;
   };
   while (!read && site.clock.now() < Instant(seconds(1100))) site.run_for(Millis(20));
   ASSERT_TRUE(read);
@@ -278,13 +280,13 @@
       s.loop.spawn(one(s, n, "POST", "/v1/jobs", body));
     }
     s.run_for(Millis(300));
-    const std::string answer = s.standing(spec.id, 0);
+    const std::string answer = s.job_state(spec.id, 0);
     EXPECT_TRUE(answer == "done" || answer == "cancelled") << answer;
-    EXPECT_EQ(s.standing(spec.id, 1), answer);
-    EXPECT_EQ(s.standing(spec.id, 2), answer);
+    EXPECT_EQ(s.job_state(spec.id, 1), answer);
+    EXPECT_EQ(s.job_state(spec.id, 2), answer);
   }
   s.run_for(seconds(60));
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST(ConcurrentFaults, ATeamAtItsLimitWhoseMachineCannotBeAskedWhenTheLeaderChanges) {
@@ -298,7 +300,7 @@
   for (auto& [id, w] : site.workers) w->run_time = [](const TaskRef&) { return seconds(300); };
   site.run_for(seconds(12));
   ASSERT_EQ(site.starts, 2u);
-  for (auto& [id, w] : site.workers) w->cut = true;
+  for (auto& [id, w] : site.workers) w->isolated = true;
   const size_t old = *site.leader();
   site.crash(old);
   ASSERT_EQ(site.cancel(first.id, (old + 1) % 3).status, 200);
@@ -308,8 +310,8 @@
   site.run_for(seconds(10));
   EXPECT_EQ(site.starts, 2u) << "the cancelled tasks may still be there, and count";
   site.run_for(seconds(110));
-  EXPECT_EQ(site.standing(next.id, (old + 1) % 3), "done");
-  expect_rules(site);
+  EXPECT_EQ(site.job_state(next.id, (old + 1) % 3), "done");
+  expect_no_violations(site);
 }
 
 TEST(ConcurrentFaults, TasksOfOneJobEndFarApartAcrossChangesOfLeader) {
@@ -329,9 +331,9 @@
     if (site.store.outage) site.store.end_outage();
   }
   site.run_for(seconds(20));
-  EXPECT_EQ(site.standing("run-000001"), "done");
+  EXPECT_EQ(site.job_state("run-000001"), "done");
   EXPECT_EQ(site.starts, 3u) << "nothing was run again";
-  expect_rules(site);
+  expect_no_violations(site);
 }
 
 class RandomConcurrentFaults : public testing::TestWithParam<uint32_t> {};
--- a/tests/fake_clock.hpp
+++ b/tests/fake_clock.hpp
@@ -17,13 +17,13 @@
   Instant now() const override { return now_; }
   WallTime wall() const override {
     return WallTime(Millis(1'700'000'000'000)) +
-           std::chrono::duration_cast<Millis>(now_ + wall_jump - Instant(seconds(1000)));
+           std::chrono::duration_cast<Millis>(now_ + wall_offset - Instant(seconds(1000)));
   }
   Instant boot() const override { return now_ + suspended; }
   void set(Instant t) { now_ = t; }
 
   Nanos suspended{0};  // for which the steady clock stood still
-  Nanos wall_jump{0};
+  Nanos wall_offset{0};
 
  private:
   Instant now_{seconds(1000)};
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -81,12 +81,12 @@
     for (const char* zone : {"a", "b"}) {
       s.cloud.capacity[std::string("box/") + zone + "/ordinary"] = 30;
     }
-    s.op.max_machines = 60;
+    s.operator_settings.max_machines = 60;
     s.run_for(seconds(3));
     ASSERT_TRUE(s.leader());
   }
   void lower() { s.store.limits = kNext; }
-  bool done(const std::string& id) { return s.standing(id) == "done"; }
+  bool done(const std::string& id) { return s.job_state(id) == "done"; }
   static std::string id(size_t n) { return "run-00" + std::to_string(1000 + n); }
 };
 
@@ -103,7 +103,7 @@
     s.run_for(seconds(90));
     EXPECT_TRUE(done(gang.id)) << "limits fell after " << after.count() << " ms";
   }
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(LowerLimits, FallWithAFullQueueOfWritesAndCostNoTerm) {
@@ -114,27 +114,29 @@
   s.run_for(seconds(120));
   for (size_t n = 0; n < 30; ++n) EXPECT_TRUE(done(id(n))) << id(n);
   EXPECT_EQ(s.leader(), leader);
-  EXPECT_LT(s.store.malformed, 10u)
+  EXPECT_LT(s.store.oversized, 10u)
       << "a transaction that was too large is not sent again as it was";
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(LowerLimits, AreKeptWhileATransactionIsInDoubt) {
-  s.store.late_by = seconds(3);
+  s.store.fault_delay = seconds(3);
   for (size_t n = 0; n < 6; ++n) ASSERT_EQ(s.submit(job(id(n), 8)).status, 201);
   s.run_for(seconds(3));
-  s.store.fate = [k = 0](const http::Call& call) mutable {
-    if (!is_commit_of(call, "host/")) return Fate::normal;
+  s.store.call_fault = [k = 0](const http::Call& call) mutable {
+    if (!is_transaction_on(call, "host/")) return CallFault::none;
     ++k;
-    return k % 3 == 0 ? Fate::apply_late : k % 3 == 1 ? Fate::lose_reply : Fate::normal;
+    return k % 3 == 0   ? CallFault::apply_late
+           : k % 3 == 1 ? CallFault::lose_reply
+                        : CallFault::none;
   };
   s.run_for(seconds(2));
   lower();
   s.run_for(seconds(6));
-  s.store.fate = nullptr;
+  s.store.call_fault = nullptr;
   s.run_for(seconds(120));
   for (size_t n = 0; n < 6; ++n) EXPECT_TRUE(done(id(n))) << id(n);
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(LowerLimits, OneMachineHoldsManyJobsAndARecordStoredLargeShrinksByItself) {
@@ -158,15 +160,15 @@
   s.store.max_value = 0;
   s.run_for(seconds(120));
   for (size_t n = 0; n < 2 * kLeastJobs; ++n) {
-    EXPECT_EQ(s.standing(id(n), *s.leader()), "done") << id(n);
+    EXPECT_EQ(s.job_state(id(n), *s.leader()), "done") << id(n);
   }
-  EXPECT_LT(s.store.malformed, 10u);
+  EXPECT_LT(s.store.oversized, 10u);
   EXPECT_FALSE(s.store.data.contains("host/vm-old")) << "nothing is allocated there any more";
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(LowerLimits, ARecordHasRoomForManyJobs) {
-  cluster::Cluster c(s.nodes[0]->platform, s.op);
+  cluster::Cluster c(s.nodes[0]->platform, s.operator_settings);
   c.begin_term(1000, s.clock.now());
   const cluster::Job typical(job("run-000412"), WallTime{}, 1, 0, Instant{});
   const cluster::Cluster::RecordCost cost = c.record_cost(typical);
@@ -193,7 +195,7 @@
   EXPECT_GT(s.starts, before + 200);
   s.run_for(seconds(240));
   EXPECT_TRUE(done(late.id));
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(LowerLimits, ADescriptionThatCouldNotBeStoredIsRefusedAtOnceAndAKnownOneIsNot) {
--- a/tests/random_placements_test.cpp
+++ b/tests/random_placements_test.cpp
@@ -46,7 +46,7 @@
     co_await s.loop.sleep(begins);
     std::vector<ScriptedWorker*> up;
     for (auto& [id, w] : s.workers) {
-      if (w->on) up.push_back(w.get());
+      if (w->powered_on) up.push_back(w.get());
     }
     if (up.empty()) co_return;
     ScriptedWorker& worker = *up[pick(up.size())];
@@ -54,7 +54,7 @@
       worker.interruption_notice = Seconds(8);
       co_await s.loop.sleep(seconds(8));
     }
-    if (!worker.on) co_return;  // returned meanwhile
+    if (!worker.powered_on) co_return;  // returned meanwhile
     worker.power_off();
     ScriptedCloud::Machine& machine = s.cloud.machines[worker.id];
     machine.removed = true;
--- a/tests/random_scenario.hpp
+++ b/tests/random_scenario.hpp
@@ -121,13 +121,13 @@
   Task<void> late_transactions() {
     const Instant until = s.loop.now() + in(5, 30);
     while (s.loop.now() < until) {
-      s.store.late_by = in(2, 12);
-      s.store.fate = [this](const http::Call& call) {
-        return call.target == "/multi" && chance(0.3) ? Fate::apply_late : Fate::normal;
+      s.store.fault_delay = in(2, 12);
+      s.store.call_fault = [this](const http::Call& call) {
+        return call.target == "/multi" && chance(0.3) ? CallFault::apply_late : CallFault::none;
       };
       co_await s.loop.sleep(in(0.5, 2));
     }
-    s.store.fate = nullptr;
+    s.store.call_fault = nullptr;
   }
 
   using Flags = std::vector<bool ScriptedWorker::*>;
@@ -146,17 +146,17 @@
                                         size_t controller) {
     for (ScriptedWorker* worker : some) {
       for (size_t i = 0; i < 3; ++i) {
-        if (i != controller) s.cut.insert({i, worker->id});
+        if (i != controller) s.blocked_links.insert({i, worker->id});
       }
     }
     co_await s.loop.sleep(in(2, 30));
-    s.cut.clear();
+    s.blocked_links.clear();
   }
 
   Task<void> late_copies_of_heartbeats() {
     for (int k = 0; k < 30; ++k) {
       for (auto& [id, w] : s.workers) {
-        if (w->on && !w->hung && chance(0.3)) {
+        if (w->powered_on && !w->hung && chance(0.3)) {
           s.loop.spawn(copy_later(wire::write_heartbeat(w->heartbeat())));
         }
       }
@@ -170,10 +170,10 @@
     const size_t node = chance(0.7) ? leader : pick(3);
     std::vector<ScriptedWorker*> some;
     for (auto& [id, w] : s.workers) {
-      if (w->on && chance(0.4)) some.push_back(w.get());
+      if (w->powered_on && chance(0.4)) some.push_back(w.get());
     }
-    const Flags hung = {&ScriptedWorker::hung}, mute = {&ScriptedWorker::mute},
-                cut_off = {&ScriptedWorker::cut};
+    const Flags hung = {&ScriptedWorker::hung}, mute = {&ScriptedWorker::drop_heartbeats},
+                cut_off = {&ScriptedWorker::isolated};
     const Flags unreachable = {&ScriptedWorker::drop_responses, &ScriptedWorker::refuse_direct};
     const size_t kind = pick(13);
     log += " " + std::to_string(kind) + "@" +
@@ -255,17 +255,17 @@
   const size_t troubles = 2 + pick(2);
   for (size_t k = 0; k < troubles; ++k) s.loop.spawn(trouble(in(8, 60)));
   s.run_for(duration());
-  for (const auto& b : s.rules.broken()) ADD_FAILURE() << b << "; troubles:" << log;
+  for (const auto& b : s.rules.violations()) ADD_FAILURE() << b << "; troubles:" << log;
   for (const auto& id : kept) {
     if (!s.rules.was_accepted(id)) continue;
     if (s.specs[id].service) {
       // Its replicas run until it is cancelled; a scarce site need not have room for all of them.
-      const std::string standing = s.standing(id, pick(3));
+      const std::string standing = s.job_state(id, pick(3));
       EXPECT_TRUE(standing == "queued" || standing == "running")
           << id << " is " << standing << "; troubles:" << log;
       continue;
     }
-    EXPECT_EQ(s.standing(id, pick(3)), "done") << id << "; troubles:" << log;
+    EXPECT_EQ(s.job_state(id, pick(3)), "done") << id << "; troubles:" << log;
   }
 }
 
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -53,15 +53,15 @@
 TEST_F(Replicas, RunUntilTheyAreCancelled) {
   start();
   s.run_for(seconds(300));
-  const std::string standing = s.standing(api.id);  // the links that carry progress are not played
+  const std::string standing = s.job_state(api.id);  // the links that carry progress are not played
   EXPECT_TRUE(standing == "running" || standing == "queued") << standing;
   EXPECT_EQ(s.starts, api.tasks) << "none was started twice";
   EXPECT_EQ(s.submit(api).status, 200) << "repeated";
   EXPECT_EQ(s.cancel(api.id).status, 200);
   s.run_for(seconds(5));
   EXPECT_EQ(running(api), 0u);
-  EXPECT_EQ(s.standing(api.id), "cancelled");
-  expect_rules(s);
+  EXPECT_EQ(s.job_state(api.id), "cancelled");
+  expect_no_violations(s);
 }
 
 TEST_F(Replicas, AllCountTogetherAgainstTheTeamsLimit) {
@@ -76,7 +76,7 @@
 }
 
 TEST_F(Replicas, ThatReportTheirCompletionRunAgainAndAreNeverDone) {
-  for (auto& n : s.nodes) ASSERT_FALSE(n->dead);
+  for (auto& n : s.nodes) ASSERT_FALSE(n->crashed);
   s.on_worker = [](ScriptedWorker& worker) {
     worker.run_time = [](const TaskRef&) { return seconds(40); };
   };
@@ -86,10 +86,10 @@
   s.crash(old);
   for (int k = 0; k < 30; ++k) {
     s.run_for(seconds(10));
-    EXPECT_NE(s.standing(api.id, (old + 1) % 3), "done");
+    EXPECT_NE(s.job_state(api.id, (old + 1) % 3), "done");
   }
   EXPECT_GT(s.starts, 5 * api.tasks);
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(Replicas, ThatFailAtTheirStartWaitLongerEachTime) {
@@ -106,19 +106,19 @@
   EXPECT_LT(s.starts, 15 * api.tasks);
   EXPECT_EQ(s.cancel(api.id).status, 200);
   s.run_for(seconds(10));
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(Replicas, OfALostMachineRunElsewhereAndInOnePlaceOnly) {
   start();
   ScriptedWorker& lost = machine_of(0);
-  lost.cut = true;
+  lost.isolated = true;
   s.run_for(seconds(30));
   for (uint32_t i = 0; i < api.tasks; ++i) EXPECT_EQ(s.copies({api.id, i}), 1u) << i;
-  lost.cut = false;
+  lost.isolated = false;
   s.run_for(seconds(30));
   EXPECT_EQ(running(api), api.tasks);
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(Replicas, LeaveAnInterruptedMachineBeforeItGoes) {
@@ -145,7 +145,7 @@
   }
   EXPECT_EQ(on_it(), 0u);
   EXPECT_EQ(running(api), api.tasks) << "all run elsewhere before it is gone";
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(Replicas, KeepToTheirSpreadWhileAZoneIsLost) {
@@ -154,17 +154,17 @@
   ASSERT_EQ(s.submit(spread).status, 201);
   s.run_for(seconds(20));
   ASSERT_EQ(running(spread), spread.tasks);
-  s.cloud.trouble = true;  // nor can the zone's machines be replaced
+  s.cloud.unavailable = true;  // nor can the zone's machines be replaced
   for (auto& [id, m] : s.cloud.machines) {
-    if (m.zone == "b" && s.workers.contains(id)) s.workers.at(id)->cut = true;
+    if (m.zone == "b" && s.workers.contains(id)) s.workers.at(id)->isolated = true;
   }
   s.run_for(seconds(40));
   EXPECT_EQ(running(spread), cluster::max_tasks_per_zone(spread));
-  for (auto& [id, w] : s.workers) w->cut = false;
-  s.cloud.trouble = false;
+  for (auto& [id, w] : s.workers) w->isolated = false;
+  s.cloud.unavailable = false;
   s.run_for(seconds(90));
   EXPECT_EQ(running(spread), spread.tasks);
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(Replicas, AreNotAllOnOneMachineWhereAnotherHasRoom) {
@@ -187,7 +187,7 @@
   ASSERT_EQ(s.submit(api).status, 201);
   s.run_for(seconds(12));
   EXPECT_EQ(running(api), api.tasks);
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 // --- the decisions behind it
--- a/tests/role_handover_test.cpp
+++ b/tests/role_handover_test.cpp
@@ -22,9 +22,9 @@
 // Three controllers that acted for a few seconds, and the history of their acts.
 struct Fixture {
   explicit Fixture(bool roles = true) {
-    site.op.roles = roles;
-    site.op.idle_return = Seconds(3);
-    site.cloud.lag = seconds(6);
+    site.operator_settings.roles = roles;
+    site.operator_settings.idle_return = Seconds(3);
+    site.cloud.list_lag = seconds(6);
     for (size_t i = 0; i < kControllers; ++i) site.restart(i);
     site.run_for(seconds(5));
   }
@@ -42,7 +42,7 @@
   }
   void expect_clean() {
     for (const auto& violation : history.violations()) ADD_FAILURE() << violation;
-    expect_rules(site);
+    expect_no_violations(site);
   }
 
   Site site{kControllers};
@@ -70,7 +70,7 @@
   fixture.site.run_for(seconds(25));
   stopped->paused = false;
   fixture.site.run_for(seconds(90));
-  EXPECT_EQ(fixture.site.standing("run-000002", other), "done");
+  EXPECT_EQ(fixture.site.job_state("run-000002", other), "done");
 }
 
 TEST(RoleHandover, AHolderPausedBeforeItSendsADeletionHarmsNobody) {
@@ -106,10 +106,10 @@
 TEST(RoleHandover, ALaunchThatIsExecutedMinutesLaterIsTheSameLaunch) {
   Fixture fixture;
   fixture.site.cloud.capacity["box/a/ordinary"] = 5;
-  fixture.site.cloud.late_by = seconds(120);
+  fixture.site.cloud.fault_delay = seconds(120);
   bool first = true;
-  fixture.site.cloud.fate = [&](const http::Call& call) {
-    return is_launch(call) && std::exchange(first, false) ? Fate::apply_late : Fate::normal;
+  fixture.site.cloud.call_fault = [&](const http::Call& call) {
+    return is_launch(call) && std::exchange(first, false) ? CallFault::apply_late : CallFault::none;
   };
   fixture.site.submit(job("run-000001"), 0);
   fixture.site.run_for(seconds(2));
@@ -127,10 +127,10 @@
   Fixture fixture;
   auto& capacity = fixture.site.cloud.capacity["box/a/ordinary"];
   capacity = 0;
-  fixture.site.cloud.late_by = seconds(60);
+  fixture.site.cloud.fault_delay = seconds(60);
   bool first = true;
-  fixture.site.cloud.fate = [&](const http::Call& call) {
-    return is_launch(call) && std::exchange(first, false) ? Fate::apply_late : Fate::normal;
+  fixture.site.cloud.call_fault = [&](const http::Call& call) {
+    return is_launch(call) && std::exchange(first, false) ? CallFault::apply_late : CallFault::none;
   };
   JobSpec spec = job("run-000001");
   spec.types = {"box"};
@@ -144,7 +144,7 @@
   fixture.site.run_for(seconds(120));
   EXPECT_EQ(fixture.site.cloud.machines.size(), 1u)
       << "the late copy repeats the name that was used";
-  EXPECT_EQ(fixture.site.standing("run-000001", 0), "done");
+  EXPECT_EQ(fixture.site.job_state("run-000001", 0), "done");
   EXPECT_EQ(fixture.history.machines_held(), 0u);
   fixture.expect_clean();
 }
@@ -161,14 +161,14 @@
   fixture.site.restart(*fixture.site.leader());
   fixture.site.run_for(seconds(60));
   EXPECT_EQ(fixture.site.cloud.machines.size(), 1u);
-  EXPECT_EQ(fixture.site.standing("run-000001", 0), "done");
+  EXPECT_EQ(fixture.site.job_state("run-000001", 0), "done");
   fixture.expect_clean();
 }
 
 // A new leader has had no heartbeat yet from an idle machine that would do for what waits.
 TEST(RoleHandover, OwnLaunchesWaitUntilTheMachinesAreKnown) {
   Fixture fixture;
-  fixture.site.op.idle_return = Seconds(600);
+  fixture.site.operator_settings.idle_return = Seconds(600);
   for (size_t i = 0; i < kControllers; ++i) fixture.site.restart(i);
   fixture.site.cloud.capacity["box/a/ordinary"] = 5;
   fixture.site.run_for(seconds(5));
@@ -180,7 +180,7 @@
   fixture.site.submit(job("run-000002"), (leader + 1) % kControllers);
   fixture.site.run_for(seconds(20));
   EXPECT_EQ(fixture.site.cloud.machines.size(), 1u);
-  EXPECT_EQ(fixture.site.standing("run-000002", (leader + 1) % kControllers), "done");
+  EXPECT_EQ(fixture.site.job_state("run-000002", (leader + 1) % kControllers), "done");
   fixture.expect_clean();
 }
 
@@ -206,8 +206,8 @@
   RandomRun(uint64_t seed, std::vector<Fault> kinds) : random_(seed), kinds_(std::move(kinds)) {
     fixture_.site.cloud.capacity["box/a/ordinary"] = 4;
     fixture_.site.cloud.capacity["crate/a/ordinary"] = 2;
-    fixture_.site.cloud.late_by = seconds(15);
-    fixture_.site.store.late_by = seconds(4);
+    fixture_.site.cloud.fault_delay = seconds(15);
+    fixture_.site.store.fault_delay = seconds(4);
     fixture_.site.on_worker = [this](ScriptedWorker& worker) {
       worker.run_time = [this](const TaskRef& task) { return seconds(2 + (task.index + 3) % 5); };
     };
@@ -225,8 +225,8 @@
       end_faults();
       fixture_.site.run_for(seconds(1));
     }
-    fixture_.site.cloud.fate = nullptr;
-    fixture_.site.store.fate = nullptr;
+    fixture_.site.cloud.call_fault = nullptr;
+    fixture_.site.store.call_fault = nullptr;
     fixture_.site.run_for(seconds(240));
     expect_all_settled();
   }
@@ -242,7 +242,7 @@
     const JobSpec spec = job("run-" + std::to_string(100'000 + accepted_.size()),
                              static_cast<uint32_t>(1 + draw(8)));
     for (size_t i = 0; i < kControllers; ++i) {
-      if (fixture_.site.nodes[i]->dead || fixture_.site.nodes[i]->paused) continue;
+      if (fixture_.site.nodes[i]->crashed || fixture_.site.nodes[i]->paused) continue;
       const http::Response response = fixture_.site.submit(spec, i);
       if (response.status != 200 && response.status != 201) continue;
       accepted_.push_back(spec.id);
@@ -263,7 +263,7 @@
     for (End& end : due) end.what();
   }
   void crash(size_t node) {
-    if (fixture_.site.nodes[node]->dead) return;
+    if (fixture_.site.nodes[node]->crashed) return;
     fixture_.site.nodes[node]->paused = false;
     fixture_.site.crash(node);
     const Nanos away = draw(2) == 0 ? Nanos(Millis(200)) : Nanos(seconds(1 + draw(6)));
@@ -276,12 +276,12 @@
     process->*flag = true;
     for_a_while(most, [process, flag] { process->*flag = false; });
   }
-  void some_calls(Fate fate) {
-    fixture_.site.cloud.fate = [this, fate](const http::Call& call) {
+  void some_calls(CallFault call_fault) {
+    fixture_.site.cloud.call_fault = [this, call_fault](const http::Call& call) {
       const bool act = is_launch(call) || is_deletion(call);
-      return act && draw(3) == 0 ? fate : Fate::normal;
+      return act && draw(3) == 0 ? call_fault : CallFault::none;
     };
-    for_a_while(15, [this] { fixture_.site.cloud.fate = nullptr; });
+    for_a_while(15, [this] { fixture_.site.cloud.call_fault = nullptr; });
   }
 
   void begin(Fault fault) {
@@ -301,30 +301,30 @@
       case Fault::cut_from_cloud:
         return set_for_a_while(&Site::Node::cut_from_cloud, leader, 10);
       case Fault::late_acts:
-        return some_calls(Fate::apply_late);
+        return some_calls(CallFault::apply_late);
       case Fault::lost_answers:
-        return some_calls(Fate::lose_reply);
+        return some_calls(CallFault::lose_reply);
       case Fault::late_writes:
-        fixture_.site.store.fate = [this](const http::Call& call) {
-          return call.target == "/multi" && draw(8) == 0 ? Fate::apply_late : Fate::normal;
+        fixture_.site.store.call_fault = [this](const http::Call& call) {
+          return call.target == "/multi" && draw(8) == 0 ? CallFault::apply_late : CallFault::none;
         };
-        return for_a_while(10, [this] { fixture_.site.store.fate = nullptr; });
+        return for_a_while(10, [this] { fixture_.site.store.call_fault = nullptr; });
       case Fault::crash_successor:
         crash(leader);
         for (int i = 0; i < 1000 && !fixture_.site.leader(); ++i) fixture_.site.run_for(Millis(10));
         if (fixture_.site.leader()) crash(*fixture_.site.leader());
         return;
       case Fault::cloud_outage:
-        fixture_.site.cloud.trouble = true;
-        return for_a_while(8, [this] { fixture_.site.cloud.trouble = false; });
+        fixture_.site.cloud.unavailable = true;
+        return for_a_while(8, [this] { fixture_.site.cloud.unavailable = false; });
     }
   }
 
   void expect_all_settled() {
     for (const auto& violation : fixture_.history.violations()) ADD_FAILURE() << violation;
-    EXPECT_EQ(fixture_.site.ran_twice, 0u);
-    for (const auto& broken : fixture_.site.rules.broken()) ADD_FAILURE() << broken;
-    for (const std::string& id : accepted_) EXPECT_EQ(fixture_.site.standing(id, 0), "done") << id;
+    EXPECT_EQ(fixture_.site.duplicate_starts, 0u);
+    for (const auto& broken : fixture_.site.rules.violations()) ADD_FAILURE() << broken;
+    for (const std::string& id : accepted_) EXPECT_EQ(fixture_.site.job_state(id, 0), "done") << id;
     EXPECT_EQ(fixture_.history.machines_held(), 0u) << "paid for and forgotten";
     for (const auto& [key, entry] : fixture_.site.store.data) {
       EXPECT_FALSE(key.starts_with(roles::scale_in_key(""))) << key << " is still open";
--- a/tests/role_history.cpp
+++ b/tests/role_history.cpp
@@ -8,7 +8,7 @@
 using roles::Role;
 
 RoleHistory::RoleHistory(Site& site) : site_(site) {
-  site.cloud.on_act = [this](const ScriptedCloud::Act& act) { apply_act(act); };
+  site.cloud.on_operation = [this](const ScriptedCloud::Operation& act) { apply_act(act); };
   site.store.on_removed = [this](const std::string& key) { apply_removed_key(key); };
 }
 
@@ -32,7 +32,7 @@
                     [](const auto& entry) { return !entry.second.removed; }));
 }
 
-void RoleHistory::apply_act(const ScriptedCloud::Act& act) {
+void RoleHistory::apply_act(const ScriptedCloud::Operation& act) {
   const bool launch = !act.request.empty();
   const std::string key =
       launch ? roles::scale_out_key(act.request) : roles::scale_in_key(act.machines.front());
@@ -62,7 +62,7 @@
     if (!intent) continue;
     if (intent->request == request) {
       own = *intent;
-    } else if (!site_.cloud.answered.contains(intent->request)) {
+    } else if (!site_.cloud.machines_by_request.contains(intent->request)) {
       others.push_back(*intent);
     }
   }
@@ -80,8 +80,8 @@
   const auto worker = site_.workers.find(machine);
   if (worker == site_.workers.end()) return;
   const ScriptedWorker& reached = *worker->second;
-  if (!reached.on || reached.cut || reached.hung || reached.mute || reached.drop_responses ||
-      reached.interruption_notice) {
+  if (!reached.powered_on || reached.isolated || reached.hung || reached.drop_heartbeats ||
+      reached.drop_responses || reached.interruption_notice) {
     return;
   }
   for (const auto& [key, task] : reached.tasks) {
@@ -100,7 +100,7 @@
   }
   if (const auto machine = wire::after_prefix(key, wire::kMachinePrefix); machine_lives(machine)) {
     const auto worker = site_.workers.find(std::string(machine));
-    if (worker == site_.workers.end() || !worker->second->on) return;
+    if (worker == site_.workers.end() || !worker->second->powered_on) return;
     for (const auto& [task, running] : worker->second->tasks) {
       if (running.state == TaskState::exited) continue;
       violations_.push_back("a record was removed whose task runs: " + key);
--- a/tests/role_history.hpp
+++ b/tests/role_history.hpp
@@ -29,7 +29,7 @@
   size_t machines_held() const;
 
  private:
-  void apply_act(const ScriptedCloud::Act& act);
+  void apply_act(const ScriptedCloud::Operation& act);
   void apply_removed_key(const std::string& key);
   void check_launch(const std::string& request);
   void check_scale_in(const std::string& machine);
--- a/tests/rules.cpp
+++ b/tests/rules.cpp
@@ -4,12 +4,12 @@
 
 namespace dunlinknot::test {
 
-void Rules::breaks(const std::string& rule, const std::string& what) {
+void RuleChecker::breaks(const std::string& rule, const std::string& what) {
   const double at = to_seconds(clock_.now().time_since_epoch()).count();
   broken_.push_back(rule + ": " + what + " at " + std::to_string(at) + " s");
 }
 
-void Rules::started(const Place& at, const TaskRef& task, uint64_t attempt) {
+void RuleChecker::started(const Machine& at, const TaskRef& task, uint64_t attempt) {
   const auto known = jobs_.find(task.job);
   if (known == jobs_.end()) {
     breaks("invented", task.text() + " started, and nobody submitted its job");
@@ -58,8 +58,8 @@
   }
 }
 
-void Rules::ended(const std::string& machine, const TaskRef& task, uint64_t attempt,
-                  bool completed) {
+void RuleChecker::ended(const std::string& machine, const TaskRef& task, uint64_t attempt,
+                        bool completed) {
   std::erase_if(running_, [&](const Running& r) {
     return r.at.machine == machine && r.task == task && r.attempt == attempt;
   });
@@ -72,7 +72,7 @@
   }
 }
 
-void Rules::scan() {
+void RuleChecker::scan() {
   for (const Running& r : running_) {
     JobState& j = jobs_[r.task.job];
     if (j.reported || j.on_user_cancellation == Instant::max()) continue;
@@ -82,7 +82,7 @@
   }
 }
 
-void Rules::answered(const std::string& id, const std::string& standing, Instant asked) {
+void RuleChecker::answered(const std::string& id, const std::string& standing, Instant asked) {
   JobState& j = jobs_[id];
   const Instant now = clock_.now();
   // Only what was told before the question was sent binds its answer.
@@ -101,8 +101,8 @@
   }
 }
 
-void Rules::submit_answered(const std::string& id, int status, const std::string& standing,
-                            Instant asked) {
+void RuleChecker::submit_answered(const std::string& id, int status, const std::string& standing,
+                                  Instant asked) {
   JobState& j = jobs_[id];
   if (j.accepted < asked && (status == 400 || status == 422)) {
     breaks("forgotten", id + " accepted, then answered " + std::to_string(status));
@@ -112,8 +112,8 @@
   answered(id, standing, asked);
 }
 
-void Rules::poll_answered(const std::string& id, int status, const std::string& standing,
-                          Instant asked) {
+void RuleChecker::poll_answered(const std::string& id, int status, const std::string& standing,
+                                Instant asked) {
   const auto j = jobs_.find(id);
   if (status == 404 && j != jobs_.end() && j->second.accepted < asked) {
     breaks("forgotten", id + " is answered 404");
@@ -126,15 +126,15 @@
   }
 }
 
-void Rules::cancel_answered(const std::string& id, int status, const std::string& standing,
-                            Instant asked) {
+void RuleChecker::cancel_answered(const std::string& id, int status, const std::string& standing,
+                                  Instant asked) {
   if (status == 200 && standing != "cancelled" && standing != "done") {
     breaks("went_back", id + ": a cancellation is answered " + standing);
   }
   poll_answered(id, status, standing, asked);
 }
 
-bool Rules::was_accepted(const std::string& id) const {
+bool RuleChecker::was_accepted(const std::string& id) const {
   const auto j = jobs_.find(id);
   return j != jobs_.end() && j->second.accepted != Instant::max();
 }
--- a/tests/rules.hpp
+++ b/tests/rules.hpp
@@ -12,17 +12,17 @@
 
 namespace dunlinknot::test {
 
-class Rules {
+class RuleChecker {
  public:
-  struct Place {
+  struct Machine {
     std::string machine, type, zone;
     bool spot = false;
   };
-  explicit Rules(const Clock& clock, const settings::Platform& platform)
+  explicit RuleChecker(const Clock& clock, const settings::Platform& platform)
       : clock_(clock), platform_(platform) {}
 
   // --- machines
-  void started(const Place& at, const TaskRef& task, uint64_t attempt);
+  void started(const Machine& at, const TaskRef& task, uint64_t attempt);
   void ended(const std::string& machine, const TaskRef& task, uint64_t attempt, bool completed);
   // --- users; `asked`: when the request was sent
   void submitted(const JobSpec& job) { jobs_[job.id].spec = job; }
@@ -35,7 +35,7 @@
   // To be called often: what is on a machine for too long.
   void scan();
 
-  const std::vector<std::string>& broken() const { return broken_; }
+  const std::vector<std::string>& violations() const { return broken_; }
   // Starts after their job's cancellation was confirmed; those whose command was under way are
   // allowed to, for a moment.
   size_t late_starts() const { return late_starts_; }
@@ -43,7 +43,7 @@
 
  private:
   struct Running {
-    Place at;
+    Machine at;
     TaskRef task;
     uint64_t attempt;
   };
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -11,8 +11,8 @@
 struct Trace : testing::Test {
   FakeClock clock;
   settings::Platform platform = Site::platform(0, 1);
-  Rules rules{clock, platform};
-  Rules::Place a{"vm-1", "box", "a", false}, b{"vm-2", "box", "b", false};
+  RuleChecker rules{clock, platform};
+  RuleChecker::Machine a{"vm-1", "box", "a", false}, b{"vm-2", "box", "b", false};
   TaskRef t0{"run-000001", 0}, t1{"run-000001", 1};
 
   void pass(Nanos d) { clock.set(clock.now() + d); }
@@ -22,8 +22,8 @@
     pass(seconds(1));
   }
   void expect_broken(const std::string& rule) {
-    ASSERT_EQ(rules.broken().size(), 1u);
-    EXPECT_TRUE(rules.broken()[0].starts_with(rule + ":")) << rules.broken()[0];
+    ASSERT_EQ(rules.violations().size(), 1u);
+    EXPECT_TRUE(rules.violations()[0].starts_with(rule + ":")) << rules.violations()[0];
   }
 };
 
@@ -43,7 +43,7 @@
   pass(seconds(1));
   rules.cancel_answered("run-000001", 200, "done", clock.now());
   rules.scan();
-  EXPECT_TRUE(rules.broken().empty());
+  EXPECT_TRUE(rules.violations().empty());
 }
 
 TEST_F(Trace, ATaskOnTwoMachines) {
@@ -59,7 +59,7 @@
   accept(spec);
   rules.started(a, t0, 1);
   rules.started(a, t1, 2);
-  EXPECT_TRUE(rules.broken().empty());
+  EXPECT_TRUE(rules.violations().empty());
   rules.started(b, {"run-000001", 2}, 3);
   expect_broken("quota");
 }
@@ -104,7 +104,7 @@
   rules.cancel_answered("run-000001", 200, "cancelled", clock.now());
   pass(to_nanos(platform.cancel));
   rules.scan();
-  EXPECT_TRUE(rules.broken().empty());
+  EXPECT_TRUE(rules.violations().empty());
   pass(Millis(1));
   rules.scan();
   expect_broken("ran_cancelled");
@@ -117,7 +117,7 @@
   rules.started(a, t0, 1);
   EXPECT_EQ(rules.late_starts(), 1u);
   rules.ended("vm-1", t0, 1, false);
-  EXPECT_TRUE(rules.broken().empty());
+  EXPECT_TRUE(rules.violations().empty());
   pass(to_nanos(platform.cancel) + Millis(1));
   rules.started(a, t1, 2);
   expect_broken("ran_cancelled");
@@ -154,7 +154,7 @@
   rules.cancel_answered("run-000001", 200, "cancelled", clock.now());
   const Instant before = clock.now();
   rules.poll_answered("run-000001", 200, "running", before);  // asked before: it may still say so
-  EXPECT_TRUE(rules.broken().empty());
+  EXPECT_TRUE(rules.violations().empty());
   pass(Millis(1));
   rules.poll_answered("run-000001", 200, "running", clock.now());
   expect_broken("went_back");
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -95,7 +95,7 @@
                                    site.clock.now(),        false, {},  "10.1.0.1:9000"};
     site.cloud.machines[machine.id] = machine;
   }
-  site.cloud.lag = Nanos(0);
+  site.cloud.list_lag = Nanos(0);
   site.run_for(seconds(12));
   EXPECT_GE(known_machines(site), kListed);
   const uint64_t lists_before = site.cloud.lists;
@@ -116,7 +116,7 @@
       platform.teams = {{"red", 8, 1'000'000, 0, 0}};
     };
     site.cloud.types.front().size = {64, 0, 256};
-    site.cloud.lag = Nanos(0);
+    site.cloud.list_lag = Nanos(0);
     spec = job(kLargest, kMaxTasks);
     spec.need = {1, 0, 1};
     site.specs[kLargest] = spec;
@@ -177,7 +177,7 @@
   ASSERT_EQ(site.cancel(kLargest).status, 200);
   site.run_for(seconds(5));
   EXPECT_EQ(cluster.running(), 0u);
-  expect_rules(site);
+  expect_no_violations(site);
 }
 
 }  // namespace
--- a/tests/scenario_api_test.cpp
+++ b/tests/scenario_api_test.cpp
@@ -14,8 +14,8 @@
   EXPECT_EQ(site.ask(0, "GET", "/ready").status, 200);
   EXPECT_EQ(site.submit(job("run-000001")).status, 201);
   EXPECT_EQ(site.submit(job("run-000001")).status, 200);
-  EXPECT_EQ(site.standing("run-000404"), "404");
-  EXPECT_EQ(site.standing("nonsense"), "404");
+  EXPECT_EQ(site.job_state("run-000404"), "404");
+  EXPECT_EQ(site.job_state("nonsense"), "404");
   EXPECT_EQ(site.ask(0, "POST", "/v1/jobs/run-000404/withdraw").status, 404);
   EXPECT_EQ(site.ask(0, "POST", "/v1/jobs", "junk").status, 400);
   EXPECT_EQ(site.ask(0, "DELETE", "/v1/jobs").status, 405);
@@ -81,16 +81,16 @@
   site.submit(job("run-000002"));
   site.ask(0, "POST", "/v1/jobs/run-000002/withdraw");
   site.run_for(seconds(30));
-  ASSERT_EQ(site.standing("run-000001"), "done");
+  ASSERT_EQ(site.job_state("run-000001"), "done");
   site.store.outage = true;
   const Instant before = site.clock.now();
-  EXPECT_EQ(site.standing("run-000001"), "done");
-  EXPECT_EQ(site.standing("run-000002"), "cancelled");
+  EXPECT_EQ(site.job_state("run-000001"), "done");
+  EXPECT_EQ(site.job_state("run-000002"), "cancelled");
   EXPECT_EQ(site.submit(job("run-000001")).status, 200);
   const auto put_off = site.submit(job("run-000003"));
   EXPECT_EQ(put_off.status, 503);
   EXPECT_GT(put_off.retry_after_s, 0);
-  EXPECT_EQ(site.standing("run-000404"), "503") << "only the key-value store can say 404";
+  EXPECT_EQ(site.job_state("run-000404"), "503") << "only the key-value store can say 404";
   EXPECT_LT(site.clock.now() - before, seconds(1)) << "nobody is held back";
 }
 
@@ -98,14 +98,15 @@
   Site site;
   site.run_for(seconds(2));
   int lost = 0;
-  site.store.fate = [&](const http::Call& call) {
-    return is_commit_of(call, "run-000001") && lost++ == 0 ? Fate::lose_reply : Fate::normal;
+  site.store.call_fault = [&](const http::Call& call) {
+    return is_transaction_on(call, "run-000001") && lost++ == 0 ? CallFault::lose_reply
+                                                                : CallFault::none;
   };
   const int status = site.submit(job("run-000001")).status;
   EXPECT_TRUE(status == 200 || status == 201);
-  site.store.fate = nullptr;
+  site.store.call_fault = nullptr;
   site.run_for(seconds(40));
-  EXPECT_EQ(site.standing("run-000001"), "done");
+  EXPECT_EQ(site.job_state("run-000001"), "done");
   EXPECT_EQ(site.starts, 1u);
 }
 
@@ -113,22 +114,23 @@
   Site site;
   site.run_for(seconds(2));
   int commits = 0;
-  site.store.late_by = seconds(60);
-  site.store.fate = [&](const http::Call& call) {
-    return is_commit_of(call, "run-000001") && commits++ == 0 ? Fate::apply_late : Fate::normal;
+  site.store.fault_delay = seconds(60);
+  site.store.call_fault = [&](const http::Call& call) {
+    return is_transaction_on(call, "run-000001") && commits++ == 0 ? CallFault::apply_late
+                                                                   : CallFault::none;
   };
   site.submit(job("run-000001"));
   site.run_for(seconds(40));
-  ASSERT_EQ(site.standing("run-000001"), "done");
+  ASSERT_EQ(site.job_state("run-000001"), "done");
   site.run_for(seconds(60));
-  EXPECT_EQ(site.standing("run-000001"), "done");
+  EXPECT_EQ(site.job_state("run-000001"), "done");
   EXPECT_FALSE(site.store.data.contains("job/run-000001"));
   EXPECT_EQ(site.starts, 1u);
 }
 
 TEST(Api, MoreThanCanBeDoneIsRefusedAtOnceAndPollsGoOn) {
   Site site;
-  site.op.max_submissions = 2;
+  site.operator_settings.max_submissions = 2;
   site.restart(0);
   site.run_for(seconds(2));
   site.submit(job("run-000001"));
@@ -146,7 +148,7 @@
   for (int i = 10; i < 16; ++i)
     site.loop.spawn(one(site, "run-0000" + std::to_string(i), statuses));
   EXPECT_EQ(std::count(statuses.begin(), statuses.end(), 503), 4) << "before any time has passed";
-  EXPECT_EQ(site.standing("run-000001"), "queued");
+  EXPECT_EQ(site.job_state("run-000001"), "queued");
   site.run_for(seconds(1));
   EXPECT_EQ(std::count(statuses.begin(), statuses.end(), 201), 2);
 }
@@ -176,7 +178,7 @@
   });
   site.daemon(0).context().store_progress.notify();
   site.run_for(seconds(12));
-  EXPECT_EQ(site.standing("run-000001"), "done");
+  EXPECT_EQ(site.job_state("run-000001"), "done");
   for (const auto& [key, value] : site.store.data) EXPECT_FALSE(key.starts_with("done/")) << key;
 }
 
@@ -186,18 +188,18 @@
   site.submit(job("run-000001", 2));
   // The cancellation lands between the decision and the transaction that allocates it.
   bool done = false;
-  site.store.fate = [&](const http::Call& call) {
-    if (!done && is_commit_of(call, "host/")) {
+  site.store.call_fault = [&](const http::Call& call) {
+    if (!done && is_transaction_on(call, "host/")) {
       done = true;
       site.store.erase("job/run-000001");
       site.store.put("final/run-000001", wire::write_final({true, 2}));
     }
-    return Fate::normal;
+    return CallFault::none;
   };
   site.run_for(seconds(30));
   EXPECT_TRUE(done);
   EXPECT_EQ(site.starts, 0u);
-  EXPECT_EQ(site.standing("run-000001"), "cancelled");
+  EXPECT_EQ(site.job_state("run-000001"), "cancelled");
 }
 
 TEST(Jobs, OneThatFailsEverywhereBacksOff) {
@@ -215,7 +217,7 @@
   EXPECT_LT(site.starts, 60u);
   EXPECT_GT(site.starts, 3u);
   EXPECT_EQ(site.ask(0, "POST", "/v1/jobs/run-000001/withdraw").status, 200);
-  EXPECT_EQ(site.standing("run-000001"), "cancelled");
+  EXPECT_EQ(site.job_state("run-000001"), "cancelled");
 }
 
 TEST(Api, AnIdleNodeStaysReady) {
@@ -244,7 +246,7 @@
   for (int round = 0; round < 4; ++round) {
     const auto node = static_cast<size_t>(round % 3);
     site.store.outage = true;
-    site.cloud.trouble = true;
+    site.cloud.unavailable = true;
     site.nodes[node]->cut_from_store = true;
     site.run_for(seconds(round % 2 ? 3 : 25));
     site.restart((node + 1) % 3);
@@ -253,7 +255,7 @@
     site.store.outage = true;
     site.run_for(seconds(5));
     site.store.end_outage();
-    site.cloud.trouble = false;
+    site.cloud.unavailable = false;
     site.nodes[node]->cut_from_store = false;
     site.run_for(seconds(15));
     for (size_t i = 0; i < 3; ++i) {
@@ -262,8 +264,8 @@
     }
   }
   site.run_for(seconds(60));
-  EXPECT_EQ(site.standing("run-000001", 1), "done");
-  expect_rules(site);
+  EXPECT_EQ(site.job_state("run-000001", 1), "done");
+  expect_no_violations(site);
 }
 
 }  // namespace
--- a/tests/scenario_leadership_test.cpp
+++ b/tests/scenario_leadership_test.cpp
@@ -20,16 +20,16 @@
   ASSERT_TRUE(site.leader());
   EXPECT_NE(*site.leader(), first);
   site.run_for(seconds(40));
-  EXPECT_EQ(site.standing("run-000001", *site.leader()), "done");
-  expect_rules(site);
+  EXPECT_EQ(site.job_state("run-000001", *site.leader()), "done");
+  expect_no_violations(site);
   EXPECT_EQ(site.starts, 12u) << "what ran through the failover was not started again";
 }
 
 TEST(Leadership, AnElectionWithAnUnknownOutcomeIsReadBack) {
   Site site(1);
   int n = 0;
-  site.store.fate = [&](const http::Call& call) {
-    return is_commit_of(call, "epoch") && n++ == 0 ? Fate::lose_reply : Fate::normal;
+  site.store.call_fault = [&](const http::Call& call) {
+    return is_transaction_on(call, "epoch") && n++ == 0 ? CallFault::lose_reply : CallFault::none;
   };
   site.run_for(seconds(2));
   ASSERT_TRUE(site.leader());
@@ -48,8 +48,8 @@
   ASSERT_TRUE(site.leader());
   EXPECT_GT(site.daemon(*site.leader()).elector().term().epoch, epoch);
   site.run_for(seconds(40));
-  EXPECT_EQ(site.standing("run-000001", *site.leader()), "done");
-  expect_rules(site);
+  EXPECT_EQ(site.job_state("run-000001", *site.leader()), "done");
+  expect_no_violations(site);
 }
 
 TEST(Leadership, ALeaderCutFromTheStateServiceStartsNothingAndIsReplaced) {
@@ -66,9 +66,9 @@
   site.run_for(seconds(50));
   EXPECT_GE(site.starts, started);
   const size_t other = (first + 1) % 3;
-  EXPECT_EQ(site.standing("run-000001", other), "done");
-  EXPECT_EQ(site.standing("run-000002", other), "done");
-  expect_rules(site);
+  EXPECT_EQ(site.job_state("run-000001", other), "done");
+  EXPECT_EQ(site.job_state("run-000002", other), "done");
+  expect_no_violations(site);
 }
 
 TEST(Leadership, AnOutageForAllIsSatOutByTheSameLeaderWithoutLosingTasks) {
@@ -87,7 +87,7 @@
   site.run_for(seconds(60));
   EXPECT_EQ(site.leader(), first);
   EXPECT_EQ(site.starts, 2u) << "leases were renewed through the outage";
-  EXPECT_EQ(site.standing("run-000001"), "done");
+  EXPECT_EQ(site.job_state("run-000001"), "done");
 }
 
 TEST(Leadership, TheBlindLeaderStopsRenewingInTime) {
@@ -122,10 +122,10 @@
     site.run_for(Millis(4000));
   }
   site.run_for(seconds(80));
-  for (int i = 1; i <= 5; ++i) EXPECT_EQ(site.standing("run-00000" + std::to_string(i)), "done");
-  const std::string last = site.standing("run-000006");
+  for (int i = 1; i <= 5; ++i) EXPECT_EQ(site.job_state("run-00000" + std::to_string(i)), "done");
+  const std::string last = site.job_state("run-000006");
   EXPECT_TRUE(last == "cancelled" || last == "done") << last;
-  expect_rules(site);
+  expect_no_violations(site);
 }
 
 TEST(TakeOver, MachinesThatHaveNotReportedYetAreNotTakenForOnesThatNeverCameUp) {
@@ -139,14 +139,14 @@
   site.run_for(seconds(100));  // old enough to be given up if they had never reported
   ASSERT_EQ(site.starts, 2u);
   const size_t deleted = site.cloud.deletions.size();
-  for (auto& [id, w] : site.workers) w->cut = true;
+  for (auto& [id, w] : site.workers) w->isolated = true;
   site.restart(*site.leader());
   site.run_for(seconds(8));
   EXPECT_EQ(site.cloud.deletions.size(), deleted);
-  for (auto& [id, w] : site.workers) w->cut = false;
+  for (auto& [id, w] : site.workers) w->isolated = false;
   site.run_for(seconds(80));
   EXPECT_EQ(site.starts, 2u);
-  EXPECT_EQ(site.standing("run-000001", *site.leader()), "done");
+  EXPECT_EQ(site.job_state("run-000001", *site.leader()), "done");
 }
 
 TEST(TakeOver, AllControllersKilledAtOnce) {
@@ -158,8 +158,8 @@
   site.run_for(seconds(4));
   for (size_t i = 0; i < 3; ++i) site.restart(i);
   site.run_for(seconds(60));
-  EXPECT_EQ(site.standing("run-000001"), "done");
-  expect_rules(site);
+  EXPECT_EQ(site.job_state("run-000001"), "done");
+  expect_no_violations(site);
   EXPECT_EQ(site.starts, 10u) << "the leases outlived the gap";
 }
 
@@ -178,11 +178,11 @@
     for (auto& [key, t] : w->tasks) t.ends += seconds(60);
   }
   // One of its machines is lost while the leader changes.
-  site.workers.begin()->second->cut = true;
+  site.workers.begin()->second->isolated = true;
   site.crash(*site.leader());
   site.run_for(seconds(150));
-  EXPECT_EQ(site.standing("run-000001", *site.leader()), "done");
-  expect_rules(site);
+  EXPECT_EQ(site.job_state("run-000001", *site.leader()), "done");
+  expect_no_violations(site);
   std::set<uint64_t> attempts;
   for (const auto& [id, w] : site.workers) {
     for (const auto& [task, attempt] : w->started) attempts.insert(attempt);
@@ -198,15 +198,15 @@
   const uint64_t epoch = site.daemon(first).elector().term().epoch;
   site.submit(job("run-000001", 8), first);
   site.run_for(seconds(6));
-  site.store.late_by = Millis(700);
-  site.store.fate = [&](const http::Call& call) {
-    return is_commit_of(call, "leader") ? Fate::apply_late : Fate::normal;
+  site.store.fault_delay = Millis(700);
+  site.store.call_fault = [&](const http::Call& call) {
+    return is_transaction_on(call, "leader") ? CallFault::apply_late : CallFault::none;
   };
   site.crash(first);
   site.run_for(Millis(3600));
   for (size_t i = 0; i < 3; ++i) site.restart(i);  // in the middle of whatever they were about
   site.run_for(Millis(300));
-  site.store.fate = nullptr;
+  site.store.call_fault = nullptr;
   site.run_for(seconds(12));
   ASSERT_TRUE(site.leader());
   size_t leaders = 0;
@@ -214,8 +214,8 @@
   EXPECT_EQ(leaders, 1u);
   EXPECT_GT(site.daemon(*site.leader()).elector().term().epoch, epoch);
   site.run_for(seconds(60));
-  EXPECT_EQ(site.standing("run-000001", *site.leader()), "done");
-  expect_rules(site);
+  EXPECT_EQ(site.job_state("run-000001", *site.leader()), "done");
+  expect_no_violations(site);
 }
 
 TEST(Leadership, ALeaderWithNothingLeftButItsWorkersStartsNothingAndLetsGo) {
@@ -233,17 +233,17 @@
   site.nodes[old]->cut_from_peers = true;
   for (size_t i = 0; i < 3; ++i) {
     for (auto& [id, w] : site.workers) {
-      if (i != old) site.cut.insert({i, id});
+      if (i != old) site.blocked_links.insert({i, id});
     }
   }
   site.run_for(seconds(4));
   const size_t started = site.starts;
   site.run_for(seconds(16));
   EXPECT_EQ(site.starts, started);
-  site.cut.clear();
+  site.blocked_links.clear();
   site.run_for(seconds(120));
-  EXPECT_EQ(site.standing("run-000002", (old + 1) % 3), "done");
-  expect_rules(site);
+  EXPECT_EQ(site.job_state("run-000002", (old + 1) % 3), "done");
+  expect_no_violations(site);
 }
 
 }  // namespace
--- a/tests/scenario_machines_test.cpp
+++ b/tests/scenario_machines_test.cpp
@@ -15,12 +15,12 @@
   auto& w = *site.workers.begin()->second;
   for (auto& [id, other] : site.workers)
     other->run_time = [](const TaskRef&) { return seconds(9); };
-  w.cut = true;
+  w.isolated = true;
   site.run_for(seconds(18));
-  w.cut = false;
+  w.isolated = false;
   site.run_for(seconds(90));
-  EXPECT_EQ(site.standing("run-000001"), "done");
-  expect_rules(site);
+  EXPECT_EQ(site.job_state("run-000001"), "done");
+  expect_no_violations(site);
 }
 
 TEST(Machines, ResponsesThatComeTooLateStartNothing) {
@@ -33,8 +33,8 @@
   EXPECT_EQ(site.starts, 0u);
   for (auto& [id, w] : site.workers) w->drop_responses = false;
   site.run_for(seconds(40));
-  EXPECT_EQ(site.standing("run-000001"), "done");
-  expect_rules(site);
+  EXPECT_EQ(site.job_state("run-000001"), "done");
+  expect_no_violations(site);
 }
 
 TEST(Machines, ALaunchWithoutAnAnswerIsRepeatedUnderItsOwnName) {
@@ -45,7 +45,7 @@
   site.run_for(seconds(12));
   site.cloud.lose_launch_replies = false;
   site.run_for(seconds(60));
-  EXPECT_EQ(site.standing("run-000001"), "done");
+  EXPECT_EQ(site.job_state("run-000001"), "done");
   EXPECT_LE(site.cloud.machines.size(), 2u)
       << "no machine was launched twice for one request_machine";
 }
@@ -64,7 +64,7 @@
   site.nodes[old]->cut_from_peers = true;
   for (size_t i = 0; i < 3; ++i) {
     for (auto& [id, w] : site.workers) {
-      if (i != old) site.cut.insert({i, id});
+      if (i != old) site.blocked_links.insert({i, id});
       w->refuse_direct = true;
     }
   }
@@ -77,33 +77,36 @@
 }
 
 TEST(AllocationStore, AllocationsSurviveLostRepliesAndLateTransactions) {
-  for (const Fate f : {Fate::lose_reply, Fate::lose_request, Fate::apply_late}) {
+  for (const CallFault f :
+       {CallFault::lose_reply, CallFault::lose_request, CallFault::apply_late}) {
     Site site(1);
     site.run_for(seconds(2));
     int n = 0;
-    site.store.fate = [&](const http::Call& call) {
-      return is_commit_of(call, "host/") && n++ % 2 == 0 ? f : Fate::normal;
+    site.store.call_fault = [&](const http::Call& call) {
+      return is_transaction_on(call, "host/") && n++ % 2 == 0 ? f : CallFault::none;
     };
     site.submit(job("run-000001", 12));
     site.run_for(seconds(120));
-    EXPECT_EQ(site.standing("run-000001"), "done") << static_cast<int>(f);
+    EXPECT_EQ(site.job_state("run-000001"), "done") << static_cast<int>(f);
     EXPECT_EQ(site.starts, 12u) << static_cast<int>(f);
-    expect_rules(site);
+    expect_no_violations(site);
   }
 }
 
 TEST(AllocationStore, CompletionsSurviveLostRepliesAndLateTransactions) {
-  for (const Fate f : {Fate::lose_reply, Fate::lose_request, Fate::apply_late}) {
+  for (const CallFault f :
+       {CallFault::lose_reply, CallFault::lose_request, CallFault::apply_late}) {
     Site site(1);
     site.run_for(seconds(2));
     int n = 0;
-    site.store.fate = [&](const http::Call& call) {
-      const bool progress = is_commit_of(call, "done/") || is_commit_of(call, "final/run");
-      return progress && is_commit_of(call, "epoch") && n++ % 3 == 0 ? f : Fate::normal;
+    site.store.call_fault = [&](const http::Call& call) {
+      const bool progress =
+          is_transaction_on(call, "done/") || is_transaction_on(call, "final/run");
+      return progress && is_transaction_on(call, "epoch") && n++ % 3 == 0 ? f : CallFault::none;
     };
     site.submit(job("run-000001", 12));
     site.run_for(seconds(120));
-    EXPECT_EQ(site.standing("run-000001"), "done") << static_cast<int>(f);
+    EXPECT_EQ(site.job_state("run-000001"), "done") << static_cast<int>(f);
     EXPECT_EQ(site.starts, 12u) << static_cast<int>(f);
   }
 }
@@ -114,20 +117,20 @@
   site.submit(job("run-000001", 2));
   const size_t first = *site.leader();
   bool held = false;
-  site.store.late_by = seconds(20);
-  site.store.fate = [&](const http::Call& call) {
-    if (!held && is_commit_of(call, "host/")) {
+  site.store.fault_delay = seconds(20);
+  site.store.call_fault = [&](const http::Call& call) {
+    if (!held && is_transaction_on(call, "host/")) {
       held = true;
-      return Fate::apply_late;
+      return CallFault::apply_late;
     }
-    return Fate::normal;
+    return CallFault::none;
   };
   site.run_for(Millis(6000));
   ASSERT_TRUE(held);
   site.crash(first);
   site.run_for(seconds(60));
-  EXPECT_EQ(site.standing("run-000001", *site.leader()), "done");
-  expect_rules(site);
+  EXPECT_EQ(site.job_state("run-000001", *site.leader()), "done");
+  expect_no_violations(site);
   EXPECT_EQ(site.starts, 2u);
 }
 
@@ -145,11 +148,11 @@
   w.drop_responses = true;
   w.refuse_direct = true;
   site.run_for(seconds(60));
-  EXPECT_FALSE(w.on) << "deleted";
+  EXPECT_FALSE(w.powered_on) << "deleted";
   site.run_for(seconds(60));
-  EXPECT_EQ(site.standing("run-000001"), "done");
-  EXPECT_EQ(site.standing("run-000002"), "done");
-  expect_rules(site);
+  EXPECT_EQ(site.job_state("run-000001"), "done");
+  EXPECT_EQ(site.job_state("run-000002"), "done");
+  expect_no_violations(site);
 }
 
 TEST(Machines, AnInterruptedOneThatFallsSilentIsDeletedAndItsTasksGoElsewhere) {
@@ -165,15 +168,15 @@
   ASSERT_EQ(site.copies({"run-000001", 0}), 1u);
   w.interruption_notice = Seconds(4);
   site.run_for(seconds(2));
-  EXPECT_TRUE(w.on) << "it may still save and complete what it has";
-  w.cut = true;
+  EXPECT_TRUE(w.powered_on) << "it may still save and complete what it has";
+  w.isolated = true;
   site.run_for(seconds(5));
-  EXPECT_FALSE(w.on);
+  EXPECT_FALSE(w.powered_on);
   EXPECT_EQ(site.cloud.deletions.size(), 1u);
   site.run_for(seconds(12));
   EXPECT_EQ(site.workers.size(), 2u) << "well before the lease of 14 s was over";
   EXPECT_EQ(site.starts, 2u);
-  expect_rules(site);
+  expect_no_violations(site);
 }
 
 TEST(Machines, ARunGoesOutWithTheAnswerToTheHeartbeatThatToldOfTheRoom) {
@@ -191,7 +194,7 @@
     };
   }
   site.run_for(seconds(30));
-  EXPECT_EQ(site.standing("run-000001"), "done");
+  EXPECT_EQ(site.job_state("run-000001"), "done");
   size_t seen = 0;
   for (const auto& [id, at] : starts) {
     for (size_t i = 1; i < at.size(); ++i) {
@@ -202,7 +205,7 @@
     }
   }
   EXPECT_GT(seen, 0u);
-  expect_rules(site);
+  expect_no_violations(site);
 }
 
 TEST(Machines, LateCopiesOfHeartbeatsChangeNothing) {
@@ -215,7 +218,7 @@
   auto& w = *site.workers.begin()->second;
   const std::string copy = wire::write_heartbeat(w.heartbeat());
   site.run_for(seconds(60));  // idle: returned
-  ASSERT_FALSE(w.on);
+  ASSERT_FALSE(w.powered_on);
   const auto send = [&](size_t node) { return site.ask(node, "POST", "/agent/beat", copy).status; };
   EXPECT_NE(send(*site.leader()), 200);
   site.crash(*site.leader());
@@ -227,9 +230,9 @@
     (void)send(*site.leader());
     site.run_for(seconds(2));
   }
-  EXPECT_EQ(site.standing("run-000002", *site.leader()), "done")
+  EXPECT_EQ(site.job_state("run-000002", *site.leader()), "done")
       << "nothing was given to the dead one";
-  expect_rules(site);
+  expect_no_violations(site);
 }
 
 }  // namespace
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -30,7 +30,7 @@
 
 // One machine with its worker: what it was told to run, and when each task exits.
 struct SimulatedMachine {
-  test::Rules::Place place;
+  test::RuleChecker::Machine place;
   struct Running {
     uint64_t attempt = 0;
     Instant ends{};
@@ -84,10 +84,10 @@
     }
     tally_.used += state_.nominations.ended_count(NominationEnd::placed);
     tally_.cleared += state_.nominations.ended_count(NominationEnd::cleared);
-    for (const auto& broken : rules_.broken()) ADD_FAILURE() << broken;
+    for (const auto& broken : rules_.violations()) ADD_FAILURE() << broken;
     EXPECT_EQ(state_.cluster.refused_allocations(), 0u) << "a plan broke its job's constraints";
   }
-  bool failed() const { return failed_ || !rules_.broken().empty(); }
+  bool failed() const { return failed_ || !rules_.violations().empty(); }
 
  private:
   size_t pick(size_t n) { return std::uniform_int_distribution<size_t>(0, n - 1)(random_); }
@@ -374,7 +374,7 @@
   test::FakeClock clock_;
   settings::Platform platform_ = test::Site::platform(0, 1);
   settings::Operator op_;
-  test::Rules rules_{clock_, platform_};
+  test::RuleChecker rules_{clock_, platform_};
   cluster::LeaderState state_{platform_, op_};
   std::vector<MachineType> types_;
   std::map<std::string, SimulatedMachine> machines_;
--- a/tests/scripted_cloud.cpp
+++ b/tests/scripted_cloud.cpp
@@ -10,18 +10,18 @@
 using wire::Writer;
 
 Task<Reply> ScriptedCloud::serve(Call call, uint64_t sender_token) {
-  const Fate f = fate ? fate(call) : Fate::normal;
+  const CallFault f = call_fault ? call_fault(call) : CallFault::none;
   co_await loop_.sleep(Millis(80));
-  if (trouble || f == Fate::refuse) co_return reply(503, wire::write_error("trouble"));
-  if (f == Fate::apply_late) loop_.spawn(execute_later(call, sender_token));
-  if (f == Fate::apply_late || f == Fate::lose_request) {
+  if (unavailable || f == CallFault::refuse) co_return reply(503, wire::write_error("trouble"));
+  if (f == CallFault::apply_late) loop_.spawn(execute_later(call, sender_token));
+  if (f == CallFault::apply_late || f == CallFault::lose_request) {
     co_await loop_.sleep_until(call.deadline);
     co_return Reply{};
   }
   const uint64_t launches_before = launches;
   Reply out = execute(call, sender_token);
   const bool lost = lose_launch_replies && launches > launches_before;
-  if (f == Fate::lose_reply || lost) {
+  if (f == CallFault::lose_reply || lost) {
     co_await loop_.sleep_until(call.deadline);
     co_return Reply{};
   }
@@ -29,7 +29,7 @@
 }
 
 Task<void> ScriptedCloud::execute_later(Call call, uint64_t sender_token) {
-  co_await loop_.sleep(late_by);
+  co_await loop_.sleep(fault_delay);
   (void)execute(call, sender_token);
 }
 
@@ -50,9 +50,9 @@
     for (const auto& id : ids) writer.text(id);
     return writer.take();
   };
-  if (answered.contains(request)) {
-    if (on_act) on_act({request, {}, false, sender_token});
-    return reply(200, names(answered[request]));
+  if (machines_by_request.contains(request)) {
+    if (on_operation) on_operation({request, {}, false, sender_token});
+    return reply(200, names(machines_by_request[request]));
   }
   const std::string type(*root["rig"].text()), zone(*root["yard"].text());
   const bool spot = *root["loaners"].flag();
@@ -73,8 +73,8 @@
     if (on_launched) on_launched(machine);
   }
   ++launches;
-  answered[request] = ids;
-  if (on_act) on_act({request, ids, true, sender_token});
+  machines_by_request[request] = ids;
+  if (on_operation) on_operation({request, ids, true, sender_token});
   return reply(200, names(ids));
 }
 
@@ -87,7 +87,7 @@
     deletions.push_back(id);
     const auto it = machines.find(id);
     const bool changes = it != machines.end() && !it->second.removed;
-    if (on_act) on_act({"", {id}, changes, sender_token});
+    if (on_operation) on_operation({"", {id}, changes, sender_token});
     if (!changes) continue;
     it->second.removed = true;
     it->second.removed_at = loop_.now();
@@ -100,7 +100,7 @@
 
 Reply ScriptedCloud::list(const Call& call) {
   // The list as it was a while ago.
-  const Instant as_of = loop_.now() - lag;
+  const Instant as_of = loop_.now() - list_lag;
   ++lists;
   const std::string after = query_value(call.target, "since");
   const size_t most = std::stoul(query_value(call.target, "most"));
--- a/tests/scripted_cloud.hpp
+++ b/tests/scripted_cloud.hpp
@@ -18,15 +18,15 @@
   Task<http::Reply> serve(http::Call call, uint64_t sender_token = 0);
 
   // A request that was carried out, whether or not it changed anything.
-  struct Act {
+  struct Operation {
     std::string request;  // of a launch; empty: a deletion
     std::vector<std::string> machines;
     bool changed = false;
     uint64_t sender_token = 0;
   };
-  std::function<void(const Act&)> on_act;
-  std::function<Fate(const http::Call&)> fate;  // asked for each call
-  Nanos late_by = seconds(10);
+  std::function<void(const Operation&)> on_operation;
+  std::function<CallFault(const http::Call&)> call_fault;  // asked for each call
+  Nanos fault_delay = seconds(10);
 
   struct Machine {
     std::string id, type, zone;
@@ -39,11 +39,11 @@
   std::vector<MachineType> types;
   std::string machine_address = "10.1.0.1:9000";  // of each machine that is launched
   std::map<std::string, uint32_t> capacity;       // "type/zone/spot|ordinary"; absent: 0
-  bool trouble = false;
+  bool unavailable = false;
   bool lose_launch_replies = false;
-  Nanos lag = seconds(8);
+  Nanos list_lag = seconds(8);
   std::map<std::string, Machine> machines;
-  std::map<std::string, std::vector<std::string>> answered;  // by request name
+  std::map<std::string, std::vector<std::string>> machines_by_request;  // by request name
   uint64_t launches = 0, refusals = 0, lists = 0;
   std::function<void(const Machine&)> on_launched;
   std::function<void(const std::string&)> on_deleted;
--- a/tests/scripted_store.cpp
+++ b/tests/scripted_store.cpp
@@ -142,7 +142,7 @@
   std::vector<std::string> failed;
   const View compares = root["guards"];
   if (!takes(compares, root["writes"])) {
-    ++malformed;
+    ++oversized;
     return reply(400, wire::write_error("too large"));
   }
   if (!within_rate(root["writes"].size())) {
@@ -190,7 +190,7 @@
 }
 
 Task<void> ScriptedStore::multi_later(std::string body) {
-  co_await loop_.sleep(late_by);
+  co_await loop_.sleep(fault_delay);
   const auto doc = Document::parse(body);
   expire();
   (void)multi(doc->root());
@@ -303,14 +303,15 @@
 
 Task<Reply> ScriptedStore::serve(Call call) {
   ++requests;
-  const Fate f = fate ? fate(call) : Fate::normal;
+  const CallFault f = call_fault ? call_fault(call) : CallFault::none;
   co_await loop_.sleep(Millis(3));
-  if (f == Fate::refuse || (outage && !call.target.starts_with("/changes"))) co_return reply(503);
-  if (f == Fate::lose_request) {
+  if (f == CallFault::refuse || (outage && !call.target.starts_with("/changes")))
+    co_return reply(503);
+  if (f == CallFault::lose_request) {
     co_await loop_.sleep_until(call.deadline);
     co_return Reply{};
   }
-  if (f == Fate::apply_late) {
+  if (f == CallFault::apply_late) {
     loop_.spawn(multi_later(call.body));
     co_await loop_.sleep_until(call.deadline);
     co_return Reply{};
@@ -322,8 +323,8 @@
   } else {
     out = execute(call);
   }
-  if (f == Fate::slow_reply) co_await loop_.sleep(late_by);
-  if (f == Fate::lose_reply) {
+  if (f == CallFault::slow_reply) co_await loop_.sleep(fault_delay);
+  if (f == CallFault::lose_reply) {
     co_await loop_.sleep_until(call.deadline);
     co_return Reply{};
   }
--- a/tests/scripted_store.hpp
+++ b/tests/scripted_store.hpp
@@ -18,17 +18,17 @@
   Task<http::Reply> serve(http::Call call);
 
   bool outage = false;
-  bool too_old = false;                                // watches are answered 410
-  void end_outage();                                   // every lease has its full time again
-  std::function<Fate(const http::Call&)> fate;         // asked for each call
-  std::function<void(const std::string&)> on_removed;  // a key that a transaction deletes
-  std::function<void(const std::string&)> on_change;   // a key that was put or deleted
-  Nanos late_by = seconds(10);
+  bool too_old = false;                                    // watches are answered 410
+  void end_outage();                                       // every lease has its full time again
+  std::function<CallFault(const http::Call&)> call_fault;  // asked for each call
+  std::function<void(const std::string&)> on_removed;      // a key that a transaction deletes
+  std::function<void(const std::string&)> on_change;       // a key that was put or deleted
+  Nanos fault_delay = seconds(10);
   uint64_t requests = 0;
   size_t max_value = 0, max_writes = 0;  // the largest seen
   // Enforced where set: a larger value or transaction gets 400, writes beyond the rate 429.
   std::optional<settings::StoreLimits> limits;
-  size_t malformed = 0, throttled = 0;  // requests refused for them
+  size_t oversized = 0, throttled = 0;  // requests refused for them
 
   struct Entry {
     std::string value;  // packed
--- a/tests/scripted_transport.hpp
+++ b/tests/scripted_transport.hpp
@@ -7,7 +7,7 @@
 namespace dunlinknot::test {
 
 // What happens to one call on its way.
-enum class Fate { normal, refuse, lose_request, lose_reply, slow_reply, apply_late };
+enum class CallFault { none, refuse, lose_request, lose_reply, slow_reply, apply_late };
 
 // A response with this status.
 http::Reply reply(int status, std::string body = "");
--- a/tests/scripted_worker.cpp
+++ b/tests/scripted_worker.cpp
@@ -70,7 +70,7 @@
 }
 
 void ScriptedWorker::power_off() {
-  on = false;
+  powered_on = false;
   end_all();
 }
 
@@ -122,14 +122,14 @@
 
 Task<void> ScriptedWorker::run(std::function<Task<http::Response>(http::Request)> handler,
                                Nanos pace) {
-  while (on) {
+  while (powered_on) {
     const Instant sent = loop_.now();
     if (hung) {
       co_await loop_.sleep(Millis(50));
       continue;
     }
     if (sent - answered_sent_ > lease_) lose_lease();
-    if (cut || mute) {
+    if (isolated || drop_heartbeats) {
       co_await loop_.sleep(pace);
       continue;
     }
@@ -140,10 +140,10 @@
     request.body = wire::write_heartbeat(heartbeat());
     http::Response answer = co_await handler(std::move(request));
     co_await loop_.sleep(Millis(1));
-    if (!on) co_return;
+    if (!powered_on) co_return;
     // A response that took too long was given up, and a machine that hung meanwhile drops it too.
     const bool in_time = loop_.now() - sent <= seconds(4) && !hung;
-    if (answer.status == 200 && !drop_responses && !cut && in_time &&
+    if (answer.status == 200 && !drop_responses && !isolated && in_time &&
         in_incarnation == incarnation) {
       const auto doc = Document::parse(answer.body);
       const auto answered = doc->root()["baton"].count();
@@ -158,25 +158,25 @@
 }
 
 Task<void> ScriptedWorker::watch_lease() {
-  while (on) {
+  while (powered_on) {
     const Instant ends = answered_sent_ + lease_;
     co_await loop_.sleep_until(std::max(ends, loop_.now()) + Millis(1));
-    if (on && loop_.now() - answered_sent_ > lease_) lose_lease();
+    if (powered_on && loop_.now() - answered_sent_ > lease_) lose_lease();
   }
 }
 
 // A hung machine has the command in its socket, and executes it when it goes on.
 Task<void> ScriptedWorker::execute_later(std::string body) {
-  while (on && hung) co_await loop_.sleep(Millis(20));
-  if (!on) co_return;
+  while (powered_on && hung) co_await loop_.sleep(Millis(20));
+  if (!powered_on) co_return;
   if (loop_.now() - answered_sent_ > lease_) lose_lease();
   (void)execute(body);
 }
 
 Task<Reply> ScriptedWorker::direct(Call call) {
   co_await loop_.sleep(Millis(1));
-  if (on && hung) loop_.spawn(execute_later(call.body));
-  if (!on || cut || refuse_direct || hung) {
+  if (powered_on && hung) loop_.spawn(execute_later(call.body));
+  if (!powered_on || isolated || refuse_direct || hung) {
     co_await loop_.sleep_until(call.deadline);
     co_return Reply{};
   }
--- a/tests/scripted_worker.hpp
+++ b/tests/scripted_worker.hpp
@@ -33,12 +33,12 @@
   void obey(wire::View orders);
   void lose_lease();
 
-  bool on = true;
-  bool cut = false;             // nothing in or out
+  bool powered_on = true;
+  bool isolated = false;        // nothing in or out
   bool drop_responses = false;  // they come too late
   bool refuse_direct = false;
-  bool mute = false;  // reaches no controller; direct commands reach it
-  bool hung = false;  // executes nothing, and may go on; direct commands wait for it
+  bool drop_heartbeats = false;  // reaches no controller; direct commands reach it
+  bool hung = false;             // executes nothing, and may go on; direct commands wait for it
   std::function<Nanos(const TaskRef&)> run_time;    // default 5 s
   std::function<Nanos(const TaskRef&)> fetch_time;  // of its image, default none
   std::function<bool(const TaskRef&)> fails;        // default never
--- a/tests/singleton_roles_test.cpp
+++ b/tests/singleton_roles_test.cpp
@@ -83,7 +83,7 @@
 }
 
 Site& with_roles(Site& site) {
-  site.op.roles = true;
+  site.operator_settings.roles = true;
   for (size_t i = 0; i < site.nodes.size(); ++i) site.restart(i);
   return site;
 }
@@ -125,9 +125,9 @@
 TEST(SingletonRoles, IntentsStandBeforeTheActAndGoAfterIt) {
   Site site(1);
   with_roles(site);
-  site.cloud.lag = seconds(2);
+  site.cloud.list_lag = seconds(2);
   bool launched_with_intent = false;
-  site.cloud.on_act = [&](const ScriptedCloud::Act& act) {
+  site.cloud.on_operation = [&](const ScriptedCloud::Operation& act) {
     if (!act.request.empty() && act.changed) {
       launched_with_intent = site.store.data.contains(roles::scale_out_key(act.request));
     }
@@ -137,7 +137,7 @@
   site.run_for(seconds(2));
   EXPECT_TRUE(launched_with_intent);
   site.run_for(seconds(60));
-  EXPECT_EQ(site.standing("run-000001"), "done");
+  EXPECT_EQ(site.job_state("run-000001"), "done");
   EXPECT_EQ(site.cloud.deletions.size(), 1u);
   EXPECT_EQ(count_keys(site, "intent/"), 0u) << "all acts are settled";
 }
@@ -162,7 +162,7 @@
   const uint64_t fencing_token = held(site).holder.fencing_token(Role::scale_out);
   for (const auto jump : {Nanos(seconds(5)), Nanos(std::chrono::hours(3)),
                           Nanos(std::chrono::hours(-6)), Nanos(seconds(-2))}) {
-    site.clock.wall_jump += jump;
+    site.clock.wall_offset += jump;
     EXPECT_TRUE(held(site).holder.may_act(Role::scale_out));
     site.run_for(seconds(5));
     EXPECT_EQ(held(site).holder.fencing_token(Role::scale_out), fencing_token);
@@ -197,12 +197,12 @@
   EXPECT_EQ(site.store.data.at(std::string(roles::kFencingTokenKey)).value, bytes);
   EXPECT_EQ(count_keys(site, "duty/"), 1u) << "no role was acquired";
   EXPECT_EQ(site.cloud.launches + site.cloud.deletions.size(), 0u);
-  EXPECT_EQ(site.standing("run-000001"), "done") << "what needs no role goes on";
+  EXPECT_EQ(site.job_state("run-000001"), "done") << "what needs no role goes on";
 }
 
 TEST(SingletonRoles, AnUnreadableIntentHaltsItsMachineOnly) {
   Site site(1);
-  site.cloud.lag = Nanos(0);
+  site.cloud.list_lag = Nanos(0);
   for (const char* id : {"vm-100001", "vm-100002"}) {
     const ScriptedCloud::Machine machine{id, "box",          "a", false, site.clock.now(), false,
                                          {}, "10.1.0.1:9000"};
@@ -218,7 +218,7 @@
   site.run_for(seconds(5));
   site.submit(job("run-000001", 4));
   site.run_for(seconds(60));
-  EXPECT_EQ(site.standing("run-000001"), "done");
+  EXPECT_EQ(site.job_state("run-000001"), "done");
   EXPECT_TRUE(site.workers.at("vm-100001")->started.empty());
   EXPECT_FALSE(site.workers.at("vm-100002")->started.empty());
   EXPECT_FALSE(site.cloud.machines.at("vm-100001").removed);
@@ -260,7 +260,7 @@
 // been given work by the second.
 TEST(SingletonRoles, AResumedReturnWaitsForWorkThatALeaderWithoutRolesPutThere) {
   Site site(1);
-  site.cloud.lag = Nanos(0);
+  site.cloud.list_lag = Nanos(0);
   const ScriptedCloud::Machine machine{"vm-100001",      "box", "a", false,
                                        site.clock.now(), false, {},  "10.1.0.1:9000"};
   site.cloud.machines[machine.id] = machine;
@@ -275,13 +275,13 @@
                  roles::write_scale_in_intent({machine.id, "idle", 1}));
   with_roles(site);
   site.run_for(seconds(8));
-  EXPECT_TRUE(worker.on) << "its task runs";
+  EXPECT_TRUE(worker.powered_on) << "its task runs";
   site.submit(job("run-000002"));
   site.run_for(seconds(60));
-  EXPECT_EQ(site.standing("run-000001"), "done");
+  EXPECT_EQ(site.job_state("run-000001"), "done");
   EXPECT_EQ(worker.started.size(), 1u) << "it got no more work";
-  EXPECT_FALSE(worker.on) << "it was returned in the end";
-  EXPECT_EQ(site.standing("run-000002"), "done");
+  EXPECT_FALSE(worker.powered_on) << "it was returned in the end";
+  EXPECT_EQ(site.job_state("run-000002"), "done");
 }
 
 }  // namespace
--- a/tests/site.cpp
+++ b/tests/site.cpp
@@ -14,13 +14,13 @@
 Site::Node::Node(Site& s, size_t index) : site(s) {
   platform = Site::platform(index, 3);
   if (s.adjust_platform) s.adjust_platform(platform);
-  daemon = std::make_unique<node::Daemon>(s.loop, platform, s.op, *this,
+  daemon = std::make_unique<node::Daemon>(s.loop, platform, s.operator_settings, *this,
                                           static_cast<uint32_t>(index + 7));
   daemon->start_components();
 }
 
 Task<Reply> Site::Node::exchange(Call call) {
-  if (dead) co_await site.loop.sleep(std::chrono::hours(1000));
+  if (crashed) co_await site.loop.sleep(std::chrono::hours(1000));
   if (site.on_send) site.on_send(*this, call);
   while (paused) co_await site.loop.sleep(Millis(10));
   Reply out = co_await deliver(std::move(call));
@@ -72,10 +72,10 @@
   Node& node = *nodes[i];
   http::Response none;
   none.status = 0;
-  if (node.dead || node.paused) co_return none;
+  if (node.crashed || node.paused) co_return none;
   if (on_request) request = on_request(std::move(request));
   http::Response response = co_await node.daemon->handle(std::move(request));
-  if (node.dead || node.paused) co_return none;
+  if (node.crashed || node.paused) co_return none;
   if (on_response) on_response(response);
   co_return response;
 }
@@ -150,7 +150,7 @@
     co_await loop.sleep(Millis(500));
     for (auto& to : nodes) {
       for (auto& from : nodes) {
-        if (to == from || to->dead || from->dead || to->paused || from->paused) continue;
+        if (to == from || to->crashed || from->crashed || to->paused || from->paused) continue;
         if (to->cut_from_peers || from->cut_from_peers) continue;
         to->daemon->peers().apply_status(from->daemon->status(), loop.now());
       }
@@ -160,7 +160,7 @@
 
 std::optional<size_t> Site::leader() const {
   for (size_t i = 0; i < nodes.size(); ++i) {
-    if (!nodes[i]->dead && nodes[i]->daemon->elector().leading()) return i;
+    if (!nodes[i]->crashed && nodes[i]->daemon->elector().leading()) return i;
   }
   return std::nullopt;
 }
@@ -178,10 +178,10 @@
                                             address, seconds(14));
   w->specs = &specs;
   ScriptedWorker* raw = w.get();
-  const Rules::Place place{machine.id, machine.type, machine.zone, machine.spot};
+  const RuleChecker::Machine place{machine.id, machine.type, machine.zone, machine.spot};
   w->on_start = [this, place, raw](const TaskRef& task) {
     ++starts;
-    if (copies(task) > 0) ++ran_twice;
+    if (copies(task) > 0) ++duplicate_starts;
     rules.started(place, task, raw->started.back().second);
   };
   w->on_end = [this, id = machine.id](const ScriptedWorker::Running& r) {
@@ -197,7 +197,7 @@
     out.status = 503;
     for (size_t k = 0; k < nodes.size(); ++k) {
       const size_t i = (*at + k) % nodes.size();
-      if (cut.contains({i, id})) continue;
+      if (blocked_links.contains({i, id})) continue;
       http::Request copy = request;
       out = co_await handle(i, std::move(copy));
       if (out.status != 200) continue;
@@ -258,7 +258,7 @@
   return ask(node, "POST", "/v1/jobs", writer.take());
 }
 
-std::string Site::standing(const std::string& id, size_t node) {
+std::string Site::job_state(const std::string& id, size_t node) {
   const http::Response response = ask(node, "GET", "/v1/jobs/" + id);
   if (response.status != 200) return std::to_string(response.status);
   const auto doc = Document::parse(response.body);
@@ -268,7 +268,7 @@
 size_t Site::copies(const TaskRef& task) const {
   size_t n = 0;
   for (const auto& [id, w] : workers) {
-    if (!w->on) continue;
+    if (!w->powered_on) continue;
     for (const auto& [key, running] : w->tasks) {
       const bool there = running.state != TaskState::exited && running.state != TaskState::fetching;
       if (key.first == task && there) ++n;
@@ -277,13 +277,13 @@
   return n;
 }
 
-bool is_commit_of(const Call& call, std::string_view key) {
+bool is_transaction_on(const Call& call, std::string_view key) {
   return call.target == "/multi" && call.body.find(key) != std::string::npos;
 }
 
-void expect_rules(const Site& site) {
-  EXPECT_EQ(site.ran_twice, 0u);
-  for (const auto& b : site.rules.broken()) ADD_FAILURE() << b;
+void expect_no_violations(const Site& site) {
+  EXPECT_EQ(site.duplicate_starts, 0u);
+  for (const auto& b : site.rules.violations()) ADD_FAILURE() << b;
 }
 
 JobSpec job(const std::string& id, uint32_t tasks) {
--- a/tests/site.hpp
+++ b/tests/site.hpp
@@ -29,7 +29,7 @@
     Site& site;
     settings::Platform platform;
     std::unique_ptr<node::Daemon> daemon;
-    bool dead = false;
+    bool crashed = false;
     bool cut_from_store = false;
     bool refused_by_store = false;  // 503, while others may be served
     bool cut_from_peers = false;
@@ -37,7 +37,7 @@
     // Stands still: what it is about to send goes out when it goes on, without another look.
     bool paused = false;
   };
-  void crash(size_t i) { nodes[i]->dead = true; }
+  void crash(size_t i) { nodes[i]->crashed = true; }
   void restart(size_t i);
   Task<http::Response> handle(size_t i, http::Request request);
 
@@ -53,23 +53,24 @@
     return ask(node, "POST", "/v1/jobs/" + id + "/withdraw");
   }
   http::Response submit(const JobSpec& spec, size_t node = 0);
-  std::string standing(const std::string& id, size_t node = 0);
+  std::string job_state(const std::string& id, size_t node = 0);
   // How many machines the task is on at this moment.
   size_t copies(const TaskRef& task) const;
 
-  settings::Operator op;
+  settings::Operator operator_settings;
   // Applied to the platform's settings of every process that starts from now on.
   std::function<void(settings::Platform&)> adjust_platform;
   const settings::Platform rules_platform = platform(0, 3);
-  Rules rules{clock, rules_platform};
+  RuleChecker rules{clock, rules_platform};
   ScriptedStore store{loop};
   ScriptedCloud cloud{loop};
   std::map<std::string, JobSpec> specs;
   std::vector<std::unique_ptr<Node>> nodes;
   std::vector<std::unique_ptr<Node>> graveyard;
-  std::set<std::pair<size_t, std::string>> cut;  // node and machine that do not reach one another
+  std::set<std::pair<size_t, std::string>>
+      blocked_links;  // node and machine that do not reach one another
   std::map<std::string, std::unique_ptr<ScriptedWorker>> workers;
-  size_t ran_twice = 0;
+  size_t duplicate_starts = 0;
   size_t starts = 0;
   std::function<void(ScriptedWorker&)> on_worker;  // each new one
   // Each call of a controller, as it is about to be sent.
@@ -85,8 +86,8 @@
 
 JobSpec job(const std::string& id, uint32_t tasks = 1);
 // A transaction that has to do with this key.
-bool is_commit_of(const http::Call& call, std::string_view key);
+bool is_transaction_on(const http::Call& call, std::string_view key);
 // Fails the test that calls it with every rule that was broken in the scenario so far.
-void expect_rules(const Site& site);
+void expect_no_violations(const Site& site);
 
 }  // namespace dunlinknot::test
--- a/tests/store_messages_test.cpp
+++ b/tests/store_messages_test.cpp
@@ -137,9 +137,9 @@
     site.store.put("paged/" + std::to_string(10'000 + i), packed_number(i));
   }
   size_t lists = 0;
-  site.store.fate = [&](const http::Call& call) {
+  site.store.call_fault = [&](const http::Call& call) {
     if (call.target.starts_with("/keys?starts=paged/")) ++lists;
-    return lists == 2 ? Fate::refuse : Fate::normal;
+    return lists == 2 ? CallFault::refuse : CallFault::none;
   };
   Site::Node& node = *site.nodes.front();
   kv::Client client(site.loop, node, node.platform.key_value_store,
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -58,8 +58,8 @@
   void expect_done(const JobSpec& spec, Nanos within) {
     s.run_for(within);
     ASSERT_TRUE(s.leader());
-    EXPECT_EQ(s.standing(spec.id, *s.leader()), "done");
-    expect_rules(s);
+    EXPECT_EQ(s.job_state(spec.id, *s.leader()), "done");
+    expect_no_violations(s);
   }
   size_t on_machines(const JobSpec& spec) const {
     size_t n = 0;
@@ -136,12 +136,12 @@
   s.run_for(seconds(60));
   ASSERT_TRUE(s.leader());
   EXPECT_EQ(on_machines(api), 3u);
-  EXPECT_NE(s.standing(api.id, *s.leader()), "done");
+  EXPECT_NE(s.job_state(api.id, *s.leader()), "done");
   ASSERT_EQ(s.cancel(api.id, *s.leader()).status, 200);
   s.run_for(seconds(30));
   EXPECT_EQ(on_machines(api), 0u);
   EXPECT_FALSE(s.store.data.contains(wire::done_key(api.id, 0)));
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(Upgrade, ACancellationConfirmedByAnOldControllerStopsWhatANewOneLeads) {
@@ -153,9 +153,9 @@
   old_version_cancels(spec);
   s.run_for(seconds(10));
   EXPECT_EQ(on_machines(spec), 0u);
-  EXPECT_EQ(s.standing(spec.id), "cancelled");
+  EXPECT_EQ(s.job_state(spec.id), "cancelled");
   EXPECT_EQ(s.submit(spec).status, 200);
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(Upgrade, ACancellationAmidAChangeToTheOldVersionAndBackIsKept) {
@@ -169,7 +169,7 @@
   old_version_ends();
   s.run_for(seconds(30));
   EXPECT_EQ(on_machines(spec), 0u);
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(Upgrade, ALateWriteOfAnOldLeaderOnANewOnesRecordIsReadBackAndNothingRunsTwice) {
@@ -187,8 +187,8 @@
     s.run_for(Millis(700));
   }
   s.run_for(seconds(120));
-  EXPECT_EQ(s.standing(spec.id, *s.leader()), "done");
-  expect_rules(s);
+  EXPECT_EQ(s.job_state(spec.id, *s.leader()), "done");
+  expect_no_violations(s);
 }
 
 TEST_F(Upgrade, ALateCommandOfAnOldLeaderIsRefusedByTheWorkers) {
@@ -212,22 +212,22 @@
     EXPECT_EQ(s.get(w->direct(std::move(late))).status, 409);
   }
   EXPECT_EQ(on_machines(spec), 4u);
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 TEST_F(Upgrade, AProcessThatEndsRightAfterItsFirstWriteLeavesNothingHalfDone) {
   const JobSpec spec = job("run-000001", 8);
   ASSERT_EQ(s.submit(spec).status, 201);
   bool written = false;
-  s.store.fate = [&](const http::Call& call) {
-    written |= is_commit_of(call, "host/");
-    return Fate::normal;
+  s.store.call_fault = [&](const http::Call& call) {
+    written |= is_transaction_on(call, "host/");
+    return CallFault::none;
   };
   for (int k = 0; k < 2000 && !written; ++k) s.run_for(Millis(5));
   ASSERT_TRUE(written);
   s.run_for(Millis(4));
   s.restart(*s.leader());
-  s.store.fate = nullptr;
+  s.store.call_fault = nullptr;
   expect_done(spec, seconds(120));
 }
 
@@ -245,9 +245,9 @@
   }
   s.run_for(seconds(150));
   ASSERT_TRUE(s.leader());
-  EXPECT_EQ(s.standing(spec.id, *s.leader()), "done");
-  EXPECT_EQ(s.standing(gang.id, *s.leader()), "done");
-  expect_rules(s);
+  EXPECT_EQ(s.job_state(spec.id, *s.leader()), "done");
+  EXPECT_EQ(s.job_state(gang.id, *s.leader()), "done");
+  expect_no_violations(s);
 }
 
 TEST_F(Upgrade, TheRollAcrossAllProcessesOneByOneWhileTheLimitsFallLosesNothing) {
@@ -265,9 +265,9 @@
   s.restart(1);  // and one ends again amid that
   s.run_for(seconds(120));
   for (size_t n = 0; n < 10; ++n) {
-    EXPECT_EQ(s.standing("run-00001" + std::to_string(n), *s.leader()), "done") << n;
+    EXPECT_EQ(s.job_state("run-00001" + std::to_string(n), *s.leader()), "done") << n;
   }
-  expect_rules(s);
+  expect_no_violations(s);
 }
 
 }  // namespace
--- a/tools/handover_run.cpp
+++ b/tools/handover_run.cpp
@@ -75,11 +75,11 @@
         options_.roles ? roles::role_key(roles::Role::scale_in) : std::string(wire::kLeaderKey);
     state_.on_change = [this](const std::string& key) { apply_change(key); };
     state_.on_removed = [this](const std::string& key) { apply_removed(key); };
-    cloud_.on_act = [this](const ScriptedCloud::Act& act) { apply_act(act); };
+    cloud_.on_operation = [this](const ScriptedCloud::Operation& act) { apply_act(act); };
     cloud_.on_launched = [this](const ScriptedCloud::Machine& machine) { add_worker(machine); };
     cloud_.on_deleted = [this](const std::string& id) { workers_.at(id)->power_off(); };
     cloud_.machine_address = "127.0.0.1:1";  // refuses: stops travel with the answers to reports
-    cloud_.lag = seconds(3);
+    cloud_.list_lag = seconds(3);
     MachineType box;
     box.name = "box";
     box.size = {8, 0, 32};
@@ -328,7 +328,7 @@
     holder_token_ = record.fencing_token;
   }
 
-  void apply_act(const ScriptedCloud::Act& act) {
+  void apply_act(const ScriptedCloud::Operation& act) {
     const bool launch = !act.request.empty();
     const std::string& name = launch ? act.request : act.machines.front();
     const std::string key = launch ? roles::scale_out_key(name) : roles::scale_in_key(name);
@@ -458,16 +458,16 @@
   }
 
   void trouble_the_cloud() {
-    cloud_.fate = [this](const http::Call& call) {
-      if (call.method != "POST") return Fate::normal;
-      cloud_.late_by = Millis(500 + random_() % (kLatestRequest.count() - 500));
+    cloud_.call_fault = [this](const http::Call& call) {
+      if (call.method != "POST") return CallFault::none;
+      cloud_.fault_delay = Millis(500 + random_() % (kLatestRequest.count() - 500));
       switch (random_() % 6) {
         case 0:
-          return Fate::apply_late;
+          return CallFault::apply_late;
         case 1:
-          return Fate::lose_reply;
+          return CallFault::lose_reply;
         default:
-          return Fate::normal;
+          return CallFault::none;
       }
     };
   }
@@ -477,7 +477,7 @@
     if (!options_.calm_cloud) trouble_the_cloud();
     while (handovers_.size() < options_.handovers) co_await force_handover();
     finishing_ = true;
-    cloud_.fate = nullptr;
+    cloud_.call_fault = nullptr;
     if (!options_.calm_cloud) co_await loop_.sleep(kLatestRequest);
     settled_ = co_await wait_for([this] { return all_settled(); }, kSettleTime);
     loop_.stop();
