--- a/tests/concurrent_faults_test.cpp
+++ b/tests/concurrent_faults_test.cpp
@@ -191,7 +191,8 @@
   });
   ASSERT_EQ(s.cancel(long_job.id, other).status, 200);
   s.run_for(Millis(200));
-  const http::Response response = s.ask(l, "POST", "/agent/beat", wire::write_heartbeat(held));
+  const http::Response response =
+      s.request_and_wait(l, "POST", "/agent/beat", wire::write_heartbeat(held));
   ASSERT_EQ(response.status, 200);
   EXPECT_NE(response.body.find("stop"), std::string::npos);
 }
@@ -205,14 +206,14 @@
   while (site.workers.empty()) site.run_for(Millis(100));
   for (auto& [id, w] : site.workers) w->run_time = [](const TaskRef&) { return seconds(400); };
   site.run_for(seconds(12));
-  site.store.too_old = true;
+  site.store.watches_too_old = true;
   site.store.call_fault = [&](const http::Call& call) {
     return call.target == "/keys/job/run-000001" ? CallFault::lose_request : CallFault::none;
   };
   site.store.erase("job/run-000001");
   site.store.put("final/run-000001", wire::write_final({true, 2}));
   site.run_for(seconds(2));
-  site.store.too_old = false;
+  site.store.watches_too_old = false;
   site.run_for(seconds(5));
   EXPECT_EQ(site.copies({"run-000001", 0}), 0u);
   EXPECT_EQ(site.copies({"run-000001", 1}), 0u);
@@ -339,7 +340,7 @@
 class RandomConcurrentFaults : public testing::TestWithParam<uint32_t> {};
 
 TEST_P(RandomConcurrentFaults, BreakNoRule) {
-  RandomScenario(GetParam()).play();
+  RandomScenario(GetParam()).run();
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomConcurrentFaults, testing::Range(1u, 61u));
--- a/tests/fake_clock.hpp
+++ b/tests/fake_clock.hpp
@@ -1,4 +1,5 @@
-// Time in tests: a clock moved by hand, and a loop that moves it from timer to timer.
+// Simulated time for tests: a clock that is set by hand, and an event loop that advances it from
+// timer to timer.
 #pragma once
 #include <algorithm>
 #include <memory>
@@ -11,7 +12,7 @@
 
 using std::chrono::seconds;
 
-// A clock that stands still until a test moves it.
+// A clock that advances only when it is set.
 class FakeClock final : public Clock {
  public:
   Instant now() const override { return now_; }
@@ -22,22 +23,25 @@
   Instant boot() const override { return now_ + suspended; }
   void set(Instant t) { now_ = t; }
 
-  Nanos suspended{0};  // for which the steady clock stood still
+  // Total time in which the system was suspended: boot() includes it, now() does not.
+  Nanos suspended{0};
+  // Added to the wall clock.
   Nanos wall_offset{0};
 
  private:
   Instant now_{seconds(1000)};
 };
 
-// Moves time forward from timer to timer; nothing sleeps.
-class World {
+// An event loop on a fake clock. Time advances from timer to timer, without real waiting.
+class Simulation {
  public:
-  World() : loop(clock, false) {}
+  Simulation() : loop(clock, false) {}
   FakeClock clock;
   EventLoop loop;
 
-  void run_for(Nanos d) {
-    const Instant end = clock.now() + d;
+  // Runs everything that is due within this duration of simulated time.
+  void run_for(Nanos duration) {
+    const Instant end = clock.now() + duration;
     for (;;) {
       loop.run_ready();
       const Instant next = loop.next_timer();
@@ -48,21 +52,23 @@
     clock.set(end);
     loop.run_ready();
   }
-  // Runs a task to its end (within a bound) and returns what it gave.
+  // Runs until the task has completed and returns its result. Throws when the task takes longer
+  // than `timeout` of simulated time.
   template <class T>
-  T get(Task<T> task, Nanos within = seconds(60)) {
-    auto out = std::make_shared<std::optional<T>>();
-    loop.spawn(store(std::move(task), out));
-    const Instant end = clock.now() + within;
-    while (!*out && clock.now() < end) run_for(Millis(5));
-    if (!*out) throw std::runtime_error("the task did not end in time");
-    return std::move(**out);
+  T get(Task<T> task, Nanos timeout = seconds(60)) {
+    auto result = std::make_shared<std::optional<T>>();
+    loop.spawn(store_result(std::move(task), result));
+    const Instant end = clock.now() + timeout;
+    while (!*result && clock.now() < end) run_for(Millis(5));
+    if (!*result)
+      throw std::runtime_error("the task did not complete within its timeout of simulated time");
+    return std::move(**result);
   }
 
  private:
   template <class T>
-  static Task<void> store(Task<T> task, std::shared_ptr<std::optional<T>> out) {
-    out->emplace(co_await task);
+  static Task<void> store_result(Task<T> task, std::shared_ptr<std::optional<T>> result) {
+    result->emplace(co_await task);
   }
 };
 
--- a/tests/rules.cpp
+++ b/tests/rules.cpp
@@ -1,142 +1,147 @@
+// Checks of the protocol's rules; rules.hpp lists them.
 #include "rules.hpp"
 
 #include <algorithm>
 
 namespace dunlinknot::test {
 
-void RuleChecker::breaks(const std::string& rule, const std::string& what) {
-  const double at = to_seconds(clock_.now().time_since_epoch()).count();
-  broken_.push_back(rule + ": " + what + " at " + std::to_string(at) + " s");
+void RuleChecker::add_violation(const std::string& rule, const std::string& details) {
+  const double now_s = to_seconds(clock_.now().time_since_epoch()).count();
+  violations_.push_back(rule + ": " + details + " at " + std::to_string(now_s) + " s");
 }
 
-void RuleChecker::started(const Machine& at, const TaskRef& task, uint64_t attempt) {
+void RuleChecker::started(const Machine& machine, const TaskRef& task, uint64_t attempt) {
   const auto known = jobs_.find(task.job);
   if (known == jobs_.end()) {
-    breaks("invented", task.text() + " started, and nobody submitted its job");
+    add_violation("invented", task.text() + " started, but its job was not submitted");
     return;
   }
-  JobState& j = known->second;
-  for (const Running& r : running_) {
-    if (r.task == task)
-      breaks("ran_twice", task.text() + " on " + at.machine + " and " + r.at.machine);
-  }
-  // As many of its tasks as may be in one zone, and where the others are at this moment.
-  size_t here = 1;
-  for (const Running& r : running_) {
-    if (r.task.job != task.job) continue;
-    if (r.at.zone == at.zone) ++here;
-    if (j.spec.one_zone && r.at.zone != at.zone) {
-      breaks("wrong_place",
-             task.text() + " in " + at.zone + ", " + r.task.text() + " in " + r.at.zone);
+  JobState& job = known->second;
+  for (const Running& running : running_) {
+    if (running.task == task)
+      add_violation("ran_twice", task.text() + " on " + machine.id + " and " + running.machine.id);
+  }
+  // A spread job may have at most half of its tasks, rounded up, in one zone.
+  size_t tasks_in_zone = 1;
+  for (const Running& running : running_) {
+    if (running.task.job != task.job) continue;
+    if (running.machine.zone == machine.zone) ++tasks_in_zone;
+    if (job.spec.one_zone && running.machine.zone != machine.zone) {
+      add_violation("wrong_place", task.text() + " in " + machine.zone + ", " +
+                                       running.task.text() + " in " + running.machine.zone);
     }
   }
-  if (j.spec.spread && here > (j.spec.tasks + 1) / 2) {
-    breaks("wrong_place", task.text() + ": too many in " + at.zone);
+  if (job.spec.spread && tasks_in_zone > (job.spec.tasks + 1) / 2) {
+    add_violation("wrong_place",
+                  task.text() + ": more than half of the job's tasks in " + machine.zone);
   }
-  const bool type_ok = j.spec.types.empty() || std::find(j.spec.types.begin(), j.spec.types.end(),
-                                                         at.type) != j.spec.types.end();
-  if (!type_ok || (j.spec.zone && *j.spec.zone != at.zone) || (at.spot && !j.spec.spot)) {
-    breaks("wrong_place", task.text() + " on " + at.machine);
+  const bool type_ok =
+      job.spec.types.empty() ||
+      std::find(job.spec.types.begin(), job.spec.types.end(), machine.type) != job.spec.types.end();
+  if (!type_ok || (job.spec.zone && *job.spec.zone != machine.zone) ||
+      (machine.spot && !job.spec.spot)) {
+    add_violation("wrong_place", task.text() + " on " + machine.id);
   }
-  if (j.on_user_cancellation != Instant::max()) {
+  if (job.reported_cancelled_at != Instant::max()) {
     ++late_starts_;
-    if (clock_.now() > j.on_user_cancellation + to_nanos(platform_.cancel)) {
-      breaks("ran_cancelled", task.text() + " started");
+    if (clock_.now() > job.reported_cancelled_at + to_nanos(platform_.cancel)) {
+      add_violation("ran_cancelled", task.text() + " started");
     }
   }
-  running_.push_back({at, task, attempt});
+  running_.push_back({machine, task, attempt});
   Resources used;
-  for (const Running& r : running_) {
-    if (jobs_[r.task.job].spec.team == j.spec.team) used += jobs_[r.task.job].spec.need;
-  }
-  for (const auto& t : platform_.teams) {
-    if (t.name != j.spec.team) continue;
-    if ((t.cpus_max > 0 && used.cpus > t.cpus_max + Resources::kSlack) ||
-        (t.gpus_max > 0 && used.gpus > t.gpus_max + Resources::kSlack)) {
-      breaks("quota", "team " + t.name + " with " + task.text());
+  for (const Running& running : running_) {
+    if (jobs_[running.task.job].spec.team == job.spec.team)
+      used += jobs_[running.task.job].spec.need;
+  }
+  for (const auto& team : platform_.teams) {
+    if (team.name != job.spec.team) continue;
+    if ((team.cpus_max > 0 && used.cpus > team.cpus_max + Resources::kSlack) ||
+        (team.gpus_max > 0 && used.gpus > team.gpus_max + Resources::kSlack)) {
+      add_violation("quota", "team " + team.name + " with " + task.text());
     }
   }
 }
 
 void RuleChecker::ended(const std::string& machine, const TaskRef& task, uint64_t attempt,
                         bool completed) {
-  std::erase_if(running_, [&](const Running& r) {
-    return r.at.machine == machine && r.task == task && r.attempt == attempt;
+  std::erase_if(running_, [&](const Running& running) {
+    return running.machine.id == machine && running.task == task && running.attempt == attempt;
   });
   if (!completed) return;
-  JobState& j = jobs_[task.job];
-  if (j.spec.gang) {
-    for (uint32_t i = 0; i < j.spec.tasks; ++i) j.done.insert(i);
+  JobState& job = jobs_[task.job];
+  if (job.spec.gang) {
+    for (uint32_t i = 0; i < job.spec.tasks; ++i) job.completed_tasks.insert(i);
   } else {
-    j.done.insert(task.index);
+    job.completed_tasks.insert(task.index);
   }
 }
 
 void RuleChecker::scan() {
-  for (const Running& r : running_) {
-    JobState& j = jobs_[r.task.job];
-    if (j.reported || j.on_user_cancellation == Instant::max()) continue;
-    if (clock_.now() <= j.on_user_cancellation + to_nanos(platform_.cancel)) continue;
-    j.reported = true;
-    breaks("ran_cancelled", r.task.text() + " is on " + r.at.machine);
+  for (const Running& running : running_) {
+    JobState& job = jobs_[running.task.job];
+    if (job.overrun_reported || job.reported_cancelled_at == Instant::max()) continue;
+    if (clock_.now() <= job.reported_cancelled_at + to_nanos(platform_.cancel)) continue;
+    job.overrun_reported = true;
+    add_violation("ran_cancelled", running.task.text() + " is still on " + running.machine.id);
   }
 }
 
-void RuleChecker::answered(const std::string& id, const std::string& standing, Instant asked) {
-  JobState& j = jobs_[id];
+void RuleChecker::check_state(const std::string& id, const std::string& state, Instant sent_at) {
+  JobState& job = jobs_[id];
   const Instant now = clock_.now();
-  // Only what was told before the question was sent binds its answer.
-  if (j.answered_done < asked && standing != "done")
-    breaks("went_back", id + " done, then " + standing);
-  if (j.on_user_cancellation < asked && standing != "cancelled") {
-    breaks("went_back", id + " cancelled, then " + standing);
-  }
-  if (standing == "done") {
-    if (j.spec.service) breaks("not_done", id + " is a service");
-    if (j.done.size() < j.spec.tasks) breaks("not_done", id);
-    j.answered_done = std::min(j.answered_done, now);
-  } else if (standing == "cancelled") {
-    if (!j.cancel_asked) breaks("went_back", id + " cancelled, and nobody asked for it");
-    j.on_user_cancellation = std::min(j.on_user_cancellation, now);
+  // Only states reported before the request was sent are binding: answers may overtake each other.
+  if (job.reported_done_at < sent_at && state != "done")
+    add_violation("went_back", id + " done, then " + state);
+  if (job.reported_cancelled_at < sent_at && state != "cancelled") {
+    add_violation("went_back", id + " cancelled, then " + state);
+  }
+  if (state == "done") {
+    if (job.spec.service) add_violation("not_done", id + " is a service");
+    if (job.completed_tasks.size() < job.spec.tasks) add_violation("not_done", id);
+    job.reported_done_at = std::min(job.reported_done_at, now);
+  } else if (state == "cancelled") {
+    if (!job.cancel_requested) add_violation("went_back", id + " cancelled without a request");
+    job.reported_cancelled_at = std::min(job.reported_cancelled_at, now);
   }
 }
 
-void RuleChecker::submit_answered(const std::string& id, int status, const std::string& standing,
-                                  Instant asked) {
-  JobState& j = jobs_[id];
-  if (j.accepted < asked && (status == 400 || status == 422)) {
-    breaks("forgotten", id + " accepted, then answered " + std::to_string(status));
+void RuleChecker::submit_answered(const std::string& id, int status, const std::string& state,
+                                  Instant sent_at) {
+  JobState& job = jobs_[id];
+  if (job.accepted_at < sent_at && (status == 400 || status == 422)) {
+    add_violation("forgotten", id + " accepted, then answered " + std::to_string(status));
   }
   if (status != 200 && status != 201) return;
-  j.accepted = std::min(j.accepted, clock_.now());
-  answered(id, standing, asked);
+  job.accepted_at = std::min(job.accepted_at, clock_.now());
+  check_state(id, state, sent_at);
 }
 
-void RuleChecker::poll_answered(const std::string& id, int status, const std::string& standing,
-                                Instant asked) {
-  const auto j = jobs_.find(id);
-  if (status == 404 && j != jobs_.end() && j->second.accepted < asked) {
-    breaks("forgotten", id + " is answered 404");
+void RuleChecker::poll_answered(const std::string& id, int status, const std::string& state,
+                                Instant sent_at) {
+  const auto job = jobs_.find(id);
+  if (status == 404 && job != jobs_.end() && job->second.accepted_at < sent_at) {
+    add_violation("forgotten", id + " accepted, then answered 404");
   }
   if (status != 200) return;
-  if (j == jobs_.end()) {
-    breaks("invented", id);
+  if (job == jobs_.end()) {
+    add_violation("invented", id);
   } else {
-    answered(id, standing, asked);
+    check_state(id, state, sent_at);
   }
 }
 
-void RuleChecker::cancel_answered(const std::string& id, int status, const std::string& standing,
-                                  Instant asked) {
-  if (status == 200 && standing != "cancelled" && standing != "done") {
-    breaks("went_back", id + ": a cancellation is answered " + standing);
+void RuleChecker::cancel_answered(const std::string& id, int status, const std::string& state,
+                                  Instant sent_at) {
+  if (status == 200 && state != "cancelled" && state != "done") {
+    add_violation("went_back", id + ": a cancellation is answered " + state);
   }
-  poll_answered(id, status, standing, asked);
+  poll_answered(id, status, state, sent_at);
 }
 
 bool RuleChecker::was_accepted(const std::string& id) const {
-  const auto j = jobs_.find(id);
-  return j != jobs_.end() && j->second.accepted != Instant::max();
+  const auto job = jobs_.find(id);
+  return job != jobs_.end() && job->second.accepted_at != Instant::max();
 }
 
 }  // namespace dunlinknot::test
--- a/tests/rules.hpp
+++ b/tests/rules.hpp
@@ -1,5 +1,5 @@
-// The protocol's rules, watched over a whole scenario: every start and end on every scripted
-// worker, every answer to a user, every team's limit. What was broken is kept in words.
+// Checks the protocol's rules over a whole scenario: every start and end on every scripted worker,
+// every answer to a user and every team's limit. Violations are kept as texts.
 #pragma once
 #include <map>
 #include <set>
@@ -12,57 +12,68 @@
 
 namespace dunlinknot::test {
 
+// Collects violations. Each text begins with the name of the rule:
+//   ran_twice      a task was started on a machine while it ran on another
+//   wrong_place    a task was started on a machine that its job's constraints exclude
+//   quota          a team's running tasks exceed its limit
+//   ran_cancelled  a task started or ran later than the cancellation period after a cancellation
+//   not_done       a job was reported as done before all of its tasks had completed
+//   went_back      the reported state of a job changed after it was final, or a job was cancelled
+//                  without a request
+//   forgotten      an accepted job was answered as unknown or as invalid
+//   invented       a job that no user submitted was started or reported
 class RuleChecker {
  public:
   struct Machine {
-    std::string machine, type, zone;
+    std::string id, type, zone;
     bool spot = false;
   };
   explicit RuleChecker(const Clock& clock, const settings::Platform& platform)
       : clock_(clock), platform_(platform) {}
 
   // --- machines
-  void started(const Machine& at, const TaskRef& task, uint64_t attempt);
+  void started(const Machine& machine, const TaskRef& task, uint64_t attempt);
   void ended(const std::string& machine, const TaskRef& task, uint64_t attempt, bool completed);
-  // --- users; `asked`: when the request was sent
+  // --- users; `sent_at` is the time at which the request was sent
   void submitted(const JobSpec& job) { jobs_[job.id].spec = job; }
-  void submit_answered(const std::string& id, int status, const std::string& standing,
-                       Instant asked);
-  void poll_answered(const std::string& id, int status, const std::string& standing, Instant asked);
-  void cancel_asked(const std::string& id) { jobs_[id].cancel_asked = true; }
-  void cancel_answered(const std::string& id, int status, const std::string& standing,
-                       Instant asked);
-  // To be called often: what is on a machine for too long.
+  void submit_answered(const std::string& id, int status, const std::string& state,
+                       Instant sent_at);
+  void poll_answered(const std::string& id, int status, const std::string& state, Instant sent_at);
+  void cancel_requested(const std::string& id) { jobs_[id].cancel_requested = true; }
+  void cancel_answered(const std::string& id, int status, const std::string& state,
+                       Instant sent_at);
+  // Checks how long tasks of cancelled jobs have been running; to be called at short intervals.
   void scan();
 
-  const std::vector<std::string>& violations() const { return broken_; }
-  // Starts after their job's cancellation was confirmed; those whose command was under way are
-  // allowed to, for a moment.
+  const std::vector<std::string>& violations() const { return violations_; }
+  // Starts after the cancellation of their job was confirmed. They are permitted within the
+  // platform's cancellation period, because the command may have been in flight.
   size_t late_starts() const { return late_starts_; }
   bool was_accepted(const std::string& id) const;
 
  private:
   struct Running {
-    Machine at;
+    Machine machine;
     TaskRef task;
     uint64_t attempt;
   };
+  // Instants are Instant::max() until the event has happened.
   struct JobState {
     JobSpec spec;
-    Instant accepted = Instant::max(), answered_done = Instant::max(),
-            on_user_cancellation = Instant::max();
-    bool cancel_asked = false;
-    std::set<uint32_t> done;
-    bool reported = false;  // as running for too long after its cancellation
+    Instant accepted_at = Instant::max(), reported_done_at = Instant::max(),
+            reported_cancelled_at = Instant::max();
+    bool cancel_requested = false;
+    std::set<uint32_t> completed_tasks;
+    bool overrun_reported = false;  // a violation was recorded for a task that ran on too long
   };
-  void answered(const std::string& id, const std::string& standing, Instant asked);
-  void breaks(const std::string& rule, const std::string& what);
+  void check_state(const std::string& id, const std::string& state, Instant sent_at);
+  void add_violation(const std::string& rule, const std::string& what);
 
   const Clock& clock_;
   const settings::Platform& platform_;
   std::map<std::string, JobState> jobs_;
   std::vector<Running> running_;
-  std::vector<std::string> broken_;
+  std::vector<std::string> violations_;
   size_t late_starts_ = 0;
 };
 
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -53,7 +53,7 @@
 };
 
 TEST(Scale, AWatchWhoseAnswerIsTooLongIsAnsweredByAListing) {
-  World world;
+  Simulation world;
   LongAnswer transport;
   const settings::Platform platform = Site::platform(0, 1);
   kv::Client client(world.loop, transport, platform.key_value_store,
--- a/tests/scenario_api_test.cpp
+++ b/tests/scenario_api_test.cpp
@@ -8,18 +8,19 @@
 
 TEST(Api, AnswersAsTheProtocolSays) {
   Site site;
-  EXPECT_EQ(site.ask(0, "GET", "/ready").status, 503) << "the machine types are not known yet";
+  EXPECT_EQ(site.request_and_wait(0, "GET", "/ready").status, 503)
+      << "the machine types are not known yet";
   EXPECT_EQ(site.submit(job("run-000001")).status, 503);
   site.run_for(seconds(2));
-  EXPECT_EQ(site.ask(0, "GET", "/ready").status, 200);
+  EXPECT_EQ(site.request_and_wait(0, "GET", "/ready").status, 200);
   EXPECT_EQ(site.submit(job("run-000001")).status, 201);
   EXPECT_EQ(site.submit(job("run-000001")).status, 200);
   EXPECT_EQ(site.job_state("run-000404"), "404");
   EXPECT_EQ(site.job_state("nonsense"), "404");
-  EXPECT_EQ(site.ask(0, "POST", "/v1/jobs/run-000404/withdraw").status, 404);
-  EXPECT_EQ(site.ask(0, "POST", "/v1/jobs", "junk").status, 400);
-  EXPECT_EQ(site.ask(0, "DELETE", "/v1/jobs").status, 405);
-  EXPECT_EQ(site.ask(0, "GET", "/nowhere").status, 404);
+  EXPECT_EQ(site.request_and_wait(0, "POST", "/v1/jobs/run-000404/withdraw").status, 404);
+  EXPECT_EQ(site.request_and_wait(0, "POST", "/v1/jobs", "junk").status, 400);
+  EXPECT_EQ(site.request_and_wait(0, "DELETE", "/v1/jobs").status, 405);
+  EXPECT_EQ(site.request_and_wait(0, "GET", "/nowhere").status, 404);
   JobSpec bad = job("run-000002");
   bad.team = "nobody";
   EXPECT_EQ(site.submit(bad).status, 422);
@@ -79,7 +80,7 @@
   site.run_for(seconds(2));
   site.submit(job("run-000001"));
   site.submit(job("run-000002"));
-  site.ask(0, "POST", "/v1/jobs/run-000002/withdraw");
+  site.request_and_wait(0, "POST", "/v1/jobs/run-000002/withdraw");
   site.run_for(seconds(30));
   ASSERT_EQ(site.job_state("run-000001"), "done");
   site.store.outage = true;
@@ -216,7 +217,7 @@
   }
   EXPECT_LT(site.starts, 60u);
   EXPECT_GT(site.starts, 3u);
-  EXPECT_EQ(site.ask(0, "POST", "/v1/jobs/run-000001/withdraw").status, 200);
+  EXPECT_EQ(site.request_and_wait(0, "POST", "/v1/jobs/run-000001/withdraw").status, 200);
   EXPECT_EQ(site.job_state("run-000001"), "cancelled");
 }
 
@@ -229,11 +230,11 @@
   const size_t follower = (*site.leader() + 1) % 3;
   site.run_for(seconds(4));
   const uint64_t before = site.store.requests;
-  EXPECT_EQ(site.ask(follower, "GET", "/ready").status, 200);
+  EXPECT_EQ(site.request_and_wait(follower, "GET", "/ready").status, 200);
   const uint64_t asked = site.store.requests - before;
   EXPECT_GE(asked, 1u) << "it finds out rather than guess";
   const uint64_t again = site.store.requests;
-  EXPECT_EQ(site.ask(follower, "GET", "/ready").status, 200);
+  EXPECT_EQ(site.request_and_wait(follower, "GET", "/ready").status, 200);
   EXPECT_LT(site.store.requests - again, asked + 1) << "and not at every probe";
 }
 
@@ -259,8 +260,9 @@
     site.nodes[node]->cut_from_store = false;
     site.run_for(seconds(15));
     for (size_t i = 0; i < 3; ++i) {
-      EXPECT_EQ(site.ask(i, "GET", "/ready").status, 200) << "node " << i << ", round " << round;
-      EXPECT_EQ(site.ask(i, "GET", "/v1/jobs/run-000001").status, 200) << "node " << i;
+      EXPECT_EQ(site.request_and_wait(i, "GET", "/ready").status, 200)
+          << "node " << i << ", round " << round;
+      EXPECT_EQ(site.request_and_wait(i, "GET", "/v1/jobs/run-000001").status, 200) << "node " << i;
     }
   }
   site.run_for(seconds(60));
--- a/tests/scenario_leadership_test.cpp
+++ b/tests/scenario_leadership_test.cpp
@@ -117,7 +117,7 @@
     site.run_for(Millis(700));
     if (round == 2) {
       const size_t node = (l + 1) % 3;
-      EXPECT_EQ(site.ask(node, "POST", "/v1/jobs/run-000006/withdraw").status, 200);
+      EXPECT_EQ(site.request_and_wait(node, "POST", "/v1/jobs/run-000006/withdraw").status, 200);
     }
     site.run_for(Millis(4000));
   }
--- a/tests/scenario_machines_test.cpp
+++ b/tests/scenario_machines_test.cpp
@@ -70,7 +70,7 @@
   }
   site.run_for(seconds(1));
   const size_t node = (old + 1) % 3;
-  ASSERT_EQ(site.ask(node, "POST", "/v1/jobs/run-000001/withdraw").status, 200);
+  ASSERT_EQ(site.request_and_wait(node, "POST", "/v1/jobs/run-000001/withdraw").status, 200);
   site.run_for(seconds(39));
   EXPECT_EQ(site.copies({"run-000001", 0}), 0u);
   EXPECT_EQ(site.copies({"run-000001", 1}), 0u);
@@ -219,7 +219,9 @@
   const std::string copy = wire::write_heartbeat(w.heartbeat());
   site.run_for(seconds(60));  // idle: returned
   ASSERT_FALSE(w.powered_on);
-  const auto send = [&](size_t node) { return site.ask(node, "POST", "/agent/beat", copy).status; };
+  const auto send = [&](size_t node) {
+    return site.request_and_wait(node, "POST", "/agent/beat", copy).status;
+  };
   EXPECT_NE(send(*site.leader()), 200);
   site.crash(*site.leader());
   site.run_for(seconds(8));
--- a/tests/scripted_store.cpp
+++ b/tests/scripted_store.cpp
@@ -15,36 +15,36 @@
 
 namespace {
 
-uint64_t number(const std::string& s) {
-  return s.empty() ? 0 : std::stoull(s);
+uint64_t parse_count(const std::string& digits) {
+  return digits.empty() ? 0 : std::stoull(digits);
 }
 
-// Packs a view again, so that it can be kept.
+// Encodes a view again, so that it outlives the document that it points into.
 std::string repack(View view) {
   Writer writer;
-  const std::function<void(View)> go = [&](View value) {
+  const std::function<void(View)> write = [&](View value) {
     if (value.null()) {
       writer.null();
     } else if (value.is_list()) {
       writer.list(value.size());
-      for (size_t i = 0; i < value.size(); ++i) go(value.at(i));
+      for (size_t i = 0; i < value.size(); ++i) write(value.at(i));
     } else if (value.is_map()) {
       writer.map(value.map_size());
       for (size_t i = 0; i < value.map_size(); ++i) {
         writer.key(value.key_at(i));
-        go(value.value_at(i));
+        write(value.value_at(i));
       }
-    } else if (const auto t = value.text()) {
-      writer.text(*t);
-    } else if (const auto f = value.flag()) {
-      writer.flag(*f);
-    } else if (const auto n = value.count()) {
-      writer.count(*n);
+    } else if (const auto text = value.text()) {
+      writer.text(*text);
+    } else if (const auto flag = value.flag()) {
+      writer.flag(*flag);
+    } else if (const auto count = value.count()) {
+      writer.count(*count);
     } else {
       writer.amount(value.amount().value_or(0));
     }
   };
-  go(view);
+  write(view);
   return writer.take();
 }
 
@@ -75,7 +75,7 @@
   return size;
 }
 
-bool ScriptedStore::takes(View compares, View writes) const {
+bool ScriptedStore::within_size_limits(View compares, View writes) const {
   if (!limits) return true;
   if (writes.size() > limits->txn_ops || compares.size() > 4 * limits->txn_ops) return false;
   for (size_t i = 0; i < writes.size(); ++i) {
@@ -84,36 +84,36 @@
   return true;
 }
 
-// Bursts of one second's worth.
+// A token bucket that holds the writes of one second.
 bool ScriptedStore::within_rate(size_t writes) {
   if (!limits) return true;
-  const double passed = to_seconds(loop_.now() - write_level_at_).count();
-  write_level_at_ = loop_.now();
-  write_level_ = std::min(limits->write_rps, write_level_ + passed * limits->write_rps);
-  if (write_level_ < static_cast<double>(writes)) return false;
-  write_level_ -= static_cast<double>(writes);
+  const double passed = to_seconds(loop_.now() - available_writes_at_).count();
+  available_writes_at_ = loop_.now();
+  available_writes_ = std::min(limits->write_rps, available_writes_ + passed * limits->write_rps);
+  if (available_writes_ < static_cast<double>(writes)) return false;
+  available_writes_ -= static_cast<double>(writes);
   return true;
 }
 
-void ScriptedStore::note(std::string key, bool deleted, std::string value) {
-  constexpr size_t kKept = 10'000;
+void ScriptedStore::record_event(std::string key, bool deleted, std::string value) {
+  constexpr size_t kMaxEvents = 10'000;
   if (on_change) on_change(key);
   events_.push_back({revision_, std::move(key), deleted, std::move(value)});
-  if (events_.size() <= kKept) return;
-  forgotten_ = events_.front().revision;
+  if (events_.size() <= kMaxEvents) return;
+  compacted_revision_ = events_.front().revision;
   events_.pop_front();
 }
 
 void ScriptedStore::put(const std::string& key, std::string value) {
   ++revision_;
   data[key] = Entry{value, revision_, 0};
-  note(key, false, std::move(value));
+  record_event(key, false, std::move(value));
 }
 
 void ScriptedStore::erase(const std::string& key) {
   ++revision_;
   data.erase(key);
-  note(key, true, "");
+  record_event(key, true, "");
 }
 
 void ScriptedStore::end_outage() {
@@ -121,7 +121,7 @@
   for (auto& [id, lease] : leases_) lease.ends = loop_.now() + lease.ttl;
 }
 
-void ScriptedStore::expire() {
+void ScriptedStore::expire_leases() {
   if (outage) return;
   for (auto it = leases_.begin(); it != leases_.end();) {
     if (loop_.now() < it->second.ends) {
@@ -131,17 +131,17 @@
     const uint64_t id = it->first;
     it = leases_.erase(it);
     std::vector<std::string> keys;
-    for (const auto& [k, e] : data) {
-      if (e.lease == id) keys.push_back(k);
+    for (const auto& [key, entry] : data) {
+      if (entry.lease == id) keys.push_back(key);
     }
-    for (const auto& k : keys) erase(k);
+    for (const auto& key : keys) erase(key);
   }
 }
 
-Reply ScriptedStore::multi(View root) {
+Reply ScriptedStore::execute_transaction(View root) {
   std::vector<std::string> failed;
   const View compares = root["guards"];
-  if (!takes(compares, root["writes"])) {
+  if (!within_size_limits(compares, root["writes"])) {
     ++oversized;
     return reply(400, wire::write_error("too large"));
   }
@@ -158,7 +158,7 @@
   Writer writer;
   if (!failed.empty()) {
     writer.map(2).key("failed").list(failed.size());
-    for (const auto& f : failed) writer.text(f);
+    for (const auto& key : failed) writer.text(key);
     writer.key("ledgerRev").count(revision_);
     return reply(409, writer.take());
   }
@@ -172,55 +172,61 @@
   }
   if (writes.size() > 0) ++revision_;
   for (size_t i = 0; i < writes.size(); ++i) {
-    const View operator_settings = writes.at(i);
-    if (const auto key = operator_settings["put"].text()) {
-      std::string value = repack(operator_settings["v"]);
+    const View write = writes.at(i);
+    if (const auto key = write["put"].text()) {
+      std::string value = repack(write["v"]);
       max_value = std::max(max_value, value.size());
-      data[std::string(*key)] =
-          Entry{value, revision_, operator_settings["tenancy"].count().value_or(0)};
-      note(std::string(*key), false, std::move(value));
+      data[std::string(*key)] = Entry{value, revision_, write["tenancy"].count().value_or(0)};
+      record_event(std::string(*key), false, std::move(value));
     } else {
-      const std::string removed(*operator_settings["delete"].text());
+      const std::string removed(*write["delete"].text());
       if (data.contains(removed) && on_removed) on_removed(removed);
-      if (data.erase(removed)) note(removed, true, "");
+      if (data.erase(removed)) record_event(removed, true, "");
     }
   }
   writer.map(1).key("ledgerRev").count(revision_);
   return reply(200, writer.take());
 }
 
-Task<void> ScriptedStore::multi_later(std::string body) {
+Task<void> ScriptedStore::execute_transaction_late(std::string body) {
   co_await loop_.sleep(fault_delay);
   const auto doc = Document::parse(body);
-  expire();
-  (void)multi(doc->root());
+  expire_leases();
+  (void)execute_transaction(doc->root());
 }
 
-Task<Reply> ScriptedStore::changes(std::string target, Instant deadline) {
+Task<Reply> ScriptedStore::watch(std::string target, Instant deadline) {
   const std::string prefix = query_value(target, "starts");
-  const uint64_t since = number(query_value(target, "since"));
-  const Instant end = loop_.now() + Millis(number(query_value(target, "blockMs")));
+  const uint64_t since = parse_count(query_value(target, "since"));
+  const Instant end = loop_.now() + Millis(parse_count(query_value(target, "blockMs")));
   for (;;) {
-    if (too_old || since < forgotten_) co_return reply(410);
-    if (loop_.now() >= deadline) co_return Reply{};  // the client gave up
-    expire();
+    if (watches_too_old || since < compacted_revision_) co_return reply(410);
+    if (loop_.now() >= deadline) co_return Reply{};  // the client has timed out
+    expire_leases();
     std::vector<const Event*> changes;
     if (!outage) {
-      const auto later = [](uint64_t revision, const Event& e) { return revision < e.revision; };
-      auto e = std::upper_bound(events_.begin(), events_.end(), since, later);
-      for (; e != events_.end(); ++e) {
-        if (e->key.starts_with(prefix)) changes.push_back(&*e);
+      const auto later = [](uint64_t revision, const Event& event) {
+        return revision < event.revision;
+      };
+      auto event = std::upper_bound(events_.begin(), events_.end(), since, later);
+      for (; event != events_.end(); ++event) {
+        if (event->key.starts_with(prefix)) changes.push_back(&*event);
       }
     }
     if (!changes.empty() || (loop_.now() >= end && !outage)) {
       Writer writer;
       writer.map(2).key("ledgerRev").count(revision_).key("news").list(changes.size());
-      for (const auto* e : changes) {
-        if (e->deleted) {
-          writer.map(2).key("delete").text(e->key).key("stamp").count(e->revision);
+      for (const auto* change : changes) {
+        if (change->deleted) {
+          writer.map(2).key("delete").text(change->key).key("stamp").count(change->revision);
         } else {
-          writer.map(3).key("put").text(e->key).key("v").raw(e->value).key("stamp").count(
-              e->revision);
+          writer.map(3)
+              .key("put")
+              .text(change->key)
+              .key("v")
+              .raw(change->value)
+              .key("stamp")
+              .count(change->revision);
         }
       }
       co_return reply(200, writer.take());
@@ -229,14 +235,13 @@
   }
 }
 
-// Renews or ends a lease.
 Reply ScriptedStore::lease_request(const std::string& method, const std::string& target) {
   const uint64_t id = std::stoull(target.substr(8));
   const auto it = leases_.find(id);
   if (it == leases_.end()) return reply(404);
   if (method == "DELETE") {
     it->second.ends = loop_.now();
-    expire();
+    expire_leases();
   } else {
     it->second.ends = loop_.now() + it->second.ttl;
   }
@@ -260,34 +265,39 @@
 Reply ScriptedStore::list_keys(const std::string& target) const {
   const std::string prefix = query_value(target, "starts");
   const std::string after = query_value(target, "since");
-  const uint64_t most = number(query_value(target, "most"));
-  constexpr size_t kPageBytes = size_t{512} * 1024;
+  const uint64_t max_rows = parse_count(query_value(target, "most"));
+  constexpr size_t kMaxPageBytes = size_t{512} * 1024;
   std::vector<std::pair<std::string, const Entry*>> rows;
   bool more = false;
   size_t bytes = 0;
-  for (const auto& [k, e] : data) {
-    if (!k.starts_with(prefix) || (!after.empty() && k <= after)) continue;
-    bytes += k.size() + e.value.size();
-    if (rows.size() == most || bytes > kPageBytes) {
+  for (const auto& [key, entry] : data) {
+    if (!key.starts_with(prefix) || (!after.empty() && key <= after)) continue;
+    bytes += key.size() + entry.value.size();
+    if (rows.size() == max_rows || bytes > kMaxPageBytes) {
       more = true;
       break;
     }
-    rows.emplace_back(k, &e);
+    rows.emplace_back(key, &entry);
   }
   Writer writer;
   writer.map(3).key("rows").list(rows.size());
-  for (const auto& [k, e] : rows) {
-    writer.map(3).key("key").text(k).key("v").raw(e->value).key("stamp").count(e->mod_revision);
+  for (const auto& [key, entry] : rows) {
+    writer.map(3)
+        .key("key")
+        .text(key)
+        .key("v")
+        .raw(entry->value)
+        .key("stamp")
+        .count(entry->mod_revision);
   }
   writer.key("more").flag(more).key("ledgerRev").count(revision_);
   return reply(200, writer.take());
 }
 
-// All requests but watches.
 Reply ScriptedStore::execute(const Call& call) {
   const auto doc = Document::parse(call.body);
   const View root = doc ? doc->root() : View();
-  if (call.target == "/multi") return multi(root);
+  if (call.target == "/multi") return execute_transaction(root);
   if (call.target == "/leases") {
     const Millis ttl(*root["ttlMs"].count());
     leases_[next_lease_] = Lease{ttl, loop_.now() + ttl};
@@ -303,28 +313,28 @@
 
 Task<Reply> ScriptedStore::serve(Call call) {
   ++requests;
-  const CallFault f = call_fault ? call_fault(call) : CallFault::none;
+  const CallFault fault = call_fault ? call_fault(call) : CallFault::none;
   co_await loop_.sleep(Millis(3));
-  if (f == CallFault::refuse || (outage && !call.target.starts_with("/changes")))
+  if (fault == CallFault::refuse || (outage && !call.target.starts_with("/changes")))
     co_return reply(503);
-  if (f == CallFault::lose_request) {
+  if (fault == CallFault::lose_request) {
     co_await loop_.sleep_until(call.deadline);
     co_return Reply{};
   }
-  if (f == CallFault::apply_late) {
-    loop_.spawn(multi_later(call.body));
+  if (fault == CallFault::apply_late) {
+    loop_.spawn(execute_transaction_late(call.body));
     co_await loop_.sleep_until(call.deadline);
     co_return Reply{};
   }
-  expire();
+  expire_leases();
   Reply out;
   if (call.target.starts_with("/changes")) {
-    out = co_await changes(call.target, call.deadline);
+    out = co_await watch(call.target, call.deadline);
   } else {
     out = execute(call);
   }
-  if (f == CallFault::slow_reply) co_await loop_.sleep(fault_delay);
-  if (f == CallFault::lose_reply) {
+  if (fault == CallFault::slow_reply) co_await loop_.sleep(fault_delay);
+  if (fault == CallFault::lose_reply) {
     co_await loop_.sleep_until(call.deadline);
     co_return Reply{};
   }
--- a/tests/scripted_store.hpp
+++ b/tests/scripted_store.hpp
@@ -1,4 +1,5 @@
-// The scripted key-value store: compare-and-swap, leases, watches, outages and late transactions.
+// The scripted key-value store: compare-and-swap transactions, leases, watches, outages and
+// transactions that are applied late.
 #pragma once
 #include <deque>
 #include <functional>
@@ -11,32 +12,34 @@
 
 namespace dunlinknot::test {
 
-// Keeps the protocol of the key-value store on one event loop; a test decides what goes wrong.
+// Implements the protocol of the key-value store on one event loop; a test chooses the faults.
 class ScriptedStore {
  public:
   explicit ScriptedStore(EventLoop& loop) : loop_(loop) {}
   Task<http::Reply> serve(http::Call call);
 
+  // While set, requests are answered 503, watches stay open without changes, and no lease expires.
   bool outage = false;
-  bool too_old = false;                                    // watches are answered 410
-  void end_outage();                                       // every lease has its full time again
-  std::function<CallFault(const http::Call&)> call_fault;  // asked for each call
-  std::function<void(const std::string&)> on_removed;      // a key that a transaction deletes
-  std::function<void(const std::string&)> on_change;       // a key that was put or deleted
-  Nanos fault_delay = seconds(10);
+  bool watches_too_old = false;  // watches are answered 410
+  void end_outage();             // restarts every lease with its full time to live
+  std::function<CallFault(const http::Call&)> call_fault;  // called for each call
+  std::function<void(const std::string&)> on_removed;  // called before a transaction deletes a key
+  std::function<void(const std::string&)> on_change;   // called when a key is put or deleted
+  Nanos fault_delay = seconds(10);  // of CallFault::apply_late and CallFault::slow_reply
   uint64_t requests = 0;
-  size_t max_value = 0, max_writes = 0;  // the largest seen
-  // Enforced where set: a larger value or transaction gets 400, writes beyond the rate 429.
+  size_t max_value = 0, max_writes = 0;  // the largest value in bytes, the most writes of one call
+  // If set, a larger value or transaction gets 400, and writes beyond the rate get 429.
   std::optional<settings::StoreLimits> limits;
-  size_t oversized = 0, throttled = 0;  // requests refused for them
+  size_t oversized = 0, throttled = 0;  // transactions rejected with 400 and with 429 for `limits`
 
   struct Entry {
-    std::string value;  // packed
+    std::string value;  // in MessagePack
     uint64_t mod_revision = 0;
     uint64_t lease = 0;
   };
   std::map<std::string, Entry> data;
-  void put(const std::string& key, std::string value);  // as another client would
+  // Write as another client would, without a transaction.
+  void put(const std::string& key, std::string value);
   void erase(const std::string& key);
 
  private:
@@ -50,29 +53,31 @@
     bool deleted;
     std::string value;
   };
-  void expire();
+  void expire_leases();
+  // Executes any request but a watch.
   http::Reply execute(const http::Call& call);
+  // Renews or ends a lease.
   http::Reply lease_request(const std::string& method, const std::string& target);
   http::Reply read_key(const std::string& target) const;
   http::Reply list_keys(const std::string& target) const;
-  http::Reply multi(wire::View root);
-  bool takes(wire::View compares, wire::View writes) const;
+  http::Reply execute_transaction(wire::View root);
+  bool within_size_limits(wire::View compares, wire::View writes) const;
   bool within_rate(size_t writes);
-  Task<void> multi_later(std::string body);
-  Task<http::Reply> changes(std::string target, Instant deadline);
-  void note(std::string key, bool deleted, std::string value);
+  Task<void> execute_transaction_late(std::string body);
+  Task<http::Reply> watch(std::string target, Instant deadline);
+  void record_event(std::string key, bool deleted, std::string value);
 
   EventLoop& loop_;
   uint64_t revision_ = 1;
   uint64_t next_lease_ = 1;
   std::map<uint64_t, Lease> leases_;
   std::deque<Event> events_;
-  uint64_t forgotten_ = 0;  // changes up to this revision are no longer kept
-  double write_level_ = 0;
-  Instant write_level_at_{};
+  uint64_t compacted_revision_ = 0;  // events up to this revision are no longer kept
+  double available_writes_ = 0;
+  Instant available_writes_at_{};
 };
 
-// The size of a value in JSON without any spaces.
+// The size of a value in JSON without whitespace.
 size_t compact_json_size(wire::View value);
 
 }  // namespace dunlinknot::test
--- a/tests/scripted_transport.cpp
+++ b/tests/scripted_transport.cpp
@@ -1,4 +1,4 @@
-// Replies and targets of the scripted services.
+// Helpers that the scripted services share: replies and query parameters.
 #include "scripted_transport.hpp"
 
 namespace dunlinknot::test {
@@ -8,18 +8,18 @@
 using http::Reply;
 
 Reply reply(int status, std::string body) {
-  Reply reply;
-  reply.outcome = Outcome::ok;
-  reply.status = status;
-  reply.body = std::move(body);
-  return reply;
+  Reply result;
+  result.outcome = Outcome::ok;
+  result.status = status;
+  result.body = std::move(body);
+  return result;
 }
 
 Reply within_limit(const Call& call, Reply reply) {
   if (reply.body.size() <= call.max_body) return reply;
-  Reply none;
-  none.too_large = true;
-  return none;
+  Reply dropped;
+  dropped.too_large = true;
+  return dropped;
 }
 
 std::string query_value(const std::string& target, const std::string& name) {
--- a/tests/scripted_transport.hpp
+++ b/tests/scripted_transport.hpp
@@ -1,4 +1,4 @@
-// What the scripted services share: the fate of a call on its way, and replies.
+// Helpers that the scripted services share: faults of calls, replies and query parameters.
 #pragma once
 #include <string>
 
@@ -6,14 +6,22 @@
 
 namespace dunlinknot::test {
 
-// What happens to one call on its way.
-enum class CallFault { none, refuse, lose_request, lose_reply, slow_reply, apply_late };
+// A fault injected into one call. Where a reply is lost, the caller waits until its deadline.
+enum class CallFault {
+  none,
+  refuse,        // answered with status 503 and not executed
+  lose_request,  // not executed, no reply
+  lose_reply,    // executed, no reply
+  slow_reply,    // executed; the key-value store sends the reply after its `fault_delay`
+  apply_late     // executed after the service's `fault_delay`, no reply
+};
 
-// A response with this status.
+// A completed reply with this status and body.
 http::Reply reply(int status, std::string body = "");
-// What the caller sees of a reply: none that is larger than it takes.
+// Returns the reply as the caller receives it: a body above the call's `max_body` is dropped and
+// reported as too large.
 http::Reply within_limit(const http::Call& call, http::Reply reply);
-// The value of a parameter of a request's target; empty where it is missing.
+// The value of a query parameter in a request's target; empty if the parameter is absent.
 std::string query_value(const std::string& target, const std::string& name);
 
 }  // namespace dunlinknot::test
--- a/tests/scripted_worker.hpp
+++ b/tests/scripted_worker.hpp
@@ -1,4 +1,4 @@
-// The scripted worker: fencing tokens, incarnations, leases, and commands in the order they come.
+// The scripted worker: fencing tokens, incarnations, leases, and commands in the order of arrival.
 #pragma once
 #include <functional>
 #include <map>
@@ -10,7 +10,8 @@
 
 namespace dunlinknot::test {
 
-// A worker that keeps to the protocol: fencing tokens, incarnations, leases, dropped responses.
+// A worker that implements the protocol. It ends all its tasks and begins a new incarnation when
+// its lease expires. A test injects faults through the flags.
 class ScriptedWorker {
  public:
   struct Running {
@@ -20,32 +21,36 @@
     ExitCause cause = ExitCause::none;
     bool saved = false;
     Instant since{};
-    Instant ends{};
+    Instant ends{};  // of the present state: fetching, running or saving
   };
   ScriptedWorker(EventLoop& loop, std::string id, const MachineType& type, std::string zone,
                  bool spot, std::string address, Nanos lease);
 
-  Task<void> run(std::function<Task<http::Response>(http::Request)> handler, Nanos pace);
+  // Sends a heartbeat to `handler` at every interval until the machine is powered off.
+  Task<void> run(std::function<Task<http::Response>(http::Request)> handler, Nanos interval);
+  // Ends the tasks at the moment at which the lease expires.
   Task<void> watch_lease();
   void power_off();
-  Task<http::Reply> direct(http::Call call);  // POST /do
+  // Serves a command that a controller sends directly (POST /do).
+  Task<http::Reply> serve_command(http::Call call);
+  // The next heartbeat, with the next sequence number.
   Heartbeat heartbeat();
-  void obey(wire::View orders);
+  void execute_commands(wire::View orders);
   void lose_lease();
 
   bool powered_on = true;
-  bool isolated = false;        // nothing in or out
-  bool drop_responses = false;  // they come too late
-  bool refuse_direct = false;
-  bool drop_heartbeats = false;  // reaches no controller; direct commands reach it
-  bool hung = false;             // executes nothing, and may go on; direct commands wait for it
+  bool isolated = false;         // sends and receives nothing
+  bool drop_responses = false;   // responses to heartbeats arrive too late and are discarded
+  bool refuse_direct = false;    // direct commands are not delivered
+  bool drop_heartbeats = false;  // heartbeats reach no controller; direct commands are delivered
+  bool hung = false;  // executes nothing until reset; direct commands wait in the socket meanwhile
   std::function<Nanos(const TaskRef&)> run_time;    // default 5 s
-  std::function<Nanos(const TaskRef&)> fetch_time;  // of its image, default none
-  std::function<bool(const TaskRef&)> fails;        // default never
+  std::function<Nanos(const TaskRef&)> fetch_time;  // of the task's image, default 0
+  std::function<bool(const TaskRef&)> fails;        // default false for each task
   std::map<std::string, JobSpec>* specs = nullptr;
   std::optional<Seconds> interruption_notice;
-  std::map<std::pair<TaskRef, uint64_t>, Running> tasks;
-  std::vector<std::pair<TaskRef, uint64_t>> started;
+  std::map<std::pair<TaskRef, uint64_t>, Running> tasks;  // by task and attempt
+  std::vector<std::pair<TaskRef, uint64_t>> started;      // task and attempt in order of start
   std::function<void(const TaskRef&)> on_start;
   std::function<void(const Running&)> on_end;
   uint64_t incarnation = 1, sequence = 0, fencing_token = 0;
@@ -54,8 +59,8 @@
 
  private:
   void advance();
-  void begin(Running& r);
-  void end(Running& r, ExitCause cause);
+  void begin(Running& running);
+  void end(Running& running, ExitCause cause);
   void end_all();
   http::Reply execute(const std::string& body);
   Task<void> execute_later(std::string body);
@@ -64,7 +69,7 @@
   std::string zone_;
   bool spot_;
   Nanos lease_;
-  Instant answered_sent_;
+  Instant lease_renewed_at_;  // when the last accepted heartbeat was sent
 };
 
 }  // namespace dunlinknot::test
--- a/tests/site.cpp
+++ b/tests/site.cpp
@@ -1,4 +1,4 @@
-// The scripted site: controllers, workers, key-value store, cloud and users together.
+// The scripted deployment: controllers, workers, key-value store, cloud and users.
 #include "site.hpp"
 
 #include <gtest/gtest.h>
@@ -11,10 +11,10 @@
 using wire::Document;
 using wire::Writer;
 
-Site::Node::Node(Site& s, size_t index) : site(s) {
+Site::Node::Node(Site& owner, size_t index) : site(owner) {
   platform = Site::platform(index, 3);
-  if (s.adjust_platform) s.adjust_platform(platform);
-  daemon = std::make_unique<node::Daemon>(s.loop, platform, s.operator_settings, *this,
+  if (owner.adjust_platform) owner.adjust_platform(platform);
+  daemon = std::make_unique<node::Daemon>(owner.loop, platform, owner.operator_settings, *this,
                                           static_cast<uint32_t>(index + 7));
   daemon->start_components();
 }
@@ -34,7 +34,7 @@
       co_await site.loop.sleep_until(call.deadline);
       co_return Reply{};
     }
-    // Open watches of a node that is refused wait as they do in an outage.
+    // Watches of a refused node stay open without an answer, as in an outage.
     if (refused_by_store && !call.target.starts_with("/changes")) co_return reply(503);
     Reply reply = co_await site.store.serve(call);
     while (refused_by_store && site.loop.now() < call.deadline) {
@@ -54,28 +54,29 @@
         daemon->roles() ? daemon->roles()->holder.fencing_token(role) : 0;
     co_return co_await site.cloud.serve(std::move(call), fencing_token);
   }
-  for (auto& [id, w] : site.workers) {
-    if (w->address == call.to.text()) co_return co_await w->direct(std::move(call));
+  for (auto& [id, worker] : site.workers) {
+    if (worker->address == call.to.text())
+      co_return co_await worker->serve_command(std::move(call));
   }
-  Reply none;
-  none.outcome = Outcome::refused;
-  co_return none;
+  Reply refused;
+  refused.outcome = Outcome::refused;
+  co_return refused;
 }
 
-void Site::restart(size_t i) {
-  crash(i);
-  graveyard.push_back(std::move(nodes[i]));
-  nodes[i] = std::make_unique<Node>(*this, i);
+void Site::restart(size_t node) {
+  crash(node);
+  former_processes.push_back(std::move(nodes[node]));
+  nodes[node] = std::make_unique<Node>(*this, node);
 }
 
-Task<http::Response> Site::handle(size_t i, http::Request request) {
-  Node& node = *nodes[i];
-  http::Response none;
-  none.status = 0;
-  if (node.crashed || node.paused) co_return none;
+Task<http::Response> Site::handle(size_t node, http::Request request) {
+  Node& process = *nodes[node];
+  http::Response no_response;
+  no_response.status = 0;
+  if (process.crashed || process.paused) co_return no_response;
   if (on_request) request = on_request(std::move(request));
-  http::Response response = co_await node.daemon->handle(std::move(request));
-  if (node.crashed || node.paused) co_return none;
+  http::Response response = co_await process.daemon->handle(std::move(request));
+  if (process.crashed || process.paused) co_return no_response;
   if (on_response) on_response(response);
   co_return response;
 }
@@ -133,19 +134,19 @@
     if (const auto it = workers.find(id); it != workers.end()) it->second->power_off();
   };
   for (size_t i = 0; i < controllers; ++i) nodes.push_back(std::make_unique<Node>(*this, i));
-  loop.spawn(scan_rules());
-  loop.spawn(exchange_statuses());
+  loop.spawn(scan_rules_periodically());
+  loop.spawn(exchange_peer_statuses());
 }
 
-Task<void> Site::scan_rules() {
+Task<void> Site::scan_rules_periodically() {
   for (;;) {
     rules.scan();
     co_await loop.sleep(Millis(100));
   }
 }
 
-// What the controllers' links carry: each hears the others' statuses every half second.
-Task<void> Site::exchange_statuses() {
+// Stands in for the controllers' links: each node receives the others' statuses every 500 ms.
+Task<void> Site::exchange_peer_statuses() {
   for (;;) {
     co_await loop.sleep(Millis(500));
     for (auto& to : nodes) {
@@ -167,52 +168,52 @@
 
 void Site::add_worker(const ScriptedCloud::Machine& machine) {
   const MachineType* type = nullptr;
-  for (const auto& t : cloud.types) {
-    if (t.name == machine.type) type = &t;
+  for (const auto& listed_type : cloud.types) {
+    if (listed_type.name == machine.type) type = &listed_type;
   }
-  if (!type) throw std::runtime_error("a machine of a type that the cloud does not list");
+  if (!type) throw std::runtime_error("the type of the new machine is not in the cloud's catalog");
   const size_t number = workers.size() + 1;
   const std::string address =
       "10.1." + std::to_string(number / 256) + "." + std::to_string(number % 256) + ":9000";
-  auto w = std::make_unique<ScriptedWorker>(loop, machine.id, *type, machine.zone, machine.spot,
-                                            address, seconds(14));
-  w->specs = &specs;
-  ScriptedWorker* raw = w.get();
-  const RuleChecker::Machine place{machine.id, machine.type, machine.zone, machine.spot};
-  w->on_start = [this, place, raw](const TaskRef& task) {
+  auto new_worker = std::make_unique<ScriptedWorker>(loop, machine.id, *type, machine.zone,
+                                                     machine.spot, address, seconds(14));
+  new_worker->specs = &specs;
+  ScriptedWorker* worker = new_worker.get();
+  const RuleChecker::Machine checked_machine{machine.id, machine.type, machine.zone, machine.spot};
+  new_worker->on_start = [this, checked_machine, worker](const TaskRef& task) {
     ++starts;
     if (copies(task) > 0) ++duplicate_starts;
-    rules.started(place, task, raw->started.back().second);
+    rules.started(checked_machine, task, worker->started.back().second);
   };
-  w->on_end = [this, id = machine.id](const ScriptedWorker::Running& r) {
-    rules.ended(id, r.task, r.attempt, r.cause == ExitCause::done);
+  new_worker->on_end = [this, id = machine.id](const ScriptedWorker::Running& running) {
+    rules.ended(id, running.task, running.attempt, running.cause == ExitCause::done);
   };
-  if (on_worker) on_worker(*w);
-  workers[machine.id] = std::move(w);
-  // Tries the nodes in turn, beginning with the one that answered last; the leader is the one that
+  if (on_worker) on_worker(*new_worker);
+  workers[machine.id] = std::move(new_worker);
+  // Tries the nodes in turn, beginning with the one that answered 200 last. Only the leader
   // answers 200.
-  const auto handler = [this, id = machine.id, at = std::make_shared<size_t>(0)](
+  const auto handler = [this, id = machine.id, last_answering = std::make_shared<size_t>(0)](
                            http::Request request) -> Task<http::Response> {
     http::Response out;
     out.status = 503;
-    for (size_t k = 0; k < nodes.size(); ++k) {
-      const size_t i = (*at + k) % nodes.size();
-      if (blocked_links.contains({i, id})) continue;
+    for (size_t offset = 0; offset < nodes.size(); ++offset) {
+      const size_t node = (*last_answering + offset) % nodes.size();
+      if (blocked_links.contains({node, id})) continue;
       http::Request copy = request;
-      out = co_await handle(i, std::move(copy));
+      out = co_await handle(node, std::move(copy));
       if (out.status != 200) continue;
-      *at = i;
+      *last_answering = node;
       break;
     }
     co_return out;
   };
-  const auto boot = [](EventLoop& event_loop, ScriptedWorker* worker,
-                       std::function<Task<http::Response>(http::Request)> h) -> Task<void> {
+  const auto boot = [](EventLoop& event_loop, ScriptedWorker* booting_worker,
+                       std::function<Task<http::Response>(http::Request)> send) -> Task<void> {
     co_await event_loop.sleep(seconds(2));
-    co_await worker->run(std::move(h), Millis(1500));
+    co_await booting_worker->run(std::move(send), Millis(1500));
   };
-  loop.spawn(boot(loop, raw, handler));
-  loop.spawn(raw->watch_lease());
+  loop.spawn(boot(loop, worker, handler));
+  loop.spawn(worker->watch_lease());
 }
 
 Task<http::Response> Site::request(size_t node, std::string method, std::string target,
@@ -222,31 +223,33 @@
   request.target = target;
   request.body = body;
   constexpr std::string_view kPrefix = "/v1/jobs";
-  const bool users = target.starts_with(kPrefix);
-  std::string id = users && target.size() > kPrefix.size() ? target.substr(kPrefix.size() + 1) : "";
-  const bool withdraws = id.ends_with("/withdraw");
-  if (withdraws) id.resize(id.size() - std::string_view("/withdraw").size());
-  if (withdraws && method == "POST" && rules.was_accepted(id)) rules.cancel_asked(id);
-  if (users && id.empty()) {
+  const bool is_user_request = target.starts_with(kPrefix);
+  std::string id =
+      is_user_request && target.size() > kPrefix.size() ? target.substr(kPrefix.size() + 1) : "";
+  const bool is_cancellation = id.ends_with("/withdraw");
+  if (is_cancellation) id.resize(id.size() - std::string_view("/withdraw").size());
+  if (is_cancellation && method == "POST" && rules.was_accepted(id)) rules.cancel_requested(id);
+  if (is_user_request && id.empty()) {
     const auto doc = Document::parse(body);
     if (doc && doc->root().is_map()) id = doc->root()["id"].text().value_or("");
   }
-  const Instant asked = loop.now();
+  const Instant sent_at = loop.now();
   http::Response out = co_await handle(node, std::move(request));
-  if (!users || id.empty() || out.status == 0) co_return out;
+  if (!is_user_request || id.empty() || out.status == 0) co_return out;
   const auto doc = Document::parse(out.body);
-  const std::string standing(doc ? doc->root()["standing"].text().value_or("") : "");
+  const std::string state(doc ? doc->root()["standing"].text().value_or("") : "");
   if (target == kPrefix) {
-    rules.submit_answered(id, out.status, standing, asked);
-  } else if (withdraws) {
-    rules.cancel_answered(id, out.status, standing, asked);
+    rules.submit_answered(id, out.status, state, sent_at);
+  } else if (is_cancellation) {
+    rules.cancel_answered(id, out.status, state, sent_at);
   } else if (method == "GET") {
-    rules.poll_answered(id, out.status, standing, asked);
+    rules.poll_answered(id, out.status, state, sent_at);
   }
   co_return out;
 }
 
-http::Response Site::ask(size_t node, std::string method, std::string target, std::string body) {
+http::Response Site::request_and_wait(size_t node, std::string method, std::string target,
+                                      std::string body) {
   return get(request(node, std::move(method), std::move(target), std::move(body)));
 }
 
@@ -255,26 +258,27 @@
   rules.submitted(spec);
   Writer writer;
   wire::write_job(writer, spec);
-  return ask(node, "POST", "/v1/jobs", writer.take());
+  return request_and_wait(node, "POST", "/v1/jobs", writer.take());
 }
 
 std::string Site::job_state(const std::string& id, size_t node) {
-  const http::Response response = ask(node, "GET", "/v1/jobs/" + id);
+  const http::Response response = request_and_wait(node, "GET", "/v1/jobs/" + id);
   if (response.status != 200) return std::to_string(response.status);
   const auto doc = Document::parse(response.body);
   return std::string(doc->root()["standing"].text().value_or("?"));
 }
 
 size_t Site::copies(const TaskRef& task) const {
-  size_t n = 0;
-  for (const auto& [id, w] : workers) {
-    if (!w->powered_on) continue;
-    for (const auto& [key, running] : w->tasks) {
-      const bool there = running.state != TaskState::exited && running.state != TaskState::fetching;
-      if (key.first == task && there) ++n;
+  size_t count = 0;
+  for (const auto& [id, worker] : workers) {
+    if (!worker->powered_on) continue;
+    for (const auto& [key, running] : worker->tasks) {
+      const bool started =
+          running.state != TaskState::exited && running.state != TaskState::fetching;
+      if (key.first == task && started) ++count;
     }
   }
-  return n;
+  return count;
 }
 
 bool is_transaction_on(const Call& call, std::string_view key) {
@@ -283,7 +287,7 @@
 
 void expect_no_violations(const Site& site) {
   EXPECT_EQ(site.duplicate_starts, 0u);
-  for (const auto& b : site.rules.violations()) ADD_FAILURE() << b;
+  for (const auto& violation : site.rules.violations()) ADD_FAILURE() << violation;
 }
 
 JobSpec job(const std::string& id, uint32_t tasks) {
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -45,7 +45,7 @@
   }
   // A cancellation as a controller of the version before confirms it.
   void old_version_cancels(const JobSpec& spec) {
-    s.rules.cancel_asked(spec.id);
+    s.rules.cancel_requested(spec.id);
     s.store.put(wire::final_key(spec.id), wire::write_final({true, spec.tasks}));
     s.store.erase(wire::job_key(spec.id));
   }
@@ -209,7 +209,7 @@
       stops.push_back({Command::Op::stop, key.first, key.second, Seconds(0)});
     }
     late.body = wire::write_commands(w->fencing_token - 1, w->incarnation, stops);
-    EXPECT_EQ(s.get(w->direct(std::move(late))).status, 409);
+    EXPECT_EQ(s.get(w->serve_command(std::move(late))).status, 409);
   }
   EXPECT_EQ(on_machines(spec), 4u);
   expect_no_violations(s);
