--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,6 @@
-// About 4,000 machines: lists over several pages, answers at the bounds of what a controller takes,
-// a take-over with 100,000 allocations, and the end of the largest job that there can be.
+// Tests with 4,000 to 6,000 machines: machine lists over several pages, responses at the size limit
+// of a controller, a failover with 100,000 allocations, and the cancellation of a job of maximum
+// size.
 #include <gtest/gtest.h>
 
 #include "site.hpp"
@@ -9,7 +10,7 @@
 
 constexpr size_t kMachines = 4000;
 constexpr uint32_t kTasksPerMachine = 25;
-constexpr uint64_t kFormerEpoch = 5;
+constexpr uint64_t kPreviousEpoch = 5;
 const std::string kLargest = "run-000001";
 
 std::string machine_name(size_t number) {
@@ -33,42 +34,42 @@
   });
 }
 
-size_t open_jobs(Site& site) {
+size_t known_jobs(Site& site) {
   return site.daemon(*site.leader()).context().leader_state.with([](cluster::LeaderState& leader) {
     return leader.cluster.jobs().size();
   });
 }
 
-// Answers every request with a watch's answer of a given size.
-class LongAnswer final : public http::Transport {
+// Answers every request with a watch response of a given size.
+class LargeResponseTransport final : public http::Transport {
  public:
   Task<http::Reply> exchange(http::Call call) override {
     wire::Writer writer;
     writer.map(3).key("ledgerRev").count(7).key("news").list(0).key("padding");
     constexpr size_t kStringHeader = 5;
-    writer.text(std::string(call.max_body + beyond - writer.size() - kStringHeader, 'x'));
+    writer.text(std::string(call.max_body + excess_bytes - writer.size() - kStringHeader, 'x'));
     co_return within_limit(call, reply(200, writer.take()));
   }
-  size_t beyond = 0;  // bytes above what the caller takes
+  size_t excess_bytes = 0;  // above the caller's limit on the body
 };
 
-TEST(Scale, AWatchWhoseAnswerIsTooLongIsAnsweredByAListing) {
-  Simulation world;
-  LongAnswer transport;
+TEST(Scale, WatchWithTooLargeResponseRequiresListing) {
+  Simulation simulation;
+  LargeResponseTransport transport;
   const settings::Platform platform = Site::platform(0, 1);
-  kv::Client client(world.loop, transport, platform.key_value_store,
+  kv::Client client(simulation.loop, transport, platform.key_value_store,
                     kv::Limits(platform.store_limits), 1.0);
-  for (const size_t beyond : {size_t{0}, size_t{1}}) {
-    transport.beyond = beyond;
-    const auto result = world.get(client.watch("job/", 3, Millis(100)));
+  for (const size_t excess_bytes : {size_t{0}, size_t{1}}) {
+    transport.excess_bytes = excess_bytes;
+    const auto result = simulation.get(client.watch("job/", 3, Millis(100)));
     EXPECT_EQ(result.outcome, http::Outcome::ok);
-    EXPECT_EQ(result.relist_required, beyond > 0) << beyond << " bytes above the bound";
+    EXPECT_EQ(result.relist_required, excess_bytes > 0) << excess_bytes << " bytes above the limit";
   }
 }
 
-// Found by reading: the watch was asked again and again, and nothing was heard of the jobs until
-// the service no longer had their changes.
-TEST(Scale, JobsAndCancellationsAreHeardOfWhenMoreCameThanOneAnswerHolds) {
+// Guards against a fault in which a watch whose response is too large was repeated unchanged: the
+// leader received no changes of jobs until the store had compacted them.
+TEST(Scale, JobChangesBeyondOneWatchResponseAreApplied) {
   Site site;
   site.run_for(seconds(3));
   ASSERT_EQ(site.submit(job(kLargest)).status, 201);
@@ -84,10 +85,10 @@
   }
   site.store.erase(wire::job_key(kLargest));
   site.run_for(seconds(5));
-  EXPECT_EQ(open_jobs(site), kJobs);
+  EXPECT_EQ(known_jobs(site), kJobs);
 }
 
-TEST(Scale, AListOf6000MachinesIsReadPageByPageAndLeavesRoomForLaunches) {
+TEST(Scale, ListOf6000MachinesLeavesRequestBudgetForLaunches) {
   Site site;
   constexpr size_t kListed = 6000;
   for (size_t i = 1; i <= kListed; ++i) {
@@ -102,13 +103,13 @@
   ASSERT_EQ(site.submit(job(kLargest)).status, 201);
   constexpr auto kWatched = seconds(20);
   site.run_for(kWatched);
-  EXPECT_GE(site.cloud.launches, 1u) << "the job allows no spot machine, so one is launched for it";
+  EXPECT_GE(site.cloud.launches, 1u)
+      << "the job permits no spot machine, so an ordinary one must be launched";
   const double budget = kWatched.count() * site.rules_platform.cloud_rps;
   EXPECT_LT(static_cast<double>(site.cloud.lists - lists_before), budget * 0.7);
 }
 
-// 4,000 machines that run 25 tasks of one job each, with their records as a former leader left
-// them.
+// 4,000 machines that run 25 tasks of one job each, and the machine records of a previous leader.
 class FullCluster {
  public:
   FullCluster() {
@@ -122,7 +123,7 @@
     site.specs[kLargest] = spec;
     site.rules.submitted(spec);
     site.rules.submit_answered(kLargest, 201, "queued", site.clock.now());
-    site.store.put(std::string(wire::kEpochKey), wire::write_epoch(kFormerEpoch));
+    site.store.put(std::string(wire::kEpochKey), wire::write_epoch(kPreviousEpoch));
     site.store.put(wire::job_key(kLargest), job_record(spec));
     for (size_t i = 0; i < kMachines; ++i) add_machine(i);
     site.restart(0);
@@ -138,13 +139,14 @@
   JobSpec spec;
 
  private:
+  // Adds a machine, its worker with running tasks and its record.
   void add_machine(size_t number) {
     const ScriptedCloud::Machine machine{machine_name(number + 1), "box", "a", false,
                                          site.clock.now(),         false, {},  "10.1.0.1:9000"};
     site.cloud.machines[machine.id] = machine;
     site.add_worker(machine);
     ScriptedWorker& worker = *site.workers.at(machine.id);
-    worker.fencing_token = kFormerEpoch;
+    worker.fencing_token = kPreviousEpoch;
     wire::MachineRecord record{machine.type, machine.zone, worker.address, false, {}};
     wire::MachineRecord::Group group{kLargest, spec.team, spec.need, false, {}};
     for (uint32_t k = 0; k < kTasksPerMachine; ++k) {
@@ -162,7 +164,7 @@
   }
 };
 
-TEST(Scale, ATakeOverFrom4000MachineRecordsKeepsAllTasksAndCancelsTheLargestJob) {
+TEST(Scale, FailoverWith4000MachinesKeepsAllTasksAndCancelsLargestJob) {
   FullCluster cluster;
   Site& site = cluster.site;
   site.run_for(seconds(5));
@@ -172,7 +174,7 @@
   site.run_for(seconds(5));
   EXPECT_EQ(allocations(site), kMaxTasks) << "after a restart of all controllers";
   EXPECT_EQ(cluster.running(), kMaxTasks);
-  EXPECT_EQ(site.starts, 0u) << "what runs is not started again";
+  EXPECT_EQ(site.starts, 0u) << "running tasks must not be started again";
 
   ASSERT_EQ(site.cancel(kLargest).status, 200);
   site.run_for(seconds(5));
--- a/tests/scenario_api_test.cpp
+++ b/tests/scenario_api_test.cpp
@@ -1,4 +1,4 @@
-// The users' API and the lives of jobs, amid failures of the whole service.
+// The users' API and the life cycle of jobs, with faults of the services around the controllers.
 #include <gtest/gtest.h>
 
 #include "site.hpp"
@@ -6,10 +6,10 @@
 namespace dunlinknot::test {
 namespace {
 
-TEST(Api, AnswersAsTheProtocolSays) {
+TEST(Api, AnswersFollowProtocol) {
   Site site;
   EXPECT_EQ(site.request_and_wait(0, "GET", "/ready").status, 503)
-      << "the machine types are not known yet";
+      << "the machine types have not been read yet";
   EXPECT_EQ(site.submit(job("run-000001")).status, 503);
   site.run_for(seconds(2));
   EXPECT_EQ(site.request_and_wait(0, "GET", "/ready").status, 200);
@@ -32,14 +32,14 @@
   EXPECT_EQ(site.submit(bad).status, 422);
   bad.zone = "b";
   bad.types = {"crate"};
-  EXPECT_EQ(site.submit(bad).status, 422) << "machines of that type are not to be had in that zone";
+  EXPECT_EQ(site.submit(bad).status, 422) << "the machine type is not offered in that zone";
   bad = job("run-000002", 3);
-  bad.team = "tiny";  // 4 cpus at most
-  EXPECT_EQ(site.submit(bad).status, 201) << "an array counts by its task";
+  bad.team = "tiny";  // limited to 4 cpus
+  EXPECT_EQ(site.submit(bad).status, 201) << "one task of an array must fit the limit";
   bad.id = "run-000003";
   bad.gang = true;
-  EXPECT_EQ(site.submit(bad).status, 422) << "a gang as a whole";
-  // A known id is answered with its state, whatever the body says now.
+  EXPECT_EQ(site.submit(bad).status, 422) << "all tasks of a gang must fit the limit";
+  // A known id is answered with the job's state, even if the body is invalid or differs.
   bad = job("run-000001");
   bad.team = "nobody";
   EXPECT_EQ(site.submit(bad).status, 200);
@@ -47,35 +47,36 @@
   EXPECT_EQ(site.submit(bad).status, 200);
 }
 
-// Half of the tasks, rounded up, may be in one zone: a gang needs a second one for the rest.
-TEST(Api, AGangThatNoZonesCanHoldIsRefused) {
+// At most half of a spread job's tasks, rounded up, may run in one zone, so that a spread gang of
+// more than one task needs two zones.
+TEST(Api, SpreadGangWithoutSecondZoneIsRejected) {
   Site site;
   site.run_for(seconds(2));
   JobSpec spread = job("run-000001", 2);
   spread.spread = true;
   spread.zone = "a";
-  EXPECT_EQ(site.submit(spread).status, 201) << "an array may have half of its tasks run at a time";
+  EXPECT_EQ(site.submit(spread).status, 201) << "an array can run half of its tasks at a time";
   spread.gang = true;
   spread.id = "run-000002";
-  EXPECT_EQ(site.submit(spread).status, 422) << "bound to one zone";
+  EXPECT_EQ(site.submit(spread).status, 422) << "the job is restricted to one zone";
   spread.zone.reset();
   spread.types = {"crate"};
-  EXPECT_EQ(site.submit(spread).status, 422) << "of a type that is offered in one zone";
+  EXPECT_EQ(site.submit(spread).status, 422) << "the machine type is offered in one zone only";
   spread.types.clear();
   spread.one_zone = true;
-  EXPECT_EQ(site.submit(spread).status, 422) << "in one zone, and in two";
+  EXPECT_EQ(site.submit(spread).status, 422) << "one_zone and spread exclude each other for a gang";
   spread.one_zone = false;
   EXPECT_EQ(site.submit(spread).status, 201);
   spread.id = "run-000003";
   spread.tasks = 1;
   spread.zone = "a";
-  EXPECT_EQ(site.submit(spread).status, 201) << "half of one, rounded up, is one";
-  // Accepted once, known for ever, whatever the answer to a new one would be.
+  EXPECT_EQ(site.submit(spread).status, 201) << "half of one task, rounded up, is one task";
+  // An accepted job stays known, even if the same request would be rejected for a new id.
   spread.tasks = 2;
   EXPECT_EQ(site.submit(spread).status, 200);
 }
 
-TEST(Api, WithTheStateServiceGoneFinalAnswersStandAndTheRestIsPutOffAtOnce) {
+TEST(Api, StoreOutageKeepsFinalAnswersAndDefersOtherRequests) {
   Site site;
   site.run_for(seconds(2));
   site.submit(job("run-000001"));
@@ -88,20 +89,21 @@
   EXPECT_EQ(site.job_state("run-000001"), "done");
   EXPECT_EQ(site.job_state("run-000002"), "cancelled");
   EXPECT_EQ(site.submit(job("run-000001")).status, 200);
-  const auto put_off = site.submit(job("run-000003"));
-  EXPECT_EQ(put_off.status, 503);
-  EXPECT_GT(put_off.retry_after_s, 0);
-  EXPECT_EQ(site.job_state("run-000404"), "503") << "only the key-value store can say 404";
-  EXPECT_LT(site.clock.now() - before, seconds(1)) << "nobody is held back";
+  const auto deferred = site.submit(job("run-000003"));
+  EXPECT_EQ(deferred.status, 503);
+  EXPECT_GT(deferred.retry_after_s, 0);
+  EXPECT_EQ(site.job_state("run-000404"), "503")
+      << "without the key-value store an unknown id cannot be answered with 404";
+  EXPECT_LT(site.clock.now() - before, seconds(1)) << "requests must be answered at once";
 }
 
-TEST(Api, ASubmissionWithoutAnAnswerIsSentAgainAndAcceptedOnce) {
+TEST(Api, SubmissionWithoutReplyIsRetriedAndAcceptedOnce) {
   Site site;
   site.run_for(seconds(2));
-  int lost = 0;
+  int commits = 0;
   site.store.call_fault = [&](const http::Call& call) {
-    return is_transaction_on(call, "run-000001") && lost++ == 0 ? CallFault::lose_reply
-                                                                : CallFault::none;
+    return is_transaction_on(call, "run-000001") && commits++ == 0 ? CallFault::lose_reply
+                                                                   : CallFault::none;
   };
   const int status = site.submit(job("run-000001")).status;
   EXPECT_TRUE(status == 200 || status == 201);
@@ -111,7 +113,7 @@
   EXPECT_EQ(site.starts, 1u);
 }
 
-TEST(Api, ALateCopyOfASubmissionDoesNotBringAFinishedJobBack) {
+TEST(Api, LateSubmissionTransactionDoesNotRestoreFinishedJob) {
   Site site;
   site.run_for(seconds(2));
   int commits = 0;
@@ -129,14 +131,15 @@
   EXPECT_EQ(site.starts, 1u);
 }
 
-TEST(Api, MoreThanCanBeDoneIsRefusedAtOnceAndPollsGoOn) {
+TEST(Api, SubmissionsAboveLimitAreRejectedAtOnceAndPollsContinue) {
   Site site;
   site.operator_settings.max_submissions = 2;
   site.restart(0);
   site.run_for(seconds(2));
   site.submit(job("run-000001"));
   std::vector<int> statuses;
-  const auto one = [](Site& target, std::string id, std::vector<int>& out) -> Task<void> {
+  const auto submit_one = [](Site& target, std::string id,
+                             std::vector<int>& results) -> Task<void> {
     wire::Writer writer;
     wire::write_job(writer, job(id));
     http::Request request;
@@ -144,25 +147,25 @@
     request.target = "/v1/jobs";
     request.body = writer.take();
     const http::Response response = co_await target.handle(0, std::move(request));
-    out.push_back(response.status);
+    results.push_back(response.status);
   };
   for (int i = 10; i < 16; ++i)
-    site.loop.spawn(one(site, "run-0000" + std::to_string(i), statuses));
-  EXPECT_EQ(std::count(statuses.begin(), statuses.end(), 503), 4) << "before any time has passed";
+    site.loop.spawn(submit_one(site, "run-0000" + std::to_string(i), statuses));
+  EXPECT_EQ(std::count(statuses.begin(), statuses.end(), 503), 4) << "rejections must not wait";
   EXPECT_EQ(site.job_state("run-000001"), "queued");
   site.run_for(seconds(1));
   EXPECT_EQ(std::count(statuses.begin(), statuses.end(), 201), 2);
 }
 
-TEST(Jobs, OneHundredThousandTasksFitTheLimits) {
+TEST(Jobs, JobOf100000TasksFitsStoreLimits) {
   Site site(1);
-  site.cloud.capacity.clear();  // only accepted here; the machines are not what is tested
+  site.cloud.capacity.clear();  // the job is only accepted; no machine is needed
   site.run_for(seconds(2));
   JobSpec big = job("run-000001", 100'000);
   ASSERT_EQ(site.submit(big).status, 201);
   site.run_for(seconds(1));
   auto& context = site.daemon(0).context();
-  // All but one task are done, over all chunks.
+  // All tasks but the last are marked as done, across all chunks of the progress.
   context.leader_state.with([&](cluster::LeaderState& leader) {
     for (uint32_t i = 0; i + 1 < 100'000; ++i) leader.cluster.job("run-000001")->mark_done(i);
   });
@@ -183,27 +186,27 @@
   for (const auto& [key, value] : site.store.data) EXPECT_FALSE(key.starts_with("done/")) << key;
 }
 
-TEST(Jobs, ACancellationBeatsAnAllocationThatIsUnderWay) {
+TEST(Jobs, CancellationOverridesAllocationInFlight) {
   Site site(1);
   site.run_for(seconds(2));
   site.submit(job("run-000001", 2));
-  // The cancellation lands between the decision and the transaction that allocates it.
-  bool done = false;
+  // The cancellation is applied between the placement and the transaction that allocates the tasks.
+  bool cancelled = false;
   site.store.call_fault = [&](const http::Call& call) {
-    if (!done && is_transaction_on(call, "host/")) {
-      done = true;
+    if (!cancelled && is_transaction_on(call, "host/")) {
+      cancelled = true;
       site.store.erase("job/run-000001");
       site.store.put("final/run-000001", wire::write_final({true, 2}));
     }
     return CallFault::none;
   };
   site.run_for(seconds(30));
-  EXPECT_TRUE(done);
+  EXPECT_TRUE(cancelled);
   EXPECT_EQ(site.starts, 0u);
   EXPECT_EQ(site.job_state("run-000001"), "cancelled");
 }
 
-TEST(Jobs, OneThatFailsEverywhereBacksOff) {
+TEST(Jobs, FailingJobBacksOff) {
   Site site(1);
   site.cloud.capacity["box/a/ordinary"] = 4;
   site.run_for(seconds(2));
@@ -211,7 +214,7 @@
   spec.need = {8, 0, 4};
   site.submit(spec);
   site.run_for(Millis(2500));
-  for (int i = 0; i < 1000; ++i) {  // on machines that come later too
+  for (int i = 0; i < 1000; ++i) {  // also on machines that are launched meanwhile
     for (auto& [id, worker] : site.workers) worker->fails = [](const TaskRef&) { return true; };
     site.run_for(Millis(100));
   }
@@ -221,25 +224,26 @@
   EXPECT_EQ(site.job_state("run-000001"), "cancelled");
 }
 
-TEST(Api, AnIdleNodeStaysReady) {
-  // Found on a rough day: a follower that no user asked anything for some seconds took its own
-  // silence for a loss of the key-value store, was taken off the load balancer again and again, and
-  // its users found no node.
+TEST(Api, IdleNodeStaysReady) {
+  // Guards against a fault in which a follower without user requests for some seconds counted its
+  // own lack of store requests as a loss of the key-value store. It reported not ready, and the
+  // load balancer removed it repeatedly, so that its users found no node.
   Site site(3);
   site.run_for(seconds(3));
   const size_t follower = (*site.leader() + 1) % 3;
   site.run_for(seconds(4));
   const uint64_t before = site.store.requests;
   EXPECT_EQ(site.request_and_wait(follower, "GET", "/ready").status, 200);
-  const uint64_t asked = site.store.requests - before;
-  EXPECT_GE(asked, 1u) << "it finds out rather than guess";
-  const uint64_t again = site.store.requests;
+  const uint64_t probes = site.store.requests - before;
+  EXPECT_GE(probes, 1u) << "an idle node must probe the store";
+  const uint64_t before_second = site.store.requests;
   EXPECT_EQ(site.request_and_wait(follower, "GET", "/ready").status, 200);
-  EXPECT_LT(site.store.requests - again, asked + 1) << "and not at every probe";
+  EXPECT_LT(site.store.requests - before_second, probes + 1)
+      << "a second readiness check must not cause more store requests";
 }
 
-TEST(Jobs, EveryNodeAnswersAgainSoonAfterAnyMixOfFaults) {
-  // A job about which no question is answered for 75 s counts as forgotten.
+TEST(Jobs, EveryNodeAnswersWithin15SecondsAfterCombinedFaults) {
+  // A job whose polls are not answered for 75 s counts as forgotten.
   Site site(3);
   site.run_for(seconds(2));
   site.submit(job("run-000001", 4));
--- a/tests/scenario_leadership_test.cpp
+++ b/tests/scenario_leadership_test.cpp
@@ -1,4 +1,4 @@
-// Elections, changes of leader and take-overs, against scripted peers.
+// Elections, changes of leader and failovers against scripted peers.
 #include <gtest/gtest.h>
 
 #include "site.hpp"
@@ -6,7 +6,7 @@
 namespace dunlinknot::test {
 namespace {
 
-TEST(Leadership, OneLeadsAndAnotherTakesOverWithinSeconds) {
+TEST(Leadership, CrashedLeaderIsReplacedWithinSixSeconds) {
   Site site(3);
   site.run_for(seconds(2));
   ASSERT_TRUE(site.leader());
@@ -22,21 +22,22 @@
   site.run_for(seconds(40));
   EXPECT_EQ(site.job_state("run-000001", *site.leader()), "done");
   expect_no_violations(site);
-  EXPECT_EQ(site.starts, 12u) << "what ran through the failover was not started again";
+  EXPECT_EQ(site.starts, 12u) << "tasks that ran during the failover were started again";
 }
 
-TEST(Leadership, AnElectionWithAnUnknownOutcomeIsReadBack) {
+TEST(Leadership, ElectionWithUnknownOutcomeIsReadBack) {
   Site site(1);
-  int n = 0;
+  int elections = 0;
   site.store.call_fault = [&](const http::Call& call) {
-    return is_transaction_on(call, "epoch") && n++ == 0 ? CallFault::lose_reply : CallFault::none;
+    return is_transaction_on(call, "epoch") && elections++ == 0 ? CallFault::lose_reply
+                                                                : CallFault::none;
   };
   site.run_for(seconds(2));
   ASSERT_TRUE(site.leader());
-  EXPECT_EQ(site.daemon(0).elector().term().epoch, 1u) << "won once, not twice";
+  EXPECT_EQ(site.daemon(0).elector().term().epoch, 1u) << "the election must be won once";
 }
 
-TEST(Leadership, ARestartWithinAFractionOfASecondLeadsOnUnderANewEpoch) {
+TEST(Leadership, LeaderRestartLeadsToNewEpoch) {
   Site site(3);
   site.run_for(seconds(2));
   const size_t first = *site.leader();
@@ -52,7 +53,7 @@
   expect_no_violations(site);
 }
 
-TEST(Leadership, ALeaderCutFromTheStateServiceStartsNothingAndIsReplaced) {
+TEST(Leadership, LeaderPartitionedFromStoreStartsNothingAndIsReplaced) {
   Site site(3);
   site.run_for(seconds(2));
   const size_t first = *site.leader();
@@ -71,14 +72,15 @@
   expect_no_violations(site);
 }
 
-TEST(Leadership, AnOutageForAllIsSatOutByTheSameLeaderWithoutLosingTasks) {
+TEST(Leadership, StoreOutageKeepsLeaderAndTasks) {
   Site site(3);
   site.run_for(seconds(2));
   const size_t first = *site.leader();
   JobSpec spec = job("run-000001", 2);
   site.submit(spec, first);
   site.run_for(seconds(4));
-  for (auto& [id, w] : site.workers) w->run_time = [](const TaskRef&) { return seconds(40); };
+  for (auto& [id, worker] : site.workers)
+    worker->run_time = [](const TaskRef&) { return seconds(40); };
   site.run_for(seconds(4));
   ASSERT_EQ(site.starts, 2u);
   site.store.outage = true;
@@ -86,37 +88,37 @@
   site.store.end_outage();
   site.run_for(seconds(60));
   EXPECT_EQ(site.leader(), first);
-  EXPECT_EQ(site.starts, 2u) << "leases were renewed through the outage";
+  EXPECT_EQ(site.starts, 2u) << "the leases must be renewed during the outage";
   EXPECT_EQ(site.job_state("run-000001"), "done");
 }
 
-TEST(Leadership, TheBlindLeaderStopsRenewingInTime) {
+TEST(Leadership, PartitionedLeaderStopsRenewingAfterRenewalWindow) {
   Site site(3);
   site.run_for(seconds(2));
   const size_t first = *site.leader();
   site.nodes[first]->cut_from_store = true;
-  site.nodes[first]->cut_from_peers = true;  // else it hears of its successor
-  const auto& e = site.daemon(first).elector();
+  site.nodes[first]->cut_from_peers = true;  // otherwise it is notified of its successor
+  const auto& elector = site.daemon(first).elector();
   site.run_for(leadership::renewal_window(site.nodes[first]->platform) - seconds(2));
-  EXPECT_TRUE(e.may_renew(std::nullopt));
+  EXPECT_TRUE(elector.may_renew(std::nullopt));
   site.run_for(seconds(3));
-  EXPECT_FALSE(e.may_renew(std::nullopt));
-  // Peers that confirmed the outage until a moment ago extend it from that moment.
-  EXPECT_TRUE(e.may_renew(site.clock.now() - seconds(1)));
+  EXPECT_FALSE(elector.may_renew(std::nullopt));
+  // A confirmation of the outage by the peers extends the renewal window from its time on.
+  EXPECT_TRUE(elector.may_renew(site.clock.now() - seconds(1)));
 }
 
-TEST(TakeOver, AmidStartsStopsAndCancellations) {
+TEST(Failover, RepeatedFailoversDuringStartsStopsAndCancellations) {
   Site site(3);
   site.cloud.capacity["box/a/ordinary"] = 4;
   site.run_for(seconds(2));
   for (int i = 1; i <= 6; ++i) site.submit(job("run-00000" + std::to_string(i), 8), 0);
   for (int round = 0; round < 5; ++round) {
     site.run_for(Millis(2300));
-    const size_t l = site.leader().value_or(0);
-    site.restart(l);
+    const size_t leader = site.leader().value_or(0);
+    site.restart(leader);
     site.run_for(Millis(700));
     if (round == 2) {
-      const size_t node = (l + 1) % 3;
+      const size_t node = (leader + 1) % 3;
       EXPECT_EQ(site.request_and_wait(node, "POST", "/v1/jobs/run-000006/withdraw").status, 200);
     }
     site.run_for(Millis(4000));
@@ -128,28 +130,30 @@
   expect_no_violations(site);
 }
 
-TEST(TakeOver, MachinesThatHaveNotReportedYetAreNotTakenForOnesThatNeverCameUp) {
-  // Found on two recorded days: a new leader judged machines by their age in the list before their
-  // workers had reported to it, and deleted some with everything that ran on them.
+TEST(Failover, MachinesWithoutHeartbeatToNewLeaderAreNotDeleted) {
+  // Guards against a fault seen on two recorded days: a new leader applied the boot timeout to
+  // machines by their age in the cloud's list, before their workers had sent it a heartbeat. It
+  // deleted some of them with all their tasks.
   Site site(3);
   site.run_for(seconds(2));
   site.submit(job("run-000001", 2));
   site.run_for(seconds(4));
-  for (auto& [id, w] : site.workers) w->run_time = [](const TaskRef&) { return seconds(150); };
-  site.run_for(seconds(100));  // old enough to be given up if they had never reported
+  for (auto& [id, worker] : site.workers)
+    worker->run_time = [](const TaskRef&) { return seconds(150); };
+  site.run_for(seconds(100));  // longer than the boot timeout of machines without heartbeats
   ASSERT_EQ(site.starts, 2u);
   const size_t deleted = site.cloud.deletions.size();
-  for (auto& [id, w] : site.workers) w->isolated = true;
+  for (auto& [id, worker] : site.workers) worker->isolated = true;
   site.restart(*site.leader());
   site.run_for(seconds(8));
   EXPECT_EQ(site.cloud.deletions.size(), deleted);
-  for (auto& [id, w] : site.workers) w->isolated = false;
+  for (auto& [id, worker] : site.workers) worker->isolated = false;
   site.run_for(seconds(80));
   EXPECT_EQ(site.starts, 2u);
   EXPECT_EQ(site.job_state("run-000001", *site.leader()), "done");
 }
 
-TEST(TakeOver, AllControllersKilledAtOnce) {
+TEST(Failover, TasksSurviveRestartOfAllControllers) {
   Site site(3);
   site.run_for(seconds(2));
   site.submit(job("run-000001", 10));
@@ -160,38 +164,39 @@
   site.run_for(seconds(60));
   EXPECT_EQ(site.job_state("run-000001"), "done");
   expect_no_violations(site);
-  EXPECT_EQ(site.starts, 10u) << "the leases outlived the gap";
+  EXPECT_EQ(site.starts, 10u) << "the leases must outlast the 4 s without controllers";
 }
 
-TEST(TakeOver, AGangIsRestartedUnderANewAttemptOnceTheOldOneIsGone) {
+TEST(Failover, GangIsRestartedUnderNewAttemptAfterMachineLoss) {
   Site site(3);
   site.cloud.capacity["box/a/ordinary"] = 3;
   site.run_for(seconds(2));
   JobSpec spec = job("run-000001", 2);
   spec.gang = true;
   spec.one_zone = true;
-  spec.need = {6, 0, 4};  // one to a machine
+  spec.need = {6, 0, 4};  // one task per machine
   site.submit(spec);
   site.run_for(seconds(7));
   ASSERT_EQ(site.starts, 2u);
-  for (auto& [id, w] : site.workers) {
-    for (auto& [key, t] : w->tasks) t.ends += seconds(60);
+  for (auto& [id, worker] : site.workers) {
+    for (auto& [key, running] : worker->tasks) running.ends += seconds(60);
   }
-  // One of its machines is lost while the leader changes.
+  // One of the gang's machines is lost during the change of leader.
   site.workers.begin()->second->isolated = true;
   site.crash(*site.leader());
   site.run_for(seconds(150));
   EXPECT_EQ(site.job_state("run-000001", *site.leader()), "done");
   expect_no_violations(site);
   std::set<uint64_t> attempts;
-  for (const auto& [id, w] : site.workers) {
-    for (const auto& [task, attempt] : w->started) attempts.insert(attempt);
+  for (const auto& [id, worker] : site.workers) {
+    for (const auto& [task, attempt] : worker->started) attempts.insert(attempt);
   }
   EXPECT_GE(attempts.size(), 2u);
 }
 
-TEST(Leadership, ACandidateBackAmidItsElectionDoesNotTakeItsFormerLifesWin) {
-  // The transaction of its former life is carried out late, under a lease that it does not hold.
+TEST(Leadership, RestartedCandidateIgnoresElectionOfPreviousProcess) {
+  // The election transaction of the previous process is applied 700 ms late, under a lease that the
+  // restarted process does not hold.
   Site site(3);
   site.run_for(seconds(2));
   const size_t first = *site.leader();
@@ -204,7 +209,7 @@
   };
   site.crash(first);
   site.run_for(Millis(3600));
-  for (size_t i = 0; i < 3; ++i) site.restart(i);  // in the middle of whatever they were about
+  for (size_t i = 0; i < 3; ++i) site.restart(i);  // while their elections are in flight
   site.run_for(Millis(300));
   site.store.call_fault = nullptr;
   site.run_for(seconds(12));
@@ -218,22 +223,23 @@
   expect_no_violations(site);
 }
 
-TEST(Leadership, ALeaderWithNothingLeftButItsWorkersStartsNothingAndLetsGo) {
-  // It sees neither the key-value store nor the other controllers; its workers reach it alone. Its
-  // successor waits its window out, and no task runs twice.
+TEST(Leadership, LeaderReachableOnlyByWorkersStartsNothingAndIsReplaced) {
+  // The leader reaches neither the key-value store nor the other controllers; the workers reach
+  // only it. Its successor waits until the renewal window has ended, so no task runs twice.
   Site site(3);
   site.run_for(seconds(2));
-  const size_t old = *site.leader();
-  site.submit(job("run-000001", 4), old);
+  const size_t first = *site.leader();
+  site.submit(job("run-000001", 4), first);
   site.run_for(seconds(12));
-  for (auto& [id, w] : site.workers) w->run_time = [](const TaskRef&) { return seconds(25); };
-  site.submit(job("run-000002", 8), old);
+  for (auto& [id, worker] : site.workers)
+    worker->run_time = [](const TaskRef&) { return seconds(25); };
+  site.submit(job("run-000002", 8), first);
   site.run_for(seconds(4));
-  site.nodes[old]->cut_from_store = true;
-  site.nodes[old]->cut_from_peers = true;
+  site.nodes[first]->cut_from_store = true;
+  site.nodes[first]->cut_from_peers = true;
   for (size_t i = 0; i < 3; ++i) {
-    for (auto& [id, w] : site.workers) {
-      if (i != old) site.blocked_links.insert({i, id});
+    for (auto& [id, worker] : site.workers) {
+      if (i != first) site.blocked_links.insert({i, id});
     }
   }
   site.run_for(seconds(4));
@@ -242,7 +248,7 @@
   EXPECT_EQ(site.starts, started);
   site.blocked_links.clear();
   site.run_for(seconds(120));
-  EXPECT_EQ(site.job_state("run-000002", (old + 1) % 3), "done");
+  EXPECT_EQ(site.job_state("run-000002", (first + 1) % 3), "done");
   expect_no_violations(site);
 }
 
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,7 +1,7 @@
-// Two versions on each other's data: what a controller of the version before left in the state
-// service, allocated halfway, cancelled or sent late, met by this version, and leaders of both in
-// turn. The old side is played by its stored bytes, which golden_test.cpp holds to be those that
-// this version writes too.
+// Two versions on the same stored data: this version reads what a controller of the previous
+// version wrote, including partial allocations, cancellations and late writes, while leaders of
+// both versions alternate. The previous version is represented by its records in the key-value
+// store; golden_test.cpp verifies that this version writes the same bytes.
 #include <gtest/gtest.h>
 
 #include "site.hpp"
@@ -12,262 +12,267 @@
 constexpr auto kLongRun = std::chrono::minutes(10);
 
 struct Upgrade : testing::Test {
-  Site s{3};
+  Site site{3};
   void SetUp() override {
-    s.cloud.capacity = {{"box/a/ordinary", 3}, {"box/b/ordinary", 2}};
-    s.run_for(seconds(2));
-    ASSERT_TRUE(s.leader());
+    site.cloud.capacity = {{"box/a/ordinary", 3}, {"box/b/ordinary", 2}};
+    site.run_for(seconds(2));
+    ASSERT_TRUE(site.leader());
   }
   uint64_t epoch() const {
-    const auto doc = wire::Document::parse(s.store.data.at(std::string(wire::kEpochKey)).value);
+    const auto doc = wire::Document::parse(site.store.data.at(std::string(wire::kEpochKey)).value);
     return *wire::read_epoch(doc->root());
   }
-  // A controller of the version before is elected: the epoch and the leader are its own.
-  uint64_t old_version_takes_over() {
-    const uint64_t mine = epoch() + 1;
-    s.store.put(std::string(wire::kEpochKey), wire::write_epoch(mine));
-    s.store.put(std::string(wire::kLeaderKey), wire::write_leader({"dunlin-old", mine}));
-    return mine;
+  // A controller of the previous version is elected under a new epoch, which is returned.
+  uint64_t elect_old_version() {
+    const uint64_t new_epoch = epoch() + 1;
+    site.store.put(std::string(wire::kEpochKey), wire::write_epoch(new_epoch));
+    site.store.put(std::string(wire::kLeaderKey), wire::write_leader({"dunlin-old", new_epoch}));
+    return new_epoch;
   }
-  // Its lease on the key ends with it.
-  void old_version_ends() { s.store.erase(std::string(wire::kLeaderKey)); }
-  static uint64_t attempt_of(uint64_t epoch, uint64_t n) { return epoch << 24 | n; }
-  void old_version_allocates(const std::string& machine, const JobSpec& spec, uint64_t attempt,
-                             const std::vector<uint32_t>& tasks) {
+  // The process of the previous version ends, and with it its lease on the leader key.
+  void end_old_version() { site.store.erase(std::string(wire::kLeaderKey)); }
+  // An attempt number: the epoch in the high bits, a counter in the low 24 bits.
+  static uint64_t attempt_of(uint64_t epoch, uint64_t counter) { return epoch << 24 | counter; }
+  // Writes a machine record with these tasks, as a leader of the previous version does.
+  void allocate_by_old_version(const std::string& machine, const JobSpec& spec, uint64_t attempt,
+                               const std::vector<uint32_t>& tasks) {
     wire::MachineRecord record;
-    const ScriptedCloud::Machine& this_machine = s.cloud.machines.at(machine);
-    record.type = this_machine.type;
-    record.zone = this_machine.zone;
-    record.address = s.workers.at(machine)->address;
+    const ScriptedCloud::Machine& cloud_machine = site.cloud.machines.at(machine);
+    record.type = cloud_machine.type;
+    record.zone = cloud_machine.zone;
+    record.address = site.workers.at(machine)->address;
     record.groups.push_back({spec.id, spec.team, spec.need, spec.gang, {}});
     for (const uint32_t i : tasks) record.groups[0].tasks.emplace_back(i, attempt);
-    s.store.put(wire::machine_key(machine), wire::write_machine_record(record));
+    site.store.put(wire::machine_key(machine), wire::write_machine_record(record));
   }
-  // A cancellation as a controller of the version before confirms it.
-  void old_version_cancels(const JobSpec& spec) {
-    s.rules.cancel_requested(spec.id);
-    s.store.put(wire::final_key(spec.id), wire::write_final({true, spec.tasks}));
-    s.store.erase(wire::job_key(spec.id));
+  // Writes a cancellation, as a controller of the previous version does before it confirms it.
+  void cancel_by_old_version(const JobSpec& spec) {
+    site.rules.cancel_requested(spec.id);
+    site.store.put(wire::final_key(spec.id), wire::write_final({true, spec.tasks}));
+    site.store.erase(wire::job_key(spec.id));
   }
-  void run_long_tasks() {
-    s.on_worker = [](ScriptedWorker& worker) {
+  // Tasks on workers that are added after this call run for kLongRun.
+  void use_long_run_time() {
+    site.on_worker = [](ScriptedWorker& worker) {
       worker.run_time = [](const TaskRef&) { return kLongRun; };
     };
   }
-  // The job is done by then, whoever leads, and no rule was broken.
-  void expect_done(const JobSpec& spec, Nanos within) {
-    s.run_for(within);
-    ASSERT_TRUE(s.leader());
-    EXPECT_EQ(s.job_state(spec.id, *s.leader()), "done");
-    expect_no_violations(s);
+  // Expects that the job is done after `timeout` under any leader, and that no rule was violated.
+  void expect_done_after(const JobSpec& spec, Nanos timeout) {
+    site.run_for(timeout);
+    ASSERT_TRUE(site.leader());
+    EXPECT_EQ(site.job_state(spec.id, *site.leader()), "done");
+    expect_no_violations(site);
   }
-  size_t on_machines(const JobSpec& spec) const {
-    size_t n = 0;
-    for (uint32_t i = 0; i < spec.tasks; ++i) n += s.copies({spec.id, i});
-    return n;
+  size_t running_tasks(const JobSpec& spec) const {
+    size_t count = 0;
+    for (uint32_t i = 0; i < spec.tasks; ++i) count += site.copies({spec.id, i});
+    return count;
   }
 };
 
-TEST_F(Upgrade, LeadershipGoesToTheOldVersionAndBackWithinASecond) {
+TEST_F(Upgrade, LeadershipMovesToOldVersionAndBackWithinOneSecond) {
   const JobSpec spec = job("run-000001", 12);
-  ASSERT_EQ(s.submit(spec).status, 201);
-  s.run_for(seconds(5));
-  for (int k = 0; k < 3; ++k) {
-    old_version_takes_over();
-    s.run_for(Millis(400));
-    old_version_ends();
-    s.run_for(seconds(4));
+  ASSERT_EQ(site.submit(spec).status, 201);
+  site.run_for(seconds(5));
+  for (int change = 0; change < 3; ++change) {
+    elect_old_version();
+    site.run_for(Millis(400));
+    end_old_version();
+    site.run_for(seconds(4));
   }
-  expect_done(spec, seconds(90));
+  expect_done_after(spec, seconds(90));
 }
 
-TEST_F(Upgrade, LeadershipChangesAmidAnOutageOfTheStateService) {
+TEST_F(Upgrade, LeadershipChangesDuringStoreOutage) {
   const JobSpec spec = job("run-000001", 12);
-  ASSERT_EQ(s.submit(spec).status, 201);
-  s.run_for(seconds(4));
-  old_version_takes_over();
-  s.store.outage = true;
-  s.run_for(seconds(12));
-  s.store.end_outage();
-  s.run_for(Millis(300));
-  old_version_ends();
-  expect_done(spec, seconds(120));
+  ASSERT_EQ(site.submit(spec).status, 201);
+  site.run_for(seconds(4));
+  elect_old_version();
+  site.store.outage = true;
+  site.run_for(seconds(12));
+  site.store.end_outage();
+  site.run_for(Millis(300));
+  end_old_version();
+  expect_done_after(spec, seconds(120));
 }
 
-TEST_F(Upgrade, AGangThatTheOldVersionAllocatedHalfwayRunsWholeAndOnce) {
-  const JobSpec warm = job("run-000009", 8);
-  ASSERT_EQ(s.submit(warm).status, 201);
-  s.run_for(seconds(8));
-  ASSERT_GE(s.workers.size(), 1u);
+TEST_F(Upgrade, GangPartiallyAllocatedByOldVersionRunsOnce) {
+  const JobSpec earlier_job = job("run-000009", 8);
+  ASSERT_EQ(site.submit(earlier_job).status, 201);
+  site.run_for(seconds(8));
+  ASSERT_GE(site.workers.size(), 1u);
   JobSpec gang = job("run-000001", 4);
   gang.gang = true;
-  const uint64_t old_epoch = old_version_takes_over();
-  ASSERT_EQ(s.submit(gang, 1).status, 201);
-  old_version_allocates(s.workers.begin()->first, gang, attempt_of(old_epoch, 1), {0, 1});
-  s.run_for(Millis(500));
-  old_version_ends();
-  expect_done(gang, seconds(150));
+  const uint64_t old_epoch = elect_old_version();
+  ASSERT_EQ(site.submit(gang, 1).status, 201);
+  allocate_by_old_version(site.workers.begin()->first, gang, attempt_of(old_epoch, 1), {0, 1});
+  site.run_for(Millis(500));
+  end_old_version();
+  expect_done_after(gang, seconds(150));
 }
 
-TEST_F(Upgrade, AnArrayAllocatedByTheOldVersionWhoseRunsNeverWentOutRuns) {
-  const JobSpec warm = job("run-000009", 8);
-  ASSERT_EQ(s.submit(warm).status, 201);
-  s.run_for(seconds(8));
+TEST_F(Upgrade, ArrayAllocatedByOldVersionWithoutRunCommandsRuns) {
+  const JobSpec earlier_job = job("run-000009", 8);
+  ASSERT_EQ(site.submit(earlier_job).status, 201);
+  site.run_for(seconds(8));
   const JobSpec spec = job("run-000001", 6);
-  const uint64_t old_epoch = old_version_takes_over();
-  ASSERT_EQ(s.submit(spec, 1).status, 201);
-  old_version_allocates(s.workers.begin()->first, spec, attempt_of(old_epoch, 7), {0, 1, 2});
-  old_version_ends();
-  expect_done(spec, seconds(120));
+  const uint64_t old_epoch = elect_old_version();
+  ASSERT_EQ(site.submit(spec, 1).status, 201);
+  allocate_by_old_version(site.workers.begin()->first, spec, attempt_of(old_epoch, 7), {0, 1, 2});
+  end_old_version();
+  expect_done_after(spec, seconds(120));
 }
 
-TEST_F(Upgrade, AServiceFoundInTheOldVersionsRecordsRunsOnAndItsProgressIsNothing) {
-  run_long_tasks();
-  JobSpec api = job("run-000001", 3);
-  api.service = true;
-  api.estimate = Seconds(0);
-  ASSERT_EQ(s.submit(api).status, 201);
-  s.run_for(seconds(15));
-  ASSERT_EQ(on_machines(api), 3u);
-  old_version_takes_over();
-  s.store.put(wire::done_key(api.id, 0), wire::write_done_chunk({true, true, true}, 0));
-  s.run_for(Millis(500));
-  old_version_ends();
-  s.run_for(seconds(60));
-  ASSERT_TRUE(s.leader());
-  EXPECT_EQ(on_machines(api), 3u);
-  EXPECT_NE(s.job_state(api.id, *s.leader()), "done");
-  ASSERT_EQ(s.cancel(api.id, *s.leader()).status, 200);
-  s.run_for(seconds(30));
-  EXPECT_EQ(on_machines(api), 0u);
-  EXPECT_FALSE(s.store.data.contains(wire::done_key(api.id, 0)));
-  expect_no_violations(s);
+TEST_F(Upgrade, ServiceOfOldVersionKeepsRunningAndItsProgressIsIgnored) {
+  use_long_run_time();
+  JobSpec service = job("run-000001", 3);
+  service.service = true;
+  service.estimate = Seconds(0);
+  ASSERT_EQ(site.submit(service).status, 201);
+  site.run_for(seconds(15));
+  ASSERT_EQ(running_tasks(service), 3u);
+  elect_old_version();
+  site.store.put(wire::done_key(service.id, 0), wire::write_done_chunk({true, true, true}, 0));
+  site.run_for(Millis(500));
+  end_old_version();
+  site.run_for(seconds(60));
+  ASSERT_TRUE(site.leader());
+  EXPECT_EQ(running_tasks(service), 3u);
+  EXPECT_NE(site.job_state(service.id, *site.leader()), "done");
+  ASSERT_EQ(site.cancel(service.id, *site.leader()).status, 200);
+  site.run_for(seconds(30));
+  EXPECT_EQ(running_tasks(service), 0u);
+  EXPECT_FALSE(site.store.data.contains(wire::done_key(service.id, 0)));
+  expect_no_violations(site);
 }
 
-TEST_F(Upgrade, ACancellationConfirmedByAnOldControllerStopsWhatANewOneLeads) {
-  run_long_tasks();
+TEST_F(Upgrade, CancellationConfirmedByOldControllerStopsTasksOfNewLeader) {
+  use_long_run_time();
   const JobSpec spec = job("run-000001", 6);
-  ASSERT_EQ(s.submit(spec).status, 201);
-  s.run_for(seconds(15));
-  ASSERT_EQ(on_machines(spec), 6u);
-  old_version_cancels(spec);
-  s.run_for(seconds(10));
-  EXPECT_EQ(on_machines(spec), 0u);
-  EXPECT_EQ(s.job_state(spec.id), "cancelled");
-  EXPECT_EQ(s.submit(spec).status, 200);
-  expect_no_violations(s);
+  ASSERT_EQ(site.submit(spec).status, 201);
+  site.run_for(seconds(15));
+  ASSERT_EQ(running_tasks(spec), 6u);
+  cancel_by_old_version(spec);
+  site.run_for(seconds(10));
+  EXPECT_EQ(running_tasks(spec), 0u);
+  EXPECT_EQ(site.job_state(spec.id), "cancelled");
+  EXPECT_EQ(site.submit(spec).status, 200);
+  expect_no_violations(site);
 }
 
-TEST_F(Upgrade, ACancellationAmidAChangeToTheOldVersionAndBackIsKept) {
-  run_long_tasks();
+TEST_F(Upgrade, CancellationDuringChangeToOldVersionAndBackIsKept) {
+  use_long_run_time();
   const JobSpec spec = job("run-000001", 6);
-  ASSERT_EQ(s.submit(spec).status, 201);
-  s.run_for(seconds(15));
-  old_version_takes_over();
-  old_version_cancels(spec);
-  s.run_for(Millis(600));
-  old_version_ends();
-  s.run_for(seconds(30));
-  EXPECT_EQ(on_machines(spec), 0u);
-  expect_no_violations(s);
+  ASSERT_EQ(site.submit(spec).status, 201);
+  site.run_for(seconds(15));
+  elect_old_version();
+  cancel_by_old_version(spec);
+  site.run_for(Millis(600));
+  end_old_version();
+  site.run_for(seconds(30));
+  EXPECT_EQ(running_tasks(spec), 0u);
+  expect_no_violations(site);
 }
 
-TEST_F(Upgrade, ALateWriteOfAnOldLeaderOnANewOnesRecordIsReadBackAndNothingRunsTwice) {
+TEST_F(Upgrade, LateWriteOfOldLeaderIsReadBackAndNoTaskRunsTwice) {
   const JobSpec spec = job("run-000001", 20);
-  ASSERT_EQ(s.submit(spec).status, 201);
-  s.run_for(seconds(6));
-  ASSERT_GE(s.workers.size(), 1u);
-  const std::string machine = s.workers.begin()->first;
-  const auto stored = s.store.data.find(wire::machine_key(machine));
-  ASSERT_NE(stored, s.store.data.end());
-  for (int k = 0; k < 4; ++k) {
-    // The same contents under another mod revision: the new leader's next write meets a guard that
-    // fails.
-    s.store.put(wire::machine_key(machine), std::string(stored->second.value));
-    s.run_for(Millis(700));
+  ASSERT_EQ(site.submit(spec).status, 201);
+  site.run_for(seconds(6));
+  ASSERT_GE(site.workers.size(), 1u);
+  const std::string machine = site.workers.begin()->first;
+  const auto stored = site.store.data.find(wire::machine_key(machine));
+  ASSERT_NE(stored, site.store.data.end());
+  for (int i = 0; i < 4; ++i) {
+    // The same contents under another mod revision: the compare-and-swap of the new leader's next
+    // write fails.
+    site.store.put(wire::machine_key(machine), std::string(stored->second.value));
+    site.run_for(Millis(700));
   }
-  s.run_for(seconds(120));
-  EXPECT_EQ(s.job_state(spec.id, *s.leader()), "done");
-  expect_no_violations(s);
+  site.run_for(seconds(120));
+  EXPECT_EQ(site.job_state(spec.id, *site.leader()), "done");
+  expect_no_violations(site);
 }
 
-TEST_F(Upgrade, ALateCommandOfAnOldLeaderIsRefusedByTheWorkers) {
-  run_long_tasks();
+TEST_F(Upgrade, LateCommandOfOldLeaderIsRejectedByWorkers) {
+  use_long_run_time();
   const JobSpec spec = job("run-000001", 4);
-  ASSERT_EQ(s.submit(spec).status, 201);
-  s.run_for(seconds(15));
-  s.crash(*s.leader());
-  s.run_for(seconds(20));
-  ASSERT_TRUE(s.leader());
-  for (auto& [id, w] : s.workers) {
-    http::Call late;
-    late.method = "POST";
-    late.target = "/do";
-    late.deadline = s.loop.now() + seconds(2);
+  ASSERT_EQ(site.submit(spec).status, 201);
+  site.run_for(seconds(15));
+  site.crash(*site.leader());
+  site.run_for(seconds(20));
+  ASSERT_TRUE(site.leader());
+  for (auto& [id, worker] : site.workers) {
+    http::Call late_call;
+    late_call.method = "POST";
+    late_call.target = "/do";
+    late_call.deadline = site.loop.now() + seconds(2);
     std::vector<Command> stops;
-    for (const auto& [key, task] : w->tasks) {
+    for (const auto& [key, task] : worker->tasks) {
       stops.push_back({Command::Op::stop, key.first, key.second, Seconds(0)});
     }
-    late.body = wire::write_commands(w->fencing_token - 1, w->incarnation, stops);
-    EXPECT_EQ(s.get(w->serve_command(std::move(late))).status, 409);
+    late_call.body = wire::write_commands(worker->fencing_token - 1, worker->incarnation, stops);
+    EXPECT_EQ(site.get(worker->serve_command(std::move(late_call))).status, 409);
   }
-  EXPECT_EQ(on_machines(spec), 4u);
-  expect_no_violations(s);
+  EXPECT_EQ(running_tasks(spec), 4u);
+  expect_no_violations(site);
 }
 
-TEST_F(Upgrade, AProcessThatEndsRightAfterItsFirstWriteLeavesNothingHalfDone) {
+TEST_F(Upgrade, RestartAfterFirstWriteCompletesJob) {
   const JobSpec spec = job("run-000001", 8);
-  ASSERT_EQ(s.submit(spec).status, 201);
+  ASSERT_EQ(site.submit(spec).status, 201);
   bool written = false;
-  s.store.call_fault = [&](const http::Call& call) {
+  site.store.call_fault = [&](const http::Call& call) {
     written |= is_transaction_on(call, "host/");
     return CallFault::none;
   };
-  for (int k = 0; k < 2000 && !written; ++k) s.run_for(Millis(5));
+  for (int i = 0; i < 2000 && !written; ++i) site.run_for(Millis(5));
   ASSERT_TRUE(written);
-  s.run_for(Millis(4));
-  s.restart(*s.leader());
-  s.store.call_fault = nullptr;
-  expect_done(spec, seconds(120));
+  site.run_for(Millis(4));
+  site.restart(*site.leader());
+  site.store.call_fault = nullptr;
+  expect_done_after(spec, seconds(120));
 }
 
-TEST_F(Upgrade, AllEndAtOnceHalfwayAndComeBack) {
+TEST_F(Upgrade, RestartsOfAllControllersCompleteJobs) {
   const JobSpec spec = job("run-000001", 16);
   JobSpec gang = job("run-000002", 3);
   gang.gang = true;
-  ASSERT_EQ(s.submit(spec).status, 201);
-  ASSERT_EQ(s.submit(gang).status, 201);
-  for (const auto away : {Millis(300), Millis(9000), Millis(20'000)}) {
-    s.run_for(seconds(5));
-    for (size_t i = 0; i < 3; ++i) s.crash(i);
-    s.run_for(away);
-    for (size_t i = 0; i < 3; ++i) s.restart(i);
+  ASSERT_EQ(site.submit(spec).status, 201);
+  ASSERT_EQ(site.submit(gang).status, 201);
+  for (const auto downtime : {Millis(300), Millis(9000), Millis(20'000)}) {
+    site.run_for(seconds(5));
+    for (size_t i = 0; i < 3; ++i) site.crash(i);
+    site.run_for(downtime);
+    for (size_t i = 0; i < 3; ++i) site.restart(i);
   }
-  s.run_for(seconds(150));
-  ASSERT_TRUE(s.leader());
-  EXPECT_EQ(s.job_state(spec.id, *s.leader()), "done");
-  EXPECT_EQ(s.job_state(gang.id, *s.leader()), "done");
-  expect_no_violations(s);
+  site.run_for(seconds(150));
+  ASSERT_TRUE(site.leader());
+  EXPECT_EQ(site.job_state(spec.id, *site.leader()), "done");
+  EXPECT_EQ(site.job_state(gang.id, *site.leader()), "done");
+  expect_no_violations(site);
 }
 
-TEST_F(Upgrade, TheRollAcrossAllProcessesOneByOneWhileTheLimitsFallLosesNothing) {
+TEST_F(Upgrade, RollingUpgradeWithLowerStoreLimitsCompletesAllJobs) {
   for (size_t n = 0; n < 10; ++n) {
-    ASSERT_EQ(s.submit(job("run-00001" + std::to_string(n), 6)).status, 201);
+    ASSERT_EQ(site.submit(job("run-00001" + std::to_string(n), 6)).status, 201);
   }
-  const settings::StoreLimits next{1000, 40, 2048, 5};
-  s.adjust_platform = [&](settings::Platform& platform) { platform.next_store_limits = next; };
+  const settings::StoreLimits next_limits{1000, 40, 2048, 5};
+  site.adjust_platform = [&](settings::Platform& platform) {
+    platform.next_store_limits = next_limits;
+  };
   for (size_t i = 0; i < 3; ++i) {
-    s.run_for(seconds(4));
-    s.restart(i);
+    site.run_for(seconds(4));
+    site.restart(i);
   }
-  s.run_for(seconds(2));
-  s.store.limits = next;
-  s.restart(1);  // and one ends again amid that
-  s.run_for(seconds(120));
+  site.run_for(seconds(2));
+  site.store.limits = next_limits;
+  site.restart(1);  // one more restart during the change of limits
+  site.run_for(seconds(120));
   for (size_t n = 0; n < 10; ++n) {
-    EXPECT_EQ(s.job_state("run-00001" + std::to_string(n), *s.leader()), "done") << n;
+    EXPECT_EQ(site.job_state("run-00001" + std::to_string(n), *site.leader()), "done") << n;
   }
-  expect_no_violations(s);
+  expect_no_violations(site);
 }
 
 }  // namespace
