--- a/tests/rules.hpp
+++ b/tests/rules.hpp
@@ -18,8 +18,8 @@
 //   quota          a team's running tasks exceed its limit
 //   ran_cancelled  a task started or ran later than the cancellation period after a cancellation
 //   not_done       a job was reported as done before all of its tasks had completed
-//   went_back      the reported state of a job changed after it was final, or a job was cancelled
-//                  without a request
+//   went_back      the reported state of a job changed after it was final, a job was cancelled
+//                  without a request, or a cancellation was confirmed with another state
 //   forgotten      an accepted job was answered as unknown or as invalid
 //   invented       a job that no user submitted was started or reported
 class RuleChecker {
