--- a/src/dunlinknot/autoscaler/autoscaler.cpp
+++ b/src/dunlinknot/autoscaler/autoscaler.cpp
@@ -1,4 +1,4 @@
-// Wiring of the autoscaler's parts, and the scan for machines to terminate.
+// Connects the autoscaler's components and selects the machines to terminate.
 #include "dunlinknot/autoscaler/autoscaler.hpp"
 
 #include <algorithm>
@@ -38,7 +38,7 @@
   co_return true;
 }
 
-Task<void> Autoscaler::work(uint64_t term) {
+Task<void> Autoscaler::run(uint64_t term) {
   while (context_.in_term(term)) {
     co_await scale_out_.record(term);
     if (context_.in_term(term)) co_await scale_in_.record(term);
@@ -49,38 +49,41 @@
   }
 }
 
-void Autoscaler::scan(std::vector<std::string> wanted, size_t waiting_tasks, Instant now) {
-  for (const Termination& termination : terminations(std::move(wanted), waiting_tasks, now)) {
+void Autoscaler::scan(std::vector<std::string> machines_to_keep, size_t waiting_tasks,
+                      Instant now) {
+  for (const Termination& termination :
+       decide_terminations(std::move(machines_to_keep), waiting_tasks, now)) {
     scale_in_.decide(termination);
   }
   scale_in_.release_resumed();
   if (roles_) {
-    scale_out_.settle(now);
-    // What could not be recorded or sent is tried again.
+    scale_out_.settle_confirmed_launches(now);
+    // Wakes the loop in run(), which retries requests that could not be recorded or sent.
     context_.scaling.notify();
   }
 }
 
-std::vector<Termination> Autoscaler::terminations(std::vector<std::string> wanted,
-                                                  size_t waiting_tasks, Instant now) {
-  std::sort(wanted.begin(), wanted.end());
+std::vector<Termination> Autoscaler::decide_terminations(std::vector<std::string> machines_to_keep,
+                                                         size_t waiting_tasks, Instant now) {
+  std::sort(machines_to_keep.begin(), machines_to_keep.end());
   const TerminationPolicy policy(context_.platform, context_.op);
-  std::vector<Termination> decided;
+  std::vector<Termination> terminations;
   context_.leader_state.with([&](LeaderState& leader) {
     const cluster::Cluster& cluster = leader.cluster;
     for (const std::string& id : cluster.unreachable_machines()) {
-      decided.push_back({id, TerminationReason::unreachable, ""});
+      terminations.push_back({id, TerminationReason::unreachable, ""});
     }
-    const TerminationScan scan{now, cluster.term_since(), std::move(wanted), waiting_tasks > 0};
+    const TerminationScan scan{now, cluster.term_since(), std::move(machines_to_keep),
+                               waiting_tasks > 0};
     for (const auto& [id, machine] : cluster.machines()) {
       const MachineType* type = machine->has_heartbeat ? nullptr : cluster.type(machine->type);
       const auto reason = policy.reason(*machine, type, scan);
       if (!reason) continue;
       const bool drained = *reason == TerminationReason::drained;
-      decided.push_back({id, *reason, drained ? machine->drain_reason : ""});
+      terminations.push_back({id, *reason, drained ? machine->drain_reason : ""});
     }
   });
-  return decided;
+  return terminations;
 }
 
 }  // namespace dunlinknot::autoscaler
--- a/src/dunlinknot/autoscaler/autoscaler.hpp
+++ b/src/dunlinknot/autoscaler/autoscaler.hpp
@@ -1,7 +1,8 @@
-// Scales the cluster: which machines are launched and terminated, and when.
+// Scales the cluster: decides which machines are launched and terminated, and when.
 //
-// The scheduler says what capacity it lacks; ScaleOut launches it. TerminationPolicy says which
-// machines are to go; ScaleIn terminates them. MachineInventory reads what the cloud lists.
+// ScaleOut launches the capacity that the scheduler requests. TerminationPolicy selects the
+// machines to terminate, and ScaleIn terminates them. MachineInventory reads the cloud's machine
+// list.
 #pragma once
 #include <string>
 #include <vector>
@@ -17,40 +18,43 @@
 
 namespace dunlinknot::autoscaler {
 
-// Owned by the daemon, which spawns `work` and `watch_machines` in each of its terms as the leader
-// and calls the rest from the scheduling loop. All on the controller's event loop; the cluster
-// state is read and changed under its lock, which is never held across a suspension.
+// Owned by the daemon, which spawns `run` and `watch_machines` in each of its terms as the leader
+// and calls the other functions from the leader loop. Everything runs on the controller's event
+// loop. The cluster state is read and changed under its lock, which is never held across a
+// suspension.
 class Autoscaler {
  public:
-  // `roles` is null when the singleton roles are turned off. All must outlive the autoscaler.
+  // `roles` is null when the singleton roles are disabled. All referenced objects must outlive the
+  // autoscaler.
   Autoscaler(cluster::LeaderContext& context, cloud::Client& cloud, roles::SingletonRoles* roles);
 
-  // Forgets what was decided in an earlier term.
+  // Discards all decisions of earlier terms.
   void begin_term();
-  // Acquires the singleton roles and resumes what a former holder decided; before anything is
-  // planned. False when the term ended meanwhile.
+  // Acquires the singleton roles and resumes the open intents of the previous holder. Has to
+  // complete before the first scheduling cycle. Returns false if the term ended meanwhile.
   Task<bool> acquire_roles(uint64_t term);
-  // Reads the cloud's machine list and catalogue, as long as the term lasts.
+  // Periodically reads the cloud's machine list and catalog until the term ends.
   Task<void> watch_machines(uint64_t term) { return inventory_.watch(term); }
-  // Records and sends launches and terminations, as long as the term lasts; woken by
+  // Records and sends launch and termination requests until the term ends. Woken by
   // `context.scaling`.
-  Task<void> work(uint64_t term);
+  Task<void> run(uint64_t term);
 
-  // What the scheduler has to know about launches under way.
+  // The launches in flight and the offers in backoff, as input of a scheduling cycle.
   scheduler::CloudCapacity cloud_capacity(Instant now) const {
     return scale_out_.cloud_capacity(now);
   }
-  // Launches what the scheduler asked for in its last cycle.
-  void order(const std::vector<scheduler::CapacityRequest>& capacity_requests) {
-    scale_out_.order(capacity_requests);
+  // Launches the capacity that the last scheduling cycle requested.
+  void request_launches(const std::vector<scheduler::CapacityRequest>& capacity_requests) {
+    scale_out_.request_launches(capacity_requests);
   }
-  // Decides which machines are terminated; called after each scheduling cycle. `wanted`: ids of
-  // machines that the cycle keeps although they are empty; `waiting_tasks`: left by it.
-  void scan(std::vector<std::string> wanted, size_t waiting_tasks, Instant now);
+  // Decides which machines are terminated. Called after each scheduling cycle. `machines_to_keep`:
+  // ids of empty machines that the cycle wants to keep. `waiting_tasks`: number of tasks that
+  // waited before the cycle's placements.
+  void scan(std::vector<std::string> machines_to_keep, size_t waiting_tasks, Instant now);
 
  private:
-  std::vector<Termination> terminations(std::vector<std::string> wanted, size_t waiting_tasks,
-                                        Instant now);
+  std::vector<Termination> decide_terminations(std::vector<std::string> machines_to_keep,
+                                               size_t waiting_tasks, Instant now);
 
   cluster::LeaderContext& context_;
   roles::SingletonRoles* roles_;
--- a/src/dunlinknot/autoscaler/machine_inventory.cpp
+++ b/src/dunlinknot/autoscaler/machine_inventory.cpp
@@ -1,4 +1,4 @@
-// Reading of the cloud's machine list and catalogue.
+// Reads the cloud's machine list and catalog, and applies them to the cluster state.
 #include "dunlinknot/autoscaler/machine_inventory.hpp"
 
 #include <spdlog/spdlog.h>
@@ -12,10 +12,11 @@
 using cluster::LeaderState;
 using cluster::Machine;
 
-constexpr auto kListEvery = std::chrono::seconds(3);
-constexpr auto kCatalogEvery = std::chrono::seconds(45);
-// Of the cloud's requests, for listing many machines: the rest is for launches and terminations.
-constexpr double kListShare = 0.5;
+constexpr auto kListInterval = std::chrono::seconds(3);
+constexpr auto kCatalogInterval = std::chrono::seconds(45);
+// Share of the cloud's request rate that listing may use; the rest is left to launches and
+// terminations.
+constexpr double kListRateShare = 0.5;
 
 }  // namespace
 
@@ -24,23 +25,25 @@
     : context_(context), cloud_(cloud), scale_out_(scale_out), scale_in_(scale_in) {}
 
 Task<void> MachineInventory::watch(uint64_t term) {
-  Instant next_catalog = context_.loop.now() + kCatalogEvery;
+  Instant next_catalog = context_.loop.now() + kCatalogInterval;
   while (context_.in_term(term)) {
-    const Instant began = context_.loop.now();
+    const Instant started = context_.loop.now();
     const size_t pages = co_await read_list(term);
     if (!context_.in_term(term)) co_return;
     if (context_.loop.now() >= next_catalog) {
-      next_catalog = context_.loop.now() + kCatalogEvery;
+      next_catalog = context_.loop.now() + kCatalogInterval;
       co_await read_catalog(term);
       if (!context_.in_term(term)) co_return;
     }
-    const Seconds paced(static_cast<double>(pages) / (context_.platform.cloud_rps * kListShare));
+    const Seconds min_pass_duration(static_cast<double>(pages) /
+                                    (context_.platform.cloud_rps * kListRateShare));
     co_await context_.loop.sleep_until(
-        std::max(context_.loop.now() + kListEvery, began + to_nanos(paced)));
+        std::max(context_.loop.now() + kListInterval, started + to_nanos(min_pass_duration)));
   }
 }
 
-// Applies page after page; returns how many there were, up to the first that cannot be read.
+// Reads and applies the list page by page and stops at the first page that cannot be read. Returns
+// the number of pages read.
 Task<size_t> MachineInventory::read_list(uint64_t term) {
   size_t pages = 0;
   std::string after;
@@ -50,7 +53,7 @@
     ++pages;
     apply(list->machines, context_.loop.now());
     if (!list->more || list->machines.empty()) {
-      scale_out_.list_was_read();
+      scale_out_.mark_list_read();
       co_return pages;
     }
     after = list->machines.back().id;
@@ -69,7 +72,7 @@
   std::vector<std::string> failed;
   context_.leader_state.with([&](LeaderState& leader) {
     for (const ListedMachine& listed : machines) {
-      if (leader.cluster.was_removed(listed.id)) continue;  // the list lags
+      if (leader.cluster.was_removed(listed.id)) continue;  // the list lags behind terminations
       const Applied applied = apply(leader.cluster, listed, now);
       changed |= applied.found || applied.failed;
       if (applied.failed) failed.push_back(listed.id);
@@ -86,9 +89,12 @@
   Machine& machine =
       cluster.register_machine(listed.id, listed.type, listed.zone, listed.spot, now);
   if (applied.found) {
-    // Not launched under this term, or by a request whose answer was lost: used like any other.
+    // Launched before this term, or by a request whose answer was lost. Used like any other
+    // machine.
     machine.known_since = now - to_nanos(listed.age);
-    spdlog::info("machine {} ({} in {}) found in the list", listed.id, listed.type, listed.zone);
+    spdlog::info(
+        "machine {} ({} in {}) is in the cloud's list but was not known; adding it to the cluster",
+        listed.id, listed.type, listed.zone);
   }
   machine.listed = true;
   machine.listed_running |= listed.state == MachineState::running;
--- a/src/dunlinknot/autoscaler/machine_inventory.hpp
+++ b/src/dunlinknot/autoscaler/machine_inventory.hpp
@@ -1,5 +1,4 @@
-// Reads what the cloud says about machines: the list of all that are launched, and the catalogue of
-// types.
+// Reads the cloud's list of launched machines and its catalog of machine types.
 #pragma once
 #include <string>
 #include <vector>
@@ -12,22 +11,22 @@
 namespace dunlinknot::autoscaler {
 
 // Keeps the cluster state up to date with the cloud's list, and passes failed machines to ScaleIn.
-// On the controller's event loop.
+// Runs on the controller's event loop.
 class MachineInventory {
  public:
-  // All must outlive the inventory.
+  // All referenced objects must outlive the inventory.
   MachineInventory(cluster::LeaderContext& context, cloud::Client& cloud, ScaleOut& scale_out,
                    ScaleIn& scale_in);
 
-  // Reads the list, and now and then the catalogue, as long as the term lasts. What cannot be read
-  // is read again in the next pass.
+  // Reads the machine list, and at a longer interval the catalog, until the term ends. A failed
+  // read is retried in the next pass.
   Task<void> watch(uint64_t term);
 
  private:
-  // What one entry of the list changed.
+  // The changes that one list entry made to the cluster state.
   struct Applied {
-    bool found = false;   // the machine was not known before
-    bool failed = false;  // it is listed as failed for the first time
+    bool found = false;   // the machine was not in the cluster state before
+    bool failed = false;  // the machine is listed as failed for the first time
   };
   Task<size_t> read_list(uint64_t term);
   Task<void> read_catalog(uint64_t term);
--- a/src/dunlinknot/autoscaler/refusal_backoff.cpp
+++ b/src/dunlinknot/autoscaler/refusal_backoff.cpp
@@ -1,4 +1,4 @@
-// Pauses after refused launches.
+// Exponential backoff for each refused offer.
 #include "dunlinknot/autoscaler/refusal_backoff.hpp"
 
 #include <algorithm>
@@ -7,18 +7,20 @@
 
 namespace {
 
-constexpr int kMaxPause = 8;  // times the first
+constexpr int kMaxPauseFactor = 8;  // upper bound of a pause, as a multiple of the initial pause
 
 }  // namespace
 
-void RefusalBackoff::refused(const scheduler::Offer& offer, Nanos first_pause, Instant now) {
+void RefusalBackoff::record_refusal(const scheduler::Offer& offer, Nanos initial_pause,
+                                    Instant now) {
   Refusal& refusal = refusals_[offer];
-  refusal.pause = refusal.pause == Nanos(0) ? first_pause
-                                            : std::min(refusal.pause * 2, first_pause * kMaxPause);
+  refusal.pause = refusal.pause == Nanos(0)
+                      ? initial_pause
+                      : std::min(refusal.pause * 2, initial_pause * kMaxPauseFactor);
   refusal.until = now + refusal.pause;
 }
 
-std::set<scheduler::Offer> RefusalBackoff::paused(Instant now) const {
+std::set<scheduler::Offer> RefusalBackoff::offers_in_backoff(Instant now) const {
   std::set<scheduler::Offer> offers;
   for (const auto& [offer, refusal] : refusals_) {
     if (refusal.until > now) offers.insert(offer);
--- a/src/dunlinknot/autoscaler/refusal_backoff.hpp
+++ b/src/dunlinknot/autoscaler/refusal_backoff.hpp
@@ -1,4 +1,4 @@
-// Backing off after the cloud had no capacity for a launch.
+// Backoff for offers that the cloud refused to launch for lack of capacity.
 #pragma once
 #include <map>
 #include <set>
@@ -8,19 +8,22 @@
 
 namespace dunlinknot::autoscaler {
 
-// Which offers are not asked for at present. Each refusal in a row doubles the pause, up to eight
-// times the first: what the cloud does not have it will mostly not have in a moment either, and
-// while the cheapest offers were asked for over and over, dearer ones with capacity were never
-// reached.
+// Tracks the offers that are currently in backoff. Each consecutive refusal doubles the pause, up
+// to eight times the initial pause. Capacity that the cloud lacks rarely returns within moments;
+// without the backoff the cheapest offers were requested repeatedly, and more expensive offers with
+// capacity were never tried.
 class RefusalBackoff {
  public:
-  // The cloud refused the offer. `first_pause`: after the first refusal in a row.
-  void refused(const scheduler::Offer& offer, Nanos first_pause, Instant now);
-  // There may be capacity: the cloud launched some, or a machine of ours was terminated.
+  // Records that the cloud refused the offer. `initial_pause` applies to the first of several
+  // consecutive refusals.
+  void record_refusal(const scheduler::Offer& offer, Nanos initial_pause, Instant now);
+  // Ends the backoff of an offer that may have capacity again: the cloud launched machines of it,
+  // or one of its machines was terminated.
   void reset(const scheduler::Offer& offer) { refusals_.erase(offer); }
   void clear() { refusals_.clear(); }
 
-  std::set<scheduler::Offer> paused(Instant now) const;
+  // The offers that must not be requested at the time `now`.
+  std::set<scheduler::Offer> offers_in_backoff(Instant now) const;
 
  private:
   struct Refusal {
--- a/src/dunlinknot/autoscaler/scale_in.cpp
+++ b/src/dunlinknot/autoscaler/scale_in.cpp
@@ -1,4 +1,4 @@
-// Terminations: decided, recorded, sent, answered.
+// The stages of a termination: decision, durable intent, request to the cloud, answer.
 #include "dunlinknot/autoscaler/scale_in.hpp"
 
 #include <spdlog/spdlog.h>
@@ -15,8 +15,8 @@
 using http::Outcome;
 using roles::Role;
 
-constexpr auto kRepeatPause = Millis(1500);  // before a request without an answer is repeated
-constexpr size_t kMaxBatch = 100;            // machines, the cloud's limit for one request
+constexpr auto kRetryDelay = Millis(1500);      // after a request that did not succeed
+constexpr size_t kMaxMachinesPerRequest = 100;  // the cloud's limit
 
 }  // namespace
 
@@ -37,7 +37,8 @@
       leader.cluster.mark_terminating(intent.machine);
       resumed_.insert(intent.machine);
     }
-    // Of an unreadable intent only the machine is known: it gets no work and is not terminated.
+    // An unreadable intent shows only its machine, not the decision: the machine gets no more work
+    // and is not terminated.
     for (const roles::UnreadableIntent& intent : open.unreadable) {
       const std::string_view machine = roles::machine_of_scale_in_key(intent.key);
       if (!machine.empty()) leader.cluster.mark_terminating(std::string(machine));
@@ -72,7 +73,9 @@
     }
   });
   for (const std::string& id : ready) {
-    spdlog::info("scaling in: terminating machine {}: decided by a former holder", id);
+    spdlog::info(
+        "scaling in: terminating machine {}: resuming the decision of the previous role holder",
+        id);
     resumed_.erase(id);
     ready_.push_back(id);
   }
@@ -98,7 +101,7 @@
 void ScaleIn::send(uint64_t term) {
   if (sending_ || ready_.empty()) return;
   if (roles_ && !roles_->holder.may_act(Role::scale_in)) return;
-  const size_t count = std::min(ready_.size(), kMaxBatch);
+  const size_t count = std::min(ready_.size(), kMaxMachinesPerRequest);
   const auto end = ready_.begin() + static_cast<ptrdiff_t>(count);
   std::vector<std::string> batch(std::make_move_iterator(ready_.begin()),
                                  std::make_move_iterator(end));
@@ -115,19 +118,19 @@
     apply_terminated(machines);
   } else {
     ready_.insert(ready_.end(), machines.begin(), machines.end());
-    co_await context_.loop.sleep(kRepeatPause);
+    co_await context_.loop.sleep(kRetryDelay);
     if (!context_.in_term(term)) co_return;
   }
   context_.scaling.notify();
 }
 
-// When the cloud has answered, nothing runs on the machines any more.
+// Once the cloud has confirmed the termination, nothing runs on the machines any more.
 void ScaleIn::apply_terminated(const std::vector<std::string>& machines) {
   Effects effects;
   context_.leader_state.with([&](LeaderState& leader) {
     for (const auto& id : machines) {
       if (const Machine* machine = leader.cluster.find_machine(id))
-        scale_out_.end_refusal({machine->type, machine->zone, machine->spot});
+        scale_out_.reset_backoff({machine->type, machine->zone, machine->spot});
       effects |= leader.cluster.remove_machine(id, context_.loop.now());
     }
   });
--- a/src/dunlinknot/autoscaler/scale_in.hpp
+++ b/src/dunlinknot/autoscaler/scale_in.hpp
@@ -1,7 +1,7 @@
-// Terminating machines: what is decided is sent to the cloud, again and again until it answers. A
-// decision is never taken back.
+// Terminates machines: each decision is sent to the cloud and retried until the cloud confirms it.
+// A decision is never revoked.
 //
-// With the singleton roles on, a machine's termination is sent only once its intent is durable.
+// With singleton roles enabled, a termination is sent only once its intent is durable.
 #pragma once
 #include <deque>
 #include <set>
@@ -16,28 +16,29 @@
 
 namespace dunlinknot::autoscaler {
 
-// The terminations of this controller's term. On the controller's event loop.
+// The terminations of this controller's term. Runs on the controller's event loop.
 class ScaleIn {
  public:
-  // `roles` is null when the singleton roles are turned off. All must outlive this object;
-  // a termination ends the back-off of `scale_out` for that kind of machine.
+  // `roles` is null when the singleton roles are disabled. All referenced objects must outlive this
+  // one. A termination ends the backoff of `scale_out` for the machine's offer.
   ScaleIn(cluster::LeaderContext& context, cloud::Client& cloud, roles::SingletonRoles* roles,
           ScaleOut& scale_out);
 
-  // Forgets what was decided in an earlier term.
+  // Discards all decisions of earlier terms.
   void begin_term();
-  // Resumes what a former holder decided. These machines get no more work; they are terminated once
-  // nothing is allocated there: a controller whose singleton roles are off may have led in between.
+  // Resumes the open terminations of the previous role holder. These machines get no more work.
+  // Each is terminated only once it has no allocations, because a controller with singleton roles
+  // disabled, which does not know the intents, may have led in between.
   void resume(const roles::OpenIntents& open);
 
-  // Decides that the machine is terminated; without effect if that is decided already, or if the
-  // machine is not known. It gets no more work from now on.
+  // Decides to terminate the machine, which gets no more work from now on. Does nothing if that is
+  // decided already or the machine is not known.
   void decide(const Termination& termination);
-  // Lets those of the resumed terminations be sent whose machines are empty by now.
+  // Makes the resumed terminations whose machines have no allocations ready to be sent.
   void release_resumed();
-  // Makes decisions durable; a failure is tried again with the next call.
+  // Writes the intents of new decisions. A failed write is retried by the next call.
   Task<void> record(uint64_t term);
-  // Sends the next request, one at a time.
+  // Sends the next request unless one is in flight.
   void send(uint64_t term);
 
  private:
@@ -48,10 +49,10 @@
   cloud::Client& cloud_;
   roles::SingletonRoles* roles_;
   ScaleOut& scale_out_;
-  std::deque<Termination> unrecorded_;  // decided, the intent not durable yet
-  std::deque<std::string> ready_;       // machines, to be sent to the cloud
-  std::set<std::string> resumed_;  // machines that a former holder decided about, not ready yet
-  bool sending_ = false;           // a request is being sent
+  std::deque<Termination> unrecorded_;  // decisions whose intents are not durable yet
+  std::deque<std::string> ready_;       // machines whose termination may be sent to the cloud
+  std::set<std::string> resumed_;       // machines of resumed terminations that are not ready yet
+  bool sending_ = false;                // a request is in flight
 };
 
 }  // namespace dunlinknot::autoscaler
--- a/src/dunlinknot/autoscaler/termination_policy.cpp
+++ b/src/dunlinknot/autoscaler/termination_policy.cpp
@@ -9,9 +9,9 @@
 
 using cluster::Machine;
 
-constexpr Seconds kBootSlack{15};          // on top of the boot time, whatever the type
-constexpr double kHeartbeatSpread = 1.25;  // heartbeats come every interval, give or take a quarter
-constexpr Seconds kHeartbeatSlack{1};      // for delays on the way
+constexpr Seconds kBootTimeMargin{15};        // added to the boot deadline of every machine type
+constexpr double kMaxHeartbeatFactor = 1.25;  // heartbeat intervals vary by up to a quarter
+constexpr Seconds kHeartbeatMargin{1};        // for network delay
 
 }  // namespace
 
@@ -21,11 +21,11 @@
       return "it failed";
     case TerminationReason::unreachable:
       return "our responses do not reach it";
-    case TerminationReason::never_came_up:
+    case TerminationReason::boot_timeout:
       return "it never came up";
-    case TerminationReason::silent:
+    case TerminationReason::no_heartbeat:
       return "its worker stays silent";
-    case TerminationReason::interrupted_silent:
+    case TerminationReason::interrupted_no_heartbeat:
       return "interrupted and silent";
     case TerminationReason::interrupted_empty:
       return "interrupted and empty";
@@ -33,7 +33,7 @@
       return "";
     case TerminationReason::idle:
       return "idle";
-    case TerminationReason::idle_unfit:
+    case TerminationReason::idle_no_fitting_task:
       return "idle, and nothing that waits fits";
   }
   return "";
@@ -46,10 +46,11 @@
 
 TerminationPolicy::TerminationPolicy(const settings::Platform& platform,
                                      const settings::Operator& operator_settings)
-    : lost_after_(to_nanos(platform.lease + operator_settings.lost_return)),
-      silent_after_(to_nanos(platform.heartbeat_interval * kHeartbeatSpread + kHeartbeatSlack)),
-      idle_return_(to_nanos(operator_settings.idle_return)),
-      boot_patience_(operator_settings.boot_patience) {}
+    : lost_timeout_(to_nanos(platform.lease + operator_settings.lost_return)),
+      heartbeat_timeout_(
+          to_nanos(platform.heartbeat_interval * kMaxHeartbeatFactor + kHeartbeatMargin)),
+      idle_timeout_(to_nanos(operator_settings.idle_return)),
+      boot_time_factor_(operator_settings.boot_patience) {}
 
 std::optional<TerminationReason> TerminationPolicy::reason(const Machine& machine,
                                                            const MachineType* type,
@@ -59,36 +60,38 @@
     if (!type) return std::nullopt;
     return without_heartbeat(machine, *type, scan);
   }
-  const Nanos silence = scan.now - machine.last_heartbeat;
+  const Nanos time_since_heartbeat = scan.now - machine.last_heartbeat;
   if (machine.lost) {
-    if (silence > lost_after_) return TerminationReason::silent;
+    if (time_since_heartbeat > lost_timeout_) return TerminationReason::no_heartbeat;
     return std::nullopt;
   }
-  // Checkpoints that were not saved there cannot be saved any more: no reason to wait for the
-  // lease.
-  if (machine.interruption_at && silence > silent_after_) {
-    return TerminationReason::interrupted_silent;
+  // An interrupted machine without heartbeats cannot save checkpoints any more, so there is no
+  // reason to wait for its lease to expire.
+  if (machine.interruption_at && time_since_heartbeat > heartbeat_timeout_) {
+    return TerminationReason::interrupted_no_heartbeat;
   }
   if (!machine.allocations.empty()) return std::nullopt;
   return when_empty(machine, scan);
 }
 
-// Some machines take several times their type's boot time; some never come up and cost until they
-// are terminated. Whatever a former leader allocated there ends with the termination.
+// Some machines take several times their type's boot time to boot. Some never come up and incur
+// cost until they are terminated. The termination ends any allocations that a former leader made
+// there.
 std::optional<TerminationReason> TerminationPolicy::without_heartbeat(
     const Machine& machine, const MachineType& type, const TerminationScan& scan) const {
-  // A new leader has had no heartbeat from anybody yet. A machine that is up, or was while another
-  // node led, is given the time that a silent one has before it is given up.
-  const Instant heartbeat_due = scan.term_since + lost_after_;
+  // A new leader has not received any heartbeats yet. A machine that is up, or was up under a
+  // former leader, gets the same timeout as a lost machine.
+  const Instant heartbeat_deadline = scan.term_since + lost_timeout_;
   const bool was_up = machine.listed_running || !machine.allocations.empty();
   if (was_up) {
-    if (scan.now > heartbeat_due) return TerminationReason::silent;
+    if (scan.now > heartbeat_deadline) return TerminationReason::no_heartbeat;
     return std::nullopt;
   }
-  const Instant up_by = machine.known_since + to_nanos(type.boot * boot_patience_ + kBootSlack);
+  const Instant boot_deadline =
+      machine.known_since + to_nanos(type.boot * boot_time_factor_ + kBootTimeMargin);
   const bool known_in_this_term = machine.known_since > scan.term_since;
-  if (scan.now > up_by && (scan.now > heartbeat_due || known_in_this_term)) {
-    return TerminationReason::never_came_up;
+  if (scan.now > boot_deadline && (scan.now > heartbeat_deadline || known_in_this_term)) {
+    return TerminationReason::boot_timeout;
   }
   return std::nullopt;
 }
@@ -97,9 +100,10 @@
                                                                const TerminationScan& scan) const {
   if (machine.draining) return TerminationReason::drained;
   if (machine.interruption_at) return TerminationReason::interrupted_empty;
-  if (scan.now - machine.idle_since <= idle_return_) return std::nullopt;
-  if (std::binary_search(scan.wanted.begin(), scan.wanted.end(), machine.id)) return std::nullopt;
-  return scan.tasks_wait ? TerminationReason::idle_unfit : TerminationReason::idle;
+  if (scan.now - machine.idle_since <= idle_timeout_) return std::nullopt;
+  if (std::binary_search(scan.machines_to_keep.begin(), scan.machines_to_keep.end(), machine.id))
+    return std::nullopt;
+  return scan.has_waiting_tasks ? TerminationReason::idle_no_fitting_task : TerminationReason::idle;
 }
 
 }  // namespace dunlinknot::autoscaler
--- a/src/dunlinknot/autoscaler/termination_policy.hpp
+++ b/src/dunlinknot/autoscaler/termination_policy.hpp
@@ -1,7 +1,7 @@
-// When a machine is terminated, and why: the whole policy, without I/O.
+// Decides when and why a machine is terminated. Does no I/O.
 //
-// Terminating a machine is also the quick fence: once the cloud has answered, nothing runs there
-// any more, and its tasks may be started elsewhere without waiting for the machine's lease.
+// Termination is also the fastest way to fence a machine: once the cloud has confirmed it, nothing
+// runs there any more, and the machine's tasks may be started elsewhere before its lease expires.
 #pragma once
 #include <optional>
 #include <string>
@@ -14,49 +14,52 @@
 
 namespace dunlinknot::autoscaler {
 
-// Why a machine is terminated. The enumerators are not stored; their texts are.
+// Why a machine is terminated. Intents store the text of the reason, not the enumerator.
 enum class TerminationReason : uint8_t {
-  failed,              // the cloud lists it as failed
-  unreachable,         // its heartbeats arrive, but our responses do not reach it
-  never_came_up,       // no heartbeat within several times its type's boot time
-  silent,              // no heartbeat for longer than its lease and the grace after it
-  interrupted_silent,  // interruption notice, then no heartbeat: taken back, or about to be
-  interrupted_empty,   // interruption notice, and nothing is allocated there
-  drained,             // draining, and nothing is allocated there any more
-  idle,                // nothing is allocated there, and no task waits
-  idle_unfit,          // nothing is allocated there, and no waiting task fits
+  failed,                    // the cloud lists the machine as failed
+  unreachable,               // heartbeats arrive, but responses do not reach the machine
+  boot_timeout,              // no heartbeat within several times its type's boot time
+  no_heartbeat,              // no heartbeat for longer than the lease and the lost-return setting
+  interrupted_no_heartbeat,  // interruption notice, then no heartbeat: probably reclaimed
+  interrupted_empty,         // interruption notice, and no allocations
+  drained,                   // drained, and no allocations any more
+  idle,                      // no allocations, and no task waits
+  idle_no_fitting_task,      // no allocations, and no waiting task fits
 };
 
-// The reason in log lines and in the stored intent. A drained machine's is the reason why it was
-// drained, which it bears itself: empty here.
+// The text of the reason in log lines and stored intents. Empty for a drained machine, whose text
+// is Termination::drain_reason.
 std::string_view text(TerminationReason reason);
 
-// A machine that is to be terminated.
+// The decision to terminate a machine.
 struct Termination {
   std::string machine;
   TerminationReason reason = TerminationReason::idle;
-  std::string drain_reason;  // of a drained machine only
+  std::string drain_reason;  // only with TerminationReason::drained
 };
+// The text of the reason in log lines and stored intents.
 std::string_view text(const Termination& termination);
 
-// What the policy needs to know besides the machine itself; the same for all machines of one scan.
+// The inputs of the policy that are the same for all machines of one scan.
 struct TerminationScan {
   Instant now{};
-  Instant term_since{};             // when this controller's term began
-  std::vector<std::string> wanted;  // ids of machines that the scheduler keeps, sorted
-  bool tasks_wait = false;
+  Instant term_since{};                       // when this controller's term began
+  std::vector<std::string> machines_to_keep;  // ids of machines that the scheduler keeps, sorted
+  bool has_waiting_tasks = false;
 };
 
-// Decides about one machine at a time. Pure; the caller holds the lock of the machine's state.
+// Evaluates one machine at a time, without side effects. The caller holds the lock on the machine's
+// state.
 class TerminationPolicy {
  public:
   TerminationPolicy(const settings::Platform& platform,
                     const settings::Operator& operator_settings);
 
-  // Whether the machine is to be terminated; nothing also when that is decided already. Machines
-  // that our responses do not reach are the caller's: how many may be terminated at once depends
-  // on all others (Cluster::unreachable_machines). `type` is the machine's, looked up only for
-  // machines without a heartbeat, and may be null if the catalogue does not have it.
+  // Why the machine should be terminated; empty if it should be kept or its termination is decided
+  // already. Also empty for unreachable machines, which the caller handles: how many of them may be
+  // terminated at once depends on all other machines (Cluster::unreachable_machines). `type` is the
+  // machine's type and only used for machines without a heartbeat; null if the catalog does not
+  // have the type.
   std::optional<TerminationReason> reason(const cluster::Machine& machine, const MachineType* type,
                                           const TerminationScan& scan) const;
 
@@ -67,10 +70,10 @@
   std::optional<TerminationReason> when_empty(const cluster::Machine& machine,
                                               const TerminationScan& scan) const;
 
-  Nanos lost_after_;  // without a heartbeat, until a machine is given up
-  Nanos silent_after_;
-  Nanos idle_return_;
-  double boot_patience_;  // times the type's boot time
+  Nanos lost_timeout_;  // time since the last heartbeat after which a lost machine is terminated
+  Nanos heartbeat_timeout_;  // longest expected time between two heartbeats
+  Nanos idle_timeout_;
+  double boot_time_factor_;  // multiple of the type's boot time
 };
 
 }  // namespace dunlinknot::autoscaler
--- a/src/dunlinknot/cloud/client.cpp
+++ b/src/dunlinknot/cloud/client.cpp
@@ -1,4 +1,4 @@
-// Calls to the cloud over HTTP, and what their answers mean.
+// HTTP calls to the cloud and the interpretation of their answers.
 #include "dunlinknot/cloud/client.hpp"
 
 #include <spdlog/spdlog.h>
@@ -9,18 +9,18 @@
 
 namespace {
 
-constexpr auto kCallTime = std::chrono::seconds(5);
-constexpr size_t kPageMachines = 500;   // the most that the cloud lists in one answer
-constexpr size_t kMachineBytes = 1024;  // of one listed machine; names have up to 150 bytes
-constexpr size_t kMaxBody = kPageMachines * kMachineBytes;
-constexpr double kRateShare = 0.9;  // of the cloud's limit, to stay clear of it
+constexpr auto kCallTimeout = std::chrono::seconds(5);
+constexpr size_t kMachinesPerPage = 500;      // the cloud's limit for one page of the list
+constexpr size_t kMaxBytesPerMachine = 1024;  // of one list entry; names have up to 150 bytes
+constexpr size_t kMaxBodyBytes = kMachinesPerPage * kMaxBytesPerMachine;
+constexpr double kRateShare = 0.9;  // share of the cloud's rate limit that is used, as a margin
 
 constexpr int kStatusOk = 200;
 constexpr int kStatusThrottled = 429;
 constexpr int kStatusUnavailable = 503;
 
-// The cloud answered that it did not carry the request out.
-bool refuses(const http::Reply& reply) {
+// Whether the cloud answered that it did not carry the request out.
+bool is_refusal(const http::Reply& reply) {
   return reply.status == kStatusThrottled || reply.status == kStatusUnavailable;
 }
 
@@ -30,25 +30,25 @@
 
 }  // namespace
 
-Client::Client(EventLoop& loop, http::Transport& transport, http::Endpoint at,
+Client::Client(EventLoop& loop, http::Transport& transport, http::Endpoint endpoint,
                double requests_per_second)
     : loop_(loop),
       transport_(transport),
-      at_(at),
+      endpoint_(endpoint),
       rate_limit_(requests_per_second * kRateShare, std::max(1.0, requests_per_second)) {}
 
 Task<http::Reply> Client::call(std::string method, std::string target, std::string body) {
   while (!rate_limit_.take(loop_.now())) co_await loop_.sleep(rate_limit_.until(loop_.now()));
   http::Call call;
-  call.to = at_;
+  call.to = endpoint_;
   call.method = std::move(method);
   call.target = std::move(target);
   call.body = std::move(body);
-  call.deadline = loop_.now() + kCallTime;
-  call.max_body = kMaxBody;
+  call.deadline = loop_.now() + kCallTimeout;
+  call.max_body = kMaxBodyBytes;
   http::Reply reply = co_await transport_.exchange(std::move(call));
-  if (reply.outcome == Outcome::ok && refuses(reply)) reply.outcome = Outcome::refused;
-  answering_ = reply.outcome == Outcome::ok || refuses(reply);
+  if (reply.outcome == Outcome::ok && is_refusal(reply)) reply.outcome = Outcome::refused;
+  answering_ = reply.outcome == Outcome::ok || is_refusal(reply);
   co_return reply;
 }
 
@@ -56,7 +56,7 @@
   http::Reply reply = co_await call("GET", std::string(wire::kCatalogPath), "");
   if (!succeeded(reply)) co_return std::nullopt;
   auto types = wire::read_catalog(reply.body);
-  if (!types) spdlog::info("cloud: unreadable catalogue, ignored");
+  if (!types) spdlog::info("cloud: cannot parse the catalog of machine types; ignoring it");
   co_return types;
 }
 
@@ -74,19 +74,21 @@
     answering_ = false;
   }
   if (reply.outcome != Outcome::ok) {
-    // Without an answer of the cloud itself a refusal is no evidence about the request.
+    // Only an answer from the cloud itself proves that the request was not carried out.
     const bool refused = reply.outcome == Outcome::refused && answering_;
     result.outcome = refused ? LaunchOutcome::refused : LaunchOutcome::unknown;
     co_return result;
   }
   if (reply.status != kStatusOk) {
-    spdlog::error("cloud: launch {} refused with status {}", request.name, reply.status);
+    spdlog::error("cloud: launch {} rejected with HTTP status {}; treating it as not carried out",
+                  request.name, reply.status);
     result.outcome = LaunchOutcome::refused;
     co_return result;
   }
   auto machines = wire::read_launched(reply.body);
   if (!machines) {
-    spdlog::info("cloud: unreadable answer to launch {}, taken as unknown", request.name);
+    spdlog::info("cloud: cannot parse the answer to launch {}; treating its outcome as unknown",
+                 request.name);
     co_return result;
   }
   result.outcome = LaunchOutcome::launched;
@@ -102,10 +104,10 @@
 }
 
 Task<std::optional<MachineList>> Client::list(std::string after) {
-  http::Reply reply = co_await call("GET", wire::machine_list_target(kPageMachines, after), "");
+  http::Reply reply = co_await call("GET", wire::machine_list_target(kMachinesPerPage, after), "");
   if (!succeeded(reply)) co_return std::nullopt;
   auto list = wire::read_machines(reply.body);
-  if (!list) spdlog::info("cloud: unreadable machine list, ignored");
+  if (!list) spdlog::info("cloud: cannot parse a page of the machine list; ignoring it");
   co_return list;
 }
 
--- a/src/dunlinknot/cloud/client.hpp
+++ b/src/dunlinknot/cloud/client.hpp
@@ -1,5 +1,5 @@
-// The cloud: its catalogue of machine types, its list of launched machines, launches and
-// terminations.
+// Client of the cloud's API: the catalog of machine types, the list of launched machines, launches
+// and terminations.
 #pragma once
 #include <optional>
 #include <string>
@@ -13,10 +13,10 @@
 
 using http::Outcome;
 
-// A request for machines of one kind in one zone.
+// A request to launch machines of one type in one zone.
 struct LaunchRequest {
-  // Makes the request idempotent: a name that was answered with machines gets the same answer
-  // again, and launches nothing.
+  // Idempotency key: once a request was answered with machines, further requests under its name get
+  // the same answer and launch nothing.
   std::string name;
   std::string type;
   std::string zone;
@@ -24,40 +24,40 @@
   uint32_t count = 0;
 };
 
-// How one copy of a launch request ended. Says nothing of other copies under the same name.
+// The outcome of one copy of a launch request. Does not apply to other copies under the same name.
 enum class LaunchOutcome : uint8_t {
-  launched,     // `machines` were launched, perhaps fewer than asked for
-  no_capacity,  // certainly not carried out: the cloud has no machine of that kind
-  refused,      // certainly not carried out: throttled, or not a valid request
-  unknown,      // may have been carried out, or may yet be; or the cloud fails
+  launched,     // `machines` were launched, possibly fewer than requested
+  no_capacity,  // certainly not carried out: the cloud has no capacity of that kind
+  refused,      // certainly not carried out: throttled, or an invalid request
+  unknown,      // may have been or may still be carried out, or the cloud failed
 };
 
-// The answer to a launch request, or that there was none.
+// The result of a launch request.
 struct LaunchResult {
   LaunchOutcome outcome = LaunchOutcome::unknown;
-  std::vector<std::string> machines;  // ids
+  std::vector<std::string> machines;  // ids; only with LaunchOutcome::launched
 };
 
-// Typed calls, each with a deadline and within the cloud's rate limit: a call that would exceed it
-// waits. Never retries. On the controller's event loop; called by the autoscaler, and for the
-// catalogue by the daemon.
+// Typed calls, each with a deadline. A call that would exceed the cloud's rate limit is delayed.
+// Calls are never retried here. Runs on the controller's event loop; called by the autoscaler, and
+// for the catalog by the daemon.
 class Client {
  public:
-  // `requests_per_second`: the cloud's limit, of which a tenth is left unused.
-  Client(EventLoop& loop, http::Transport& transport, http::Endpoint at,
+  // `requests_per_second`: the cloud's rate limit, of which a tenth is left unused.
+  Client(EventLoop& loop, http::Transport& transport, http::Endpoint endpoint,
          double requests_per_second);
 
-  // Nothing when it cannot be read.
+  // The catalog of machine types; empty if it cannot be read.
   Task<std::optional<std::vector<MachineType>>> catalog();
   Task<LaunchResult> launch(LaunchRequest request);
-  // Terminates machines. With `ok` nothing runs on any of them any more, also if some were not
-  // known to the cloud; any other outcome: to be repeated.
+  // Terminates machines. With Outcome::ok nothing runs on any of them any more, even if the cloud
+  // did not know some of them. After any other outcome the caller has to retry.
   Task<Outcome> terminate(std::vector<std::string> machines);
-  // One page of the list of machines, from the first one after `after`; nothing when it cannot be
-  // read. The list lags behind launches and terminations.
+  // One page of the machine list, from the first machine after the id `after`; empty if it cannot
+  // be read. The list lags behind launches and terminations.
   Task<std::optional<MachineList>> list(std::string after);
 
-  // Whether the cloud served its last request, were it only by a refusal.
+  // Whether the cloud answered the last request, even with a refusal.
   bool answering() const { return answering_; }
 
  private:
@@ -65,7 +65,7 @@
 
   EventLoop& loop_;
   http::Transport& transport_;
-  http::Endpoint at_;
+  http::Endpoint endpoint_;
   TokenBucket rate_limit_;
   bool answering_ = true;
 };
--- a/src/dunlinknot/node/failover.cpp
+++ b/src/dunlinknot/node/failover.cpp
@@ -72,7 +72,7 @@
   loop.spawn(parts_.allocation_store.store_progress(term));
   loop.spawn(parts_.stop_caller.run(term));
   loop.spawn(parts_.heartbeats.release_responses(term));
-  loop.spawn(parts_.autoscaler.work(term));
+  loop.spawn(parts_.autoscaler.run(term));
   loop.spawn(parts_.autoscaler.watch_machines(term));
   loop.spawn(parts_.leader_loop.run(term));
   loop.spawn(parts_.catalog_keeper.store(term));
--- a/src/dunlinknot/node/leader_loop.cpp
+++ b/src/dunlinknot/node/leader_loop.cpp
@@ -95,7 +95,7 @@
   preemptions_ += plan.preemptions.size();
   context_.follow_up(effects);
   log_waiting(plan, now);
-  autoscaler_.order(plan.capacity_requests);
+  autoscaler_.request_launches(plan.capacity_requests);
   autoscaler_.scan(plan.machines_to_keep, plan.waiting_tasks, now);
 }
 
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -53,9 +53,9 @@
   EXPECT_EQ(reason(), std::nullopt) << "not longer than the setting";
   machine.idle_since -= Nanos(1);
   EXPECT_EQ(reason(), TerminationReason::idle);
-  scan.tasks_wait = true;
-  EXPECT_EQ(reason(), TerminationReason::idle_unfit);
-  scan.wanted = {"vm-0", "vm-1", "vm-2"};
+  scan.has_waiting_tasks = true;
+  EXPECT_EQ(reason(), TerminationReason::idle_no_fitting_task);
+  scan.machines_to_keep = {"vm-0", "vm-1", "vm-2"};
   EXPECT_EQ(reason(), std::nullopt);
 }
 
@@ -87,7 +87,7 @@
   machine.last_heartbeat = scan.now - to_nanos(Seconds(2 * 1.25 + 1));
   EXPECT_EQ(reason(), std::nullopt) << "its next heartbeat may still be under way";
   machine.last_heartbeat -= Nanos(1);
-  EXPECT_EQ(reason(), TerminationReason::interrupted_silent);
+  EXPECT_EQ(reason(), TerminationReason::interrupted_no_heartbeat);
 }
 
 TEST_F(TerminationPolicyTest, GivesALostMachineUpAfterItsLeaseAndTheGrace) {
@@ -96,7 +96,7 @@
   machine.last_heartbeat = scan.now - seconds(50);
   EXPECT_EQ(reason(), std::nullopt);
   machine.last_heartbeat -= Nanos(1);
-  EXPECT_EQ(reason(), TerminationReason::silent);
+  EXPECT_EQ(reason(), TerminationReason::no_heartbeat);
 }
 
 TEST_F(TerminationPolicyTest, GivesAMachineOfThisTermItsBootTimeAndPatience) {
@@ -105,7 +105,7 @@
   ASSERT_LT(scan.now, kTermSince + seconds(60));
   EXPECT_EQ(reason(), std::nullopt);
   scan.now += Nanos(1);
-  EXPECT_EQ(reason(), TerminationReason::never_came_up);
+  EXPECT_EQ(reason(), TerminationReason::boot_timeout);
 }
 
 TEST_F(TerminationPolicyTest, GivesMachinesOfEarlierTermsTheTimeOfASilentOne) {
@@ -117,17 +117,17 @@
     scan.now = due;
     EXPECT_EQ(reason(), std::nullopt);
     scan.now = due + Nanos(1);
-    EXPECT_EQ(reason(), was_up ? TerminationReason::silent : TerminationReason::never_came_up);
+    EXPECT_EQ(reason(), was_up ? TerminationReason::no_heartbeat : TerminationReason::boot_timeout);
   }
   machine.listed_running = false;
   allocate();
-  EXPECT_EQ(reason(), TerminationReason::silent) << "something ran there, so it was up";
+  EXPECT_EQ(reason(), TerminationReason::no_heartbeat) << "something ran there, so it was up";
 }
 
 TEST_F(TerminationPolicyTest, KeepsAMachineOfAnUnknownTypeWithoutHeartbeat) {
   machine.has_heartbeat = false;
   machine.known_since = kTermSince - seconds(500);
-  ASSERT_EQ(reason(), TerminationReason::never_came_up);
+  ASSERT_EQ(reason(), TerminationReason::boot_timeout);
   EXPECT_EQ(TerminationPolicy(platform, operator_settings).reason(machine, nullptr, scan),
             std::nullopt);
 }
@@ -136,12 +136,12 @@
 TEST(TerminationReason, HasTheTextThatIsStored) {
   EXPECT_EQ(text(TerminationReason::failed), "it failed");
   EXPECT_EQ(text(TerminationReason::unreachable), "our responses do not reach it");
-  EXPECT_EQ(text(TerminationReason::never_came_up), "it never came up");
-  EXPECT_EQ(text(TerminationReason::silent), "its worker stays silent");
-  EXPECT_EQ(text(TerminationReason::interrupted_silent), "interrupted and silent");
+  EXPECT_EQ(text(TerminationReason::boot_timeout), "it never came up");
+  EXPECT_EQ(text(TerminationReason::no_heartbeat), "its worker stays silent");
+  EXPECT_EQ(text(TerminationReason::interrupted_no_heartbeat), "interrupted and silent");
   EXPECT_EQ(text(TerminationReason::interrupted_empty), "interrupted and empty");
   EXPECT_EQ(text(TerminationReason::idle), "idle");
-  EXPECT_EQ(text(TerminationReason::idle_unfit), "idle, and nothing that waits fits");
+  EXPECT_EQ(text(TerminationReason::idle_no_fitting_task), "idle, and nothing that waits fits");
 }
 
 TEST(RefusalBackoff, DoublesThePauseUpToEightTimesAndStartsAnewAfterAReset) {
@@ -150,19 +150,19 @@
   RefusalBackoff backoff;
   Instant now = kTermSince;
   for (const int pause : {15, 30, 60, 120, 120}) {
-    backoff.refused(offer, seconds(15), now);
-    EXPECT_EQ(backoff.paused(now + seconds(pause) - Nanos(1)), std::set{offer});
-    EXPECT_TRUE(backoff.paused(now + seconds(pause)).empty());
+    backoff.record_refusal(offer, seconds(15), now);
+    EXPECT_EQ(backoff.offers_in_backoff(now + seconds(pause) - Nanos(1)), std::set{offer});
+    EXPECT_TRUE(backoff.offers_in_backoff(now + seconds(pause)).empty());
     now += seconds(pause);
   }
-  backoff.refused(offer, seconds(15), now);
-  backoff.refused(other, seconds(15), now);
+  backoff.record_refusal(offer, seconds(15), now);
+  backoff.record_refusal(other, seconds(15), now);
   backoff.reset(offer);
-  EXPECT_EQ(backoff.paused(now), std::set{other});
-  backoff.refused(offer, seconds(15), now);
-  EXPECT_TRUE(backoff.paused(now + seconds(15)).empty()) << "as after a first refusal";
+  EXPECT_EQ(backoff.offers_in_backoff(now), std::set{other});
+  backoff.record_refusal(offer, seconds(15), now);
+  EXPECT_TRUE(backoff.offers_in_backoff(now + seconds(15)).empty()) << "as after a first refusal";
   backoff.clear();
-  EXPECT_TRUE(backoff.paused(now).empty());
+  EXPECT_TRUE(backoff.offers_in_backoff(now).empty());
 }
 
 }  // namespace
