--- a/src/dunlinknot/jobs/admission.cpp
+++ b/src/dunlinknot/jobs/admission.cpp
@@ -1,4 +1,5 @@
-// Checks of a submission that need no call: can the job ever run, can it be stored.
+// Admission checks that need no remote call: whether a job can ever run, and whether its record can
+// be stored.
 #include "dunlinknot/jobs/admission.hpp"
 
 #include <algorithm>
@@ -9,19 +10,19 @@
 
 namespace {
 
-// All tasks of a gang or a service run at the same time; those of an array may do so one after the
-// other.
-bool runs_at_once(const JobSpec& spec) {
+// All tasks of a gang or a service run at the same time; the tasks of an array may run one after
+// another.
+bool needs_all_tasks_at_once(const JobSpec& spec) {
   return spec.gang || spec.service;
 }
 
-// A limit of 0 is none.
+// A limit of 0 means unlimited.
 bool exceeds(double need, double limit) {
   return limit > 0 && need > limit + Resources::kSlack;
 }
 
 bool exceeds_team_limit(const JobSpec& spec, const settings::Team& team) {
-  const double tasks = runs_at_once(spec) ? spec.tasks : 1;
+  const double tasks = needs_all_tasks_at_once(spec) ? spec.tasks : 1;
   return exceeds(spec.need.cpus * tasks, team.cpus_max) ||
          exceeds(spec.need.gpus * tasks, team.gpus_max);
 }
@@ -36,7 +37,7 @@
       return "unknown team";
     case AdmissionError::no_fitting_machine_type:
       return "a task fits no allowed machine type in an allowed zone";
-    case AdmissionError::no_zone_for_the_rest:
+    case AdmissionError::no_second_zone:
       return "a job of which half may be in one zone has no other zone for the rest";
     case AdmissionError::over_team_limit:
       return "the job needs more than its team's limit";
@@ -49,7 +50,7 @@
 
 std::optional<AdmissionError> Admission::check(const JobSpec& spec,
                                                const std::string& record) const {
-  if (!storable(record)) return AdmissionError::description_too_long;
+  if (!fits_in_store(record)) return AdmissionError::description_too_long;
   if (!catalog_known()) return std::nullopt;
   const auto team = std::find_if(platform_.teams.begin(), platform_.teams.end(),
                                  [&](const auto& other) { return other.name == spec.team; });
@@ -59,13 +60,13 @@
   return std::nullopt;
 }
 
-// Whether the key-value store takes the value, also once its limits are lowered.
-bool Admission::storable(const std::string& record) const {
+// Whether the record is within the key-value store's present and announced value limits.
+bool Admission::fits_in_store(const std::string& record) const {
   const auto document = wire::Document::parse(record);
   return document && wire::json_size(document->root()) <= store_.limits().value_bytes();
 }
 
-// The zones in which an allowed type of machine is offered that a task fits on.
+// The zones that offer an allowed machine type on which a task fits.
 std::set<std::string> Admission::zones_with_fitting_types(const JobSpec& spec) const {
   std::set<std::string> zones;
   for (const MachineType& machine_type : catalog_) {
@@ -80,9 +81,10 @@
 std::optional<AdmissionError> Admission::check_zones(const JobSpec& spec) const {
   const std::set<std::string> zones = zones_with_fitting_types(spec);
   if (zones.empty()) return AdmissionError::no_fitting_machine_type;
-  const bool divided = runs_at_once(spec) && cluster::max_tasks_per_zone(spec) < spec.tasks;
-  if (spec.spread && divided && (spec.one_zone || zones.size() < 2))
-    return AdmissionError::no_zone_for_the_rest;
+  const bool must_be_split =
+      needs_all_tasks_at_once(spec) && cluster::max_tasks_per_zone(spec) < spec.tasks;
+  if (spec.spread && must_be_split && (spec.one_zone || zones.size() < 2))
+    return AdmissionError::no_second_zone;
   return std::nullopt;
 }
 
--- a/src/dunlinknot/jobs/admission.hpp
+++ b/src/dunlinknot/jobs/admission.hpp
@@ -1,4 +1,4 @@
-// Decides whether a submitted job can be accepted at all.
+// Admission control: decides whether a submitted job can ever run.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -13,34 +13,35 @@
 
 namespace dunlinknot::jobs {
 
-// Why a well-formed job is refused for good.
+// Why a well-formed job is permanently rejected.
 enum class AdmissionError : uint8_t {
-  description_too_long,  // for a value of the key-value store
+  description_too_long,  // exceeds the value limit of the key-value store
   unknown_team,
   no_fitting_machine_type,
-  no_zone_for_the_rest,  // of a job that is spread over zones
+  no_second_zone,  // the job must be spread over zones, but only one zone is possible
   over_team_limit,
 };
 
-// The text of the error for the user.
+// The error text shown to the user.
 std::string_view text(AdmissionError error);
 
-// A pure function of the job, the platform's settings and the catalog of machine types.
+// Checks jobs against the platform's settings, the key-value store's limits and the catalog of
+// machine types. Makes no calls.
 class Admission {
  public:
-  // The referenced objects outlive this one.
+  // The referenced objects must outlive this one.
   Admission(const kv::Client& store, const settings::Platform& platform);
 
-  // Machine types are learned after the start. Until they are known only check()'s answers that
-  // refuse a job are worth anything.
+  // The machine types become known some time after the start. Until then check() detects only some
+  // errors, so an empty result does not mean that the job may be accepted.
   void set_catalog(std::vector<MachineType> types) { catalog_ = std::move(types); }
   bool catalog_known() const { return !catalog_.empty(); }
 
-  // Empty when the job may be accepted. `record`: what would be stored for the job.
+  // Why the job is rejected; empty if it may be accepted. `record`: the record to be stored for it.
   std::optional<AdmissionError> check(const JobSpec& spec, const std::string& record) const;
 
  private:
-  bool storable(const std::string& record) const;
+  bool fits_in_store(const std::string& record) const;
   std::set<std::string> zones_with_fitting_types(const JobSpec& spec) const;
   std::optional<AdmissionError> check_zones(const JobSpec& spec) const;
 
--- a/src/dunlinknot/jobs/final_cache.cpp
+++ b/src/dunlinknot/jobs/final_cache.cpp
@@ -1,4 +1,4 @@
-// The terminal states that this node remembers.
+// Bounded in-memory cache of terminal job states, with first-in-first-out eviction.
 #include "dunlinknot/jobs/final_cache.hpp"
 
 namespace dunlinknot::jobs {
--- a/src/dunlinknot/jobs/final_cache.hpp
+++ b/src/dunlinknot/jobs/final_cache.hpp
@@ -1,4 +1,4 @@
-// Remembers how jobs ended.
+// Cache of the terminal states of jobs.
 #pragma once
 #include <cstddef>
 #include <deque>
@@ -9,16 +9,16 @@
 
 namespace dunlinknot::jobs {
 
-// How jobs ended, as far as this node has seen it. Terminal states never change, so an entry is
-// never stale and saves a read of the key-value store. Drops the oldest entries.
+// The terminal states that this node has read or written. They never change, so an entry is never
+// stale and saves a read of the key-value store. Evicts the oldest entries first.
 class FinalCache {
  public:
-  // `capacity`: in jobs; 0 turns the cache off.
+  // `capacity`: maximum number of jobs; 0 disables the cache.
   explicit FinalCache(size_t capacity) : capacity_(capacity) {}
 
-  // Returns whether the job was not in the cache before; always true when the cache is off.
+  // Returns whether the job was not in the cache before; always true when the cache is disabled.
   bool put(const std::string& id, wire::FinalRecord record);
-  // Null when the cache does not know the job. Valid until the next put().
+  // Null if the job is not in the cache. The pointer is valid until the next put().
   const wire::FinalRecord* find(const std::string& id) const;
 
  private:
--- a/src/dunlinknot/jobs/job_lookup.cpp
+++ b/src/dunlinknot/jobs/job_lookup.cpp
@@ -1,4 +1,5 @@
-// Reads job/ID before final/ID: a job moves between them in one transaction.
+// Looks up a job's state. Reads the key job/ID before final/ID, because a job moves from the first
+// to the second in one transaction.
 #include "dunlinknot/jobs/job_lookup.hpp"
 
 #include <spdlog/spdlog.h>
@@ -12,12 +13,12 @@
 
 namespace {
 
-constexpr auto kTryTime = Millis(800);  // leaves time for a second try within a user's 2 s
+constexpr auto kCallTimeout = Millis(800);  // allows one retry within the users' timeout of 2 s
 
 }  // namespace
 
-Nanos call_time(Nanos left) {
-  return std::min<Nanos>(kTryTime, left);
+Nanos call_timeout(Nanos time_left) {
+  return std::min<Nanos>(kCallTimeout, time_left);
 }
 
 LookupResult LookupResult::ended(const wire::FinalRecord& record) {
@@ -32,11 +33,11 @@
     : loop_(loop),
       store_(store),
       on_cancelled_(std::move(on_cancelled)),
-      finals_(final_cache_capacity) {}
+      final_cache_(final_cache_capacity) {}
 
 void JobLookup::record_final(const std::string& id, const wire::FinalRecord& record,
                              uint64_t revision) {
-  const bool changed = finals_.put(id, record);
+  const bool changed = final_cache_.put(id, record);
   if (!record.cancelled) return;
   cancel_revision_ = std::max(cancel_revision_, revision);
   if (changed) on_cancelled_(id);
@@ -44,30 +45,31 @@
 
 Task<LookupResult> JobLookup::find(std::string id, Instant deadline) {
   LookupResult result;
-  if (const auto* final = finals_.find(id)) co_return LookupResult::ended(*final);
+  if (const auto* final = final_cache_.find(id)) co_return LookupResult::ended(*final);
   while (loop_.now() < deadline) {
-    const Nanos within = call_time(deadline - loop_.now());
-    const kv::GetResult open = co_await store_.get(wire::job_key(id), within);
-    if (open.outcome == Outcome::refused) co_return result;
-    if (open.outcome != Outcome::ok) continue;
-    if (open.found) {
+    const Nanos timeout = call_timeout(deadline - loop_.now());
+    const kv::GetResult job_item = co_await store_.get(wire::job_key(id), timeout);
+    if (job_item.outcome == Outcome::refused) co_return result;
+    if (job_item.outcome != Outcome::ok) continue;
+    if (job_item.found) {
       result.kind = LookupResult::Kind::open;
-      result.mod_revision = open.item.mod_revision;
-      result.tasks = wire::read_job_record_tasks(open.item.value);
+      result.mod_revision = job_item.item.mod_revision;
+      result.tasks = wire::read_job_record_tasks(job_item.item.value);
       co_return result;
     }
-    // Not open: over or never submitted. A job moves from one key to the other in one transaction,
-    // so reading them in this order cannot miss it.
-    const kv::GetResult final = co_await store_.get(wire::final_key(id), within);
+    // The job is not open: it has ended or was never submitted. A job moves from one key to the
+    // other in one transaction, so reading them in this order cannot miss it.
+    const kv::GetResult final = co_await store_.get(wire::final_key(id), timeout);
     if (final.outcome == Outcome::refused) co_return result;
     if (final.outcome != Outcome::ok) continue;
     if (!final.found) {
-      result.kind = LookupResult::Kind::absent;
+      result.kind = LookupResult::Kind::not_found;
       co_return result;
     }
     const auto record = wire::read_final(final.item.value);
     if (!record) {
-      spdlog::error("the record {} cannot be read", wire::final_key(id));
+      spdlog::error("jobs: cannot parse the record {}; the request is answered with 503",
+                    wire::final_key(id));
       co_return result;
     }
     record_final(id, *record, final.item.mod_revision);
--- a/src/dunlinknot/jobs/job_lookup.hpp
+++ b/src/dunlinknot/jobs/job_lookup.hpp
@@ -1,5 +1,5 @@
-// Finds out what became of a job: from the terminal states that this node remembers, else from the
-// key-value store.
+// Looks up the state of a job in the cache of terminal states, and otherwise in the key-value
+// store.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -12,51 +12,54 @@
 
 namespace dunlinknot::jobs {
 
-// What is known of a job.
+// The result of a lookup.
 struct LookupResult {
   enum class Kind : uint8_t {
-    open,      // accepted, not ended
-    final,     // done or cancelled
-    absent,    // never accepted
-    unproven,  // the key-value store could not be asked in time
+    open,         // accepted and not ended
+    final,        // done or cancelled
+    not_found,    // never accepted
+    unconfirmed,  // no answer from the key-value store in time, or a record that cannot be parsed
   };
-  Kind kind = Kind::unproven;
-  wire::FinalRecord final;    // with Kind::final
-  uint64_t mod_revision = 0;  // of the job's record, with Kind::open
-  uint32_t tasks = 0;         // with Kind::open
+  Kind kind = Kind::unconfirmed;
+  wire::FinalRecord final;    // only with Kind::final
+  uint64_t mod_revision = 0;  // of the job's record; only with Kind::open
+  uint32_t tasks = 0;         // only with Kind::open
 
   bool known() const { return kind == Kind::open || kind == Kind::final; }
+  // The result for a job that ended as recorded.
   static LookupResult ended(const wire::FinalRecord& record);
 };
 
-// Answers from memory where the answer can no longer change, else asks the store. Event loop only.
+// Answers from the cache if it has the job's terminal state, and otherwise reads the key-value
+// store. Runs on the event loop.
 class JobLookup {
  public:
-  // `on_cancelled` is called with the id of every job that this node newly finds or makes
-  // cancelled, at most once a job while the cache remembers it. The referenced objects outlive this
-  // one.
+  // `on_cancelled` is called with the id of every job whose cancellation this node reads or writes
+  // for the first time, so at most once for each job as long as it is in the cache. The referenced
+  // objects must outlive this one.
   JobLookup(EventLoop& loop, kv::Client& store, size_t final_cache_capacity,
             std::function<void(const std::string& id)> on_cancelled);
 
-  // Tries again until the deadline.
+  // Retries until the deadline.
   Task<LookupResult> find(std::string id, Instant deadline);
-  // A terminal state was read or written at this revision of the key-value store.
+  // Records a terminal state that was read or written at this revision of the key-value store.
   void record_final(const std::string& id, const wire::FinalRecord& record, uint64_t revision);
 
-  FinalCache& finals() { return finals_; }
-  // The latest revision of a cancellation that stands, as far as this node has read or written one:
-  // it has confirmed none beyond it to its users.
+  FinalCache& final_cache() { return final_cache_; }
+  // The highest revision of a durable cancellation that this node has read or written. It has not
+  // confirmed any later cancellation to its users.
   uint64_t cancel_revision() const { return cancel_revision_; }
 
  private:
   EventLoop& loop_;
   kv::Client& store_;
   std::function<void(const std::string& id)> on_cancelled_;
-  FinalCache finals_;
+  FinalCache final_cache_;
   uint64_t cancel_revision_ = 0;
 };
 
-// How long one call of the key-value store on a user's behalf may take, with this much left.
-Nanos call_time(Nanos left);
+// The timeout of one call to the key-value store for a user's request, given the time left until
+// the request's deadline.
+Nanos call_timeout(Nanos time_left);
 
 }  // namespace dunlinknot::jobs
--- a/src/dunlinknot/jobs/progress_cache.cpp
+++ b/src/dunlinknot/jobs/progress_cache.cpp
@@ -1,4 +1,4 @@
-// The counts of open jobs as the leader last sent them.
+// Stores the most recent task counts of open jobs received from the leader.
 #include "dunlinknot/jobs/progress_cache.hpp"
 
 #include <utility>
--- a/src/dunlinknot/jobs/progress_cache.hpp
+++ b/src/dunlinknot/jobs/progress_cache.hpp
@@ -1,4 +1,4 @@
-// The counts of open jobs that users see, as the leader last sent them.
+// The task counts of open jobs that users see, as last received from the leader.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,18 +8,18 @@
 
 namespace dunlinknot::jobs {
 
-// Tasks of one open job.
+// Task counts of one open job.
 struct JobCounts {
   uint32_t done = 0;
   uint32_t running = 0;
 };
 
-// For display only: the counts may be seconds old.
+// For display only: the counts may be several seconds old.
 class ProgressCache {
  public:
-  // Takes a leader's counts in place of all earlier ones; ignores those of an earlier epoch.
+  // Replaces all counts by those of a leader. Ignores counts of an earlier epoch.
   void replace(wire::peer::Progress progress);
-  // Zeros when the leader did not send the job.
+  // Zero counts if the leader did not send the job.
   JobCounts counts(const std::string& id) const;
 
  private:
--- a/src/dunlinknot/jobs/request_handler.cpp
+++ b/src/dunlinknot/jobs/request_handler.cpp
@@ -1,4 +1,5 @@
-// Submissions, polls and cancellations as compare-and-swaps on the job's keys.
+// Implements submissions and cancellations as compare-and-swap transactions on the job's keys, and
+// polls as lookups.
 #include "dunlinknot/jobs/request_handler.hpp"
 
 #include <spdlog/spdlog.h>
@@ -15,19 +16,23 @@
 
 namespace {
 
-constexpr auto kSubmitTime = Millis(4000);  // users wait 5 s
-constexpr auto kPollTime = Millis(1600);    // users wait 2 s
-constexpr double kWritesOfSubmission = 2;  // that the users' share of the budget must have room for
+// Below the users' timeouts: 5 s for submissions and cancellations, 2 s for polls.
+constexpr auto kWriteDeadline = Millis(4000);
+constexpr auto kPollDeadline = Millis(1600);
+// Writes of one submission. Answered with 503 if the users' share of the write budget is below
+// this.
+constexpr double kWritesPerSubmission = 2;
+// Retry-After is chosen at random between these bounds, so that retries do not come in a burst.
 constexpr int kMinRetryAfterS = 1;
-constexpr int kMaxRetryAfterS = 3;  // spread, so that users do not come back all at once
+constexpr int kMaxRetryAfterS = 3;
 
 constexpr int kStatusBadRequest = 400;
 constexpr int kStatusNotFound = 404;
 constexpr int kStatusUnprocessable = 422;
 constexpr std::string_view kNoSuchJob = "no such job";
 
-// A job is accepted only while its id is in no use.
-kv::Transaction acceptance(const std::string& id, const std::string& record) {
+// Accepts a job only if no open or ended job has its id.
+kv::Transaction acceptance_transaction(const std::string& id, const std::string& record) {
   kv::Transaction transaction;
   transaction.compares.push_back({wire::job_key(id), 0});
   transaction.compares.push_back({wire::final_key(id), 0});
@@ -35,13 +40,14 @@
   return transaction;
 }
 
-// Safety 3: the job's record is deleted and its terminal state stored in one transaction, before
-// the user is told. From here on every allocation for it fails its compare.
-kv::Transaction cancellation(const std::string& id, const LookupResult& open) {
+// Safety 3: the job's record is deleted and its terminal state is stored in one transaction before
+// the cancellation is confirmed to the user. From then on, every transaction that allocates a task
+// of the job fails its compare.
+kv::Transaction cancellation_transaction(const std::string& id, const LookupResult& job) {
   kv::Transaction transaction;
-  transaction.compares.push_back({wire::job_key(id), open.mod_revision});
+  transaction.compares.push_back({wire::job_key(id), job.mod_revision});
   transaction.compares.push_back({wire::final_key(id), 0});
-  transaction.writes.push_back({wire::final_key(id), wire::write_final({true, open.tasks}), 0});
+  transaction.writes.push_back({wire::final_key(id), wire::write_final({true, job.tasks}), 0});
   transaction.writes.push_back({wire::job_key(id), "", 0});
   return transaction;
 }
@@ -54,7 +60,7 @@
                                std::function<void(const std::string&)> on_cancelled)
     : loop_(loop),
       store_(store),
-      op_(operator_settings),
+      operator_settings_(operator_settings),
       admission_(store, platform),
       lookup_(loop, store, operator_settings.final_cache, std::move(on_cancelled)),
       random_(seed) {}
@@ -65,17 +71,17 @@
     co_return error_response(kStatusBadRequest, "the body is not a MessagePack map");
   const auto id = wire::submitted_id(document->root());
   if (!id) co_return error_response(kStatusBadRequest, "missing or invalid: id");
-  if (const auto* final = finals().find(*id))
+  if (const auto* final = final_cache().find(*id))
     co_return job_response(*id, LookupResult::ended(*final), false);
-  if (submissions_in_flight_ >= op_.max_submissions ||
-      !store_.has_user_budget(kWritesOfSubmission)) {
-    co_return put_off();
+  if (submissions_in_flight_ >= operator_settings_.max_submissions ||
+      !store_.has_user_budget(kWritesPerSubmission)) {
+    co_return unavailable();
   }
   const ScopedCount in_flight(submissions_in_flight_);
-  const Instant deadline = loop_.now() + kSubmitTime;
+  const Instant deadline = loop_.now() + kWriteDeadline;
   Submission submission = read_submission(document->root());
-  if (submission.refusal || !catalog_known())
-    co_return co_await answer_unless_known(*id, std::move(submission.refusal));
+  if (submission.rejection || !catalog_known())
+    co_return co_await reject_unless_known(*id, std::move(submission.rejection));
   co_return co_await store_job(*id, std::move(submission.record), deadline);
 }
 
@@ -84,75 +90,79 @@
   std::string reason;
   const auto spec = wire::read_job(root, reason);
   if (!spec) {
-    submission.refusal = Refusal{kStatusBadRequest, std::move(reason)};
+    submission.rejection = Rejection{kStatusBadRequest, std::move(reason)};
     return submission;
   }
   submission.record = wire::write_job_record({*spec, loop_.wall()});
   if (const auto error = admission_.check(*spec, submission.record))
-    submission.refusal = Refusal{kStatusUnprocessable, std::string(text(*error))};
+    submission.rejection = Rejection{kStatusUnprocessable, std::string(text(*error))};
   return submission;
 }
 
-// A known id is answered with its state before anything is held against the body. An unknown one is
-// refused, or put off when there is no refusal.
-Task<Response> RequestHandler::answer_unless_known(std::string id, std::optional<Refusal> refusal) {
-  const LookupResult found = co_await lookup_.find(id, loop_.now() + kPollTime);
+// The state of a known job is returned even if the submission is invalid. A submission with an
+// unknown id is rejected, or answered with 503 if there is no reason to reject it.
+Task<Response> RequestHandler::reject_unless_known(std::string id,
+                                                   std::optional<Rejection> rejection) {
+  const LookupResult found = co_await lookup_.find(id, loop_.now() + kPollDeadline);
   if (found.known()) co_return job_response(id, found, false);
-  if (found.kind == LookupResult::Kind::unproven || !refusal) co_return put_off();
-  spdlog::debug("{} answered {}: {}", id, refusal->status, refusal->reason);
-  co_return error_response(refusal->status, refusal->reason);
+  if (found.kind == LookupResult::Kind::unconfirmed || !rejection) co_return unavailable();
+  spdlog::debug("jobs: submission of {} rejected with HTTP status {}: {}", id, rejection->status,
+                rejection->reason);
+  co_return error_response(rejection->status, rejection->reason);
 }
 
 Task<Response> RequestHandler::store_job(std::string id, std::string record, Instant deadline) {
   while (loop_.now() < deadline) {
-    kv::Transaction transaction = acceptance(id, record);
-    const Nanos within = call_time(deadline - loop_.now());
+    kv::Transaction transaction = acceptance_transaction(id, record);
+    const Nanos timeout = call_timeout(deadline - loop_.now());
     const kv::TransactionResult result =
-        co_await store_.commit(std::move(transaction), within, kv::Importance::user);
-    if (result.outcome == Outcome::refused) co_return put_off();
-    if (result.outcome != Outcome::ok) continue;  // idempotent: the compares fail the second time
+        co_await store_.commit(std::move(transaction), timeout, kv::Importance::user);
+    if (result.outcome == Outcome::refused) co_return unavailable();
+    if (result.outcome != Outcome::ok)
+      continue;  // safe to retry: if it was applied, the compares fail
     if (result.applied) {
-      ++accepted_;
+      ++accepted_count_;
       co_return accepted_response(id);
     }
     const LookupResult found = co_await lookup_.find(id, deadline);
     if (found.known()) co_return job_response(id, found, false);
-    if (found.kind == LookupResult::Kind::unproven) break;
+    if (found.kind == LookupResult::Kind::unconfirmed) break;
   }
-  co_return put_off();
+  co_return unavailable();
 }
 
 Task<Response> RequestHandler::poll(std::string id) {
   if (!wire::valid_job_id(id)) co_return error_response(kStatusNotFound, kNoSuchJob);
-  if (lookups_in_flight_ >= op_.max_polls) co_return put_off();
+  if (lookups_in_flight_ >= operator_settings_.max_polls) co_return unavailable();
   const ScopedCount in_flight(lookups_in_flight_);
-  const LookupResult found = co_await lookup_.find(id, loop_.now() + kPollTime);
+  const LookupResult found = co_await lookup_.find(id, loop_.now() + kPollDeadline);
   if (found.known()) co_return job_response(id, found, true);
-  if (found.kind == LookupResult::Kind::unproven) co_return put_off();
+  if (found.kind == LookupResult::Kind::unconfirmed) co_return unavailable();
   co_return error_response(kStatusNotFound, kNoSuchJob);
 }
 
 Task<Response> RequestHandler::cancel(std::string id) {
   if (!wire::valid_job_id(id)) co_return error_response(kStatusNotFound, kNoSuchJob);
-  if (lookups_in_flight_ >= op_.max_polls) co_return put_off();
+  if (lookups_in_flight_ >= operator_settings_.max_polls) co_return unavailable();
   const ScopedCount in_flight(lookups_in_flight_);
-  const Instant deadline = loop_.now() + kSubmitTime;
+  const Instant deadline = loop_.now() + kWriteDeadline;
   while (loop_.now() < deadline) {
     const LookupResult found = co_await lookup_.find(id, deadline);
-    if (found.kind == LookupResult::Kind::unproven) break;
-    if (found.kind == LookupResult::Kind::absent)
+    if (found.kind == LookupResult::Kind::unconfirmed) break;
+    if (found.kind == LookupResult::Kind::not_found)
       co_return error_response(kStatusNotFound, kNoSuchJob);
     if (found.kind == LookupResult::Kind::final) co_return job_response(id, found, false);
-    kv::Transaction transaction = cancellation(id, found);
-    const Nanos within = call_time(deadline - loop_.now());
+    kv::Transaction transaction = cancellation_transaction(id, found);
+    const Nanos timeout = call_timeout(deadline - loop_.now());
     const kv::TransactionResult result =
-        co_await store_.commit(std::move(transaction), within, kv::Importance::user);
+        co_await store_.commit(std::move(transaction), timeout, kv::Importance::user);
     if (result.outcome == Outcome::refused) break;
     if (result.outcome == Outcome::ok && result.applied)
       lookup_.record_final(id, {true, found.tasks}, result.revision);
-    // Applied, overtaken or unknown: the next lookup finds the terminal state to answer with.
+    // Whether the transaction was applied, failed its compares or got no answer: the next lookup
+    // determines the response.
   }
-  co_return put_off();
+  co_return unavailable();
 }
 
 Response RequestHandler::job_response(const std::string& id, const LookupResult& found,
@@ -160,9 +170,9 @@
   return status_response(id, found, progress_.counts(id), with_counts);
 }
 
-// Refused at once rather than held back, with a random time to come back.
-Response RequestHandler::put_off() {
-  ++refused_;
+// Responds with 503 at once instead of queueing the request, with a random Retry-After.
+Response RequestHandler::unavailable() {
+  ++unavailable_count_;
   return retry_response(
       std::uniform_int_distribution<int>(kMinRetryAfterS, kMaxRetryAfterS)(random_));
 }
--- a/src/dunlinknot/jobs/responses.cpp
+++ b/src/dunlinknot/jobs/responses.cpp
@@ -1,4 +1,4 @@
-// The HTTP responses of the users' API.
+// Encodes the HTTP responses of the users' API.
 #include "dunlinknot/jobs/responses.hpp"
 
 namespace dunlinknot::jobs {
--- a/src/dunlinknot/jobs/responses.hpp
+++ b/src/dunlinknot/jobs/responses.hpp
@@ -11,12 +11,13 @@
 
 // 201: the job is durable.
 http::Response accepted_response(const std::string& id);
-// 200 with the job's state. `counts`: of an open job; `with_counts`: whether they are shown.
+// 200 with the job's state. `counts`: the task counts, used only for an open job. `with_counts`:
+// whether the response contains counts.
 http::Response status_response(const std::string& id, const LookupResult& found, JobCounts counts,
                                bool with_counts);
-// 4xx with the reason.
+// An error response (4xx) with the reason.
 http::Response error_response(int status, std::string_view reason);
-// 503: the request was not carried out, or that cannot be confirmed.
+// 503: the request was not carried out, or its outcome is unknown.
 http::Response retry_response(int retry_after_s);
 
 }  // namespace dunlinknot::jobs
--- a/src/dunlinknot/node/counters.cpp
+++ b/src/dunlinknot/node/counters.cpp
@@ -36,8 +36,8 @@
 
 Counters CounterLog::read() const {
   Counters counters;
-  counters.accepted = jobs_.accepted();
-  counters.refused = jobs_.refused();
+  counters.accepted = jobs_.accepted_count();
+  counters.refused = jobs_.unavailable_count();
   counters.throttled = store_.throttled();
   counters.turned_away = server_ ? server_->turned_away() : 0;
   counters.preemptions = leader_loop_.preemptions();
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -98,7 +98,7 @@
 }
 
 void Daemon::on_job_finished(const std::string& id, uint32_t tasks) {
-  jobs_.finals().put(id, {false, tasks});
+  jobs_.final_cache().put(id, {false, tasks});
 }
 
 void Daemon::on_cancellations_applied(Instant sent) {
--- a/src/dunlinknot/workers/heartbeat_handler.cpp
+++ b/src/dunlinknot/workers/heartbeat_handler.cpp
@@ -1,4 +1,4 @@
-// From a heartbeat to its response; the commands are decided when it leaves.
+// Processes heartbeats. The commands in a response are computed just before it is sent.
 #include "dunlinknot/workers/heartbeat_handler.hpp"
 
 #include <spdlog/spdlog.h>
@@ -14,9 +14,11 @@
 
 namespace {
 
-constexpr auto kMaxRunWait = Millis(1000);       // far below what a worker waits for an answer
-constexpr int kRunWaitShare = 4;                 // and at most this part of a heartbeat interval
-constexpr uint64_t kUnreadablePerLogLine = 100;  // so that a broken worker cannot flood the log
+// A response is held back for a `run` for at most kMaxRunWait, which is far below the time that a
+// worker waits for a response, and at most for 1/kRunWaitDivisor of a heartbeat interval.
+constexpr auto kMaxRunWait = Millis(1000);
+constexpr int kRunWaitDivisor = 4;
+constexpr uint64_t kUnreadablePerLogLine = 100;  // a faulty worker cannot flood the log
 
 constexpr int kStatusBadRequest = 400;
 constexpr int kStatusMisdirected = 421;
@@ -31,34 +33,38 @@
 Task<http::Response> HeartbeatHandler::handle(std::string body) {
   const Instant now = context_.loop.now();
   last_heartbeat_ = now;
-  if (!elector_.leading()) co_return respond({Verdict::misdirected, {}});
-  if (!may_answer()) co_return respond({Verdict::unavailable, {}});
+  if (!elector_.leading()) co_return encode_response({ResponseType::misdirected, {}});
+  if (!may_answer()) co_return encode_response({ResponseType::unavailable, {}});
   const auto heartbeat = wire::read_heartbeat(body);
   if (!heartbeat) {
-    if (++unreadable_ % kUnreadablePerLogLine == 1)
-      spdlog::info("unreadable heartbeats so far: {}", unreadable_);
-    co_return respond({Verdict::unreadable, {}});
+    if (++unreadable_count_ % kUnreadablePerLogLine == 1)
+      spdlog::info(
+          "workers: rejected {} heartbeats that cannot be parsed since this process started",
+          unreadable_count_);
+    co_return encode_response({ResponseType::unreadable, {}});
   }
   HeartbeatResponse response = apply(*heartbeat, now);
   if (response.kind == HeartbeatResponse::Kind::accept) {
     if (response.run_likely) {
-      // A `run` travels only in an answer, and the next one would be a whole period away.
+      // A `run` is only sent in a response, and the next one is a whole heartbeat interval away.
       const uint64_t term = context_.term;
       co_await await_run(heartbeat->machine);
-      if (!context_.in_term(term) || !may_answer()) co_return respond({Verdict::unavailable, {}});
+      if (!context_.in_term(term) || !may_answer())
+        co_return encode_response({ResponseType::unavailable, {}});
     }
-    // What the answer carries is decided when it leaves, since the state changed while it waited.
-    const bool starts = response.status_applied && elector_.may_start();
+    // The commands are computed now, since the cluster state may have changed during the wait.
+    const bool may_start = response.status_applied && elector_.may_start();
     response = context_.leader_state.with([&](LeaderState& leader) {
-      return leader.cluster.commands_for(*heartbeat, context_.loop.now(), starts);
+      return leader.cluster.commands_for(*heartbeat, context_.loop.now(), may_start);
     });
   }
-  const Decision decision = decide(*heartbeat, std::move(response));
-  if (decision.verdict == Verdict::commands) last_answered_heartbeat_ = now;
-  co_return respond(decision);
+  const ResponseContent content = response_content(*heartbeat, std::move(response));
+  if (content.type == ResponseType::commands) last_answered_heartbeat_ = now;
+  co_return encode_response(content);
 }
 
-// Safety 2: without the key-value store a leader renews leases for a bounded time only.
+// Safety 2: while the key-value store does not answer, a leader renews the workers' leases for a
+// bounded time only. A response to a heartbeat renews the lease.
 bool HeartbeatHandler::may_answer() const {
   return context_.loaded && renewal_policy_.may_renew();
 }
@@ -72,53 +78,55 @@
   return response;
 }
 
-HeartbeatHandler::Decision HeartbeatHandler::decide(const Heartbeat& heartbeat,
-                                                    HeartbeatResponse response) {
+HeartbeatHandler::ResponseContent HeartbeatHandler::response_content(const Heartbeat& heartbeat,
+                                                                     HeartbeatResponse response) {
   switch (response.kind) {
     case HeartbeatResponse::Kind::superseded:
-      // The worker already obeys a later epoch, so this node's term is over.
+      // The worker has accepted the fencing token of a later epoch, so this node's term is over.
       elector_.observe_epoch(heartbeat.fencing_token, std::nullopt, "worker " + heartbeat.machine);
-      return {Verdict::misdirected, {}};
+      return {ResponseType::misdirected, {}};
     case HeartbeatResponse::Kind::stale:
-      return {Verdict::unavailable, {}};
+      return {ResponseType::unavailable, {}};
     case HeartbeatResponse::Kind::accept:
       break;
   }
-  return {Verdict::commands, std::move(response.commands)};
+  return {ResponseType::commands, std::move(response.commands)};
 }
 
-http::Response HeartbeatHandler::respond(const Decision& decision) const {
+http::Response HeartbeatHandler::encode_response(const ResponseContent& content) const {
   http::Response response;
-  switch (decision.verdict) {
-    case Verdict::commands:
-      response.body = wire::write_commands(context_.epoch, std::nullopt, decision.commands);
+  switch (content.type) {
+    case ResponseType::commands:
+      response.body = wire::write_commands(context_.epoch, std::nullopt, content.commands);
       break;
-    case Verdict::misdirected:
+    case ResponseType::misdirected:
       response.status = kStatusMisdirected;
       response.body = wire::write_misdirected(elector_.known_leader());
       break;
-    case Verdict::unavailable:
+    case ResponseType::unavailable:
       response.status = kStatusUnavailable;
       break;
-    case Verdict::unreadable:
+    case ResponseType::unreadable:
       response.status = kStatusBadRequest;
       break;
   }
   return response;
 }
 
-// Returns once the machine may have a `run`, at the latest after the bound. A later heartbeat of
-// the same machine releases the earlier answer, which the worker no longer waits for.
+// Returns once a `run` may be sent to the machine, or after the maximum wait. A later heartbeat of
+// the same machine releases the earlier response, for which the worker no longer waits.
 Task<void> HeartbeatHandler::await_run(std::string machine) {
-  AutoResetEvent released(context_.loop);
-  if (const auto it = waiting_.find(machine); it != waiting_.end()) it->second->notify();
-  waiting_[machine] = &released;
-  const Nanos bound =
-      std::min<Nanos>(kMaxRunWait, to_nanos(context_.platform.heartbeat_interval / kRunWaitShare));
-  const Instant until = context_.loop.now() + bound;
-  (void)co_await released.wait_until(until);
-  if (const auto it = waiting_.find(machine); it != waiting_.end() && it->second == &released) {
-    waiting_.erase(it);
+  AutoResetEvent release_event(context_.loop);
+  if (const auto it = waiting_responses_.find(machine); it != waiting_responses_.end())
+    it->second->notify();
+  waiting_responses_[machine] = &release_event;
+  const Nanos max_wait = std::min<Nanos>(
+      kMaxRunWait, to_nanos(context_.platform.heartbeat_interval / kRunWaitDivisor));
+  const Instant deadline = context_.loop.now() + max_wait;
+  (void)co_await release_event.wait_until(deadline);
+  if (const auto it = waiting_responses_.find(machine);
+      it != waiting_responses_.end() && it->second == &release_event) {
+    waiting_responses_.erase(it);
   }
 }
 
@@ -129,7 +137,8 @@
     const std::vector<std::string> machines = context_.leader_state.with(
         [](LeaderState& leader) { return leader.cluster.drain_runnable(); });
     for (const std::string& machine : machines) {
-      if (const auto it = waiting_.find(machine); it != waiting_.end()) it->second->notify();
+      if (const auto it = waiting_responses_.find(machine); it != waiting_responses_.end())
+        it->second->notify();
     }
   }
 }
--- a/src/dunlinknot/workers/heartbeat_handler.hpp
+++ b/src/dunlinknot/workers/heartbeat_handler.hpp
@@ -1,4 +1,4 @@
-// Answers the workers' heartbeats. The commands for a worker travel in these answers.
+// Responds to the workers' heartbeats. The responses carry the commands for the workers.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -14,43 +14,45 @@
 namespace dunlinknot::workers {
 
 // Serves POST wire::kHeartbeatPath on every node, leader or not. All functions run on the event
-// loop; the cluster state is only touched under the lock of LeaderContext::leader_state.
+// loop. The cluster state is only accessed under the lock of LeaderContext::leader_state.
 class HeartbeatHandler {
  public:
-  // The referenced objects outlive the handler.
+  // The referenced objects must outlive the handler.
   HeartbeatHandler(cluster::LeaderContext& context, leadership::Elector& elector,
                    const LeaseRenewalPolicy& renewal_policy);
 
-  // Applies one heartbeat and answers it: 200 with commands, 400 when it cannot be read, 421 with
-  // the leader's name when another node leads, 503 when this node may not answer now. May suspend
-  // for up to a second while a `run` for this worker becomes durable.
+  // Applies one heartbeat and responds with 200 and commands, 400 if the heartbeat cannot be
+  // parsed, 421 with the leader's name if another node leads, or 503 if this node may not renew
+  // leases now or the heartbeat is outdated. May suspend for up to a second while an allocation for
+  // this worker becomes durable.
   Task<http::Response> handle(std::string body);
-  // Releases answers that wait for a `run`, until the term ends. One coroutine a term.
+  // Releases the responses that are held back for a `run`, until the term ends. Spawned once in
+  // each term.
   Task<void> release_responses(uint64_t term);
 
-  // When a worker last reached this node, whether or not it could be answered; empty before the
-  // first heartbeat.
+  // When this node last received a heartbeat, whatever the response was; empty before the first
+  // one.
   std::optional<Instant> last_heartbeat() const { return last_heartbeat_; }
-  // When the last heartbeat that was answered with commands arrived.
+  // When the last heartbeat that got a 200 response was received.
   Instant last_answered_heartbeat() const { return last_answered_heartbeat_; }
 
  private:
-  enum class Verdict : uint8_t {
-    commands,     // the worker obeys this leader: its lease is renewed
+  enum class ResponseType : uint8_t {
+    commands,     // the heartbeat was accepted: the worker's lease is renewed
     misdirected,  // another node leads
-    unavailable,  // this node may not answer now: the worker tries again
-    unreadable,   // not a heartbeat
+    unavailable,  // no lease may be renewed now, or the heartbeat is outdated: the worker retries
+    unreadable,   // the body is not a valid heartbeat
   };
-  // What a heartbeat is answered with.
-  struct Decision {
-    Verdict verdict = Verdict::unavailable;
-    std::vector<Command> commands;  // only with Verdict::commands
+  // The response to a heartbeat, before it is encoded.
+  struct ResponseContent {
+    ResponseType type = ResponseType::unavailable;
+    std::vector<Command> commands;  // only with ResponseType::commands
   };
 
   bool may_answer() const;
   cluster::HeartbeatResponse apply(const Heartbeat& heartbeat, Instant now);
-  Decision decide(const Heartbeat& heartbeat, cluster::HeartbeatResponse response);
-  http::Response respond(const Decision& decision) const;
+  ResponseContent response_content(const Heartbeat& heartbeat, cluster::HeartbeatResponse response);
+  http::Response encode_response(const ResponseContent& content) const;
   Task<void> await_run(std::string machine);
 
   cluster::LeaderContext& context_;
@@ -58,10 +60,10 @@
   const LeaseRenewalPolicy& renewal_policy_;
   std::optional<Instant> last_heartbeat_;
   Instant last_answered_heartbeat_{};
-  uint64_t unreadable_ = 0;
-  // By machine: the event that releases the answer waiting for a `run`. Each event belongs to the
-  // coroutine frame of its await_run().
-  std::unordered_map<std::string, AutoResetEvent*> waiting_;
+  uint64_t unreadable_count_ = 0;
+  // By machine id: the event that releases the response held back for a `run`. Each event is owned
+  // by the coroutine frame of await_run().
+  std::unordered_map<std::string, AutoResetEvent*> waiting_responses_;
 };
 
 }  // namespace dunlinknot::workers
--- a/src/dunlinknot/workers/lease_renewal_policy.hpp
+++ b/src/dunlinknot/workers/lease_renewal_policy.hpp
@@ -1,17 +1,17 @@
-// Decides whether the leader may still renew the workers' leases.
+// Interface to the decision whether the leader may renew the workers' leases.
 #pragma once
 
 namespace dunlinknot::workers {
 
-// An interface, because the decision needs parts that `workers` does not know: the peers, the
-// users' API and the allocation store. Implemented by node::RenewalPolicy.
+// An interface, because the decision depends on modules that `workers` must not depend on: the
+// peers, the users' API and the allocation store. Implemented by node::RenewalPolicy.
 class LeaseRenewalPolicy {
  public:
   virtual ~LeaseRenewalPolicy() = default;
 
-  // Whether an answer to a heartbeat, which renews that worker's lease, may be sent now (safety 2
-  // in docs/design.md). Called for every heartbeat on the event loop: it neither blocks nor
-  // suspends.
+  // Whether a response to a heartbeat, which renews that worker's lease, may be sent now. Safety 2
+  // in docs/design.md: without the key-value store leases are renewed for a bounded time only.
+  // Called for every heartbeat on the event loop; must not block or suspend.
   virtual bool may_renew() const = 0;
 };
 
--- a/src/dunlinknot/workers/stop_caller.cpp
+++ b/src/dunlinknot/workers/stop_caller.cpp
@@ -1,4 +1,4 @@
-// Direct calls that stop tasks; the heartbeats carry the same stops.
+// Sends stop commands by direct calls. Heartbeat responses carry the same commands.
 #include "dunlinknot/workers/stop_caller.hpp"
 
 #include <utility>
@@ -15,10 +15,10 @@
 
 namespace {
 
-constexpr auto kCallTime = Millis(1500);  // for one call; later a heartbeat is as fast
-constexpr size_t kMaxCallsInFlight = 16;  // each holds a socket of this process's quota
-constexpr int kStatusOk = 200;            // the commands were carried out
-constexpr int kStatusNotExecuted = 409;   // they were not; the body is the worker's heartbeat
+constexpr auto kCallTimeout = Millis(1500);  // beyond this a heartbeat response is as fast
+constexpr size_t kMaxCallsInFlight = 16;     // each call uses one connection of the process's quota
+constexpr int kStatusOk = 200;               // the worker executed the commands
+constexpr int kStatusNotExecuted = 409;      // it did not; the body is the worker's heartbeat
 
 }  // namespace
 
@@ -33,7 +33,7 @@
     std::vector<StopCall> stops = context_.leader_state.with(
         [](LeaderState& leader) { return leader.cluster.drain_stop_calls(); });
     for (StopCall& stop : stops) {
-      // Over the limit the heartbeats alone carry the stops.
+      // Beyond the limit, stops are only sent in heartbeat responses.
       if (calls_in_flight_ < kMaxCallsInFlight) context_.loop.spawn(call(term, std::move(stop)));
     }
   }
@@ -56,12 +56,12 @@
   request.method = "POST";
   request.target = wire::kWorkerCommandsPath;
   request.body = wire::write_commands(context_.epoch, stop.incarnation, stop.commands);
-  request.deadline = context_.loop.now() + kCallTime;
+  request.deadline = context_.loop.now() + kCallTimeout;
   request.keep = false;
   return request;
 }
 
-// Applies the heartbeat that an answer bears.
+// Applies the heartbeat in the body of a worker's reply.
 StopCaller::Result StopCaller::apply_reply(const http::Reply& reply) {
   const bool stopped = reply.status == kStatusOk;
   if (reply.outcome != Outcome::ok || (!stopped && reply.status != kStatusNotExecuted))
@@ -80,8 +80,8 @@
   return stopped ? Result::stopped : Result::failed;
 }
 
-// Clears the nominations that counted on a call that failed. The stop itself stays ordered and goes
-// out with the heartbeats, since nobody knows whether the call may still arrive.
+// Clears the nominations that depended on a failed call. The stop itself remains pending and is
+// sent in the next heartbeat response, since the call may still reach the worker.
 void StopCaller::clear_nominations(const StopCall& stop) {
   std::vector<preemption::Victim> victims;
   for (const Command& command : stop.commands) victims.push_back({command.task, command.attempt});
--- a/src/dunlinknot/workers/stop_caller.hpp
+++ b/src/dunlinknot/workers/stop_caller.hpp
@@ -1,5 +1,5 @@
-// Calls workers directly to stop tasks. Only for speed: every stop also travels in the answers to
-// heartbeats, so a call that fails loses nothing.
+// Calls workers directly to stop tasks. This only reduces latency: every stop is also sent in the
+// heartbeat responses, so a failed call has no other effect than a delay.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -10,24 +10,24 @@
 
 namespace dunlinknot::workers {
 
-// Runs on the event loop of the leader. Cluster::drain_stop_calls() says whom to call;
-// LeaderContext::stops says when.
+// Runs on the event loop while this node leads. LeaderContext::stops is notified when calls are
+// pending, and Cluster::drain_stop_calls() returns them.
 class StopCaller {
  public:
-  // The referenced objects outlive the caller.
+  // The referenced objects must outlive the stop caller.
   StopCaller(cluster::LeaderContext& context, leadership::Elector& elector,
              http::Transport& transport);
 
-  // Makes the calls that the cluster state asks for, a bounded number at a time, until the term
-  // ends. One coroutine a term.
+  // Makes the pending calls, a bounded number at a time, until the term ends. Spawned once in each
+  // term.
   Task<void> run(uint64_t term);
 
  private:
-  // What a call achieved.
+  // The result of a call.
   enum class Result : uint8_t {
-    stopped,     // the worker took the commands
-    failed,      // it did not, or nobody knows
-    superseded,  // the worker obeys a later epoch: this term is over
+    stopped,     // the worker executed the commands
+    failed,      // the worker did not execute the commands, or that is unknown
+    superseded,  // the worker has accepted a later epoch: this term is over
   };
 
   Task<void> call(uint64_t term, cluster::StopCall stop);
