--- a/src/dunlinknot/node/catalog_keeper.cpp
+++ b/src/dunlinknot/node/catalog_keeper.cpp
@@ -1,4 +1,4 @@
-// Reads the machine types from the key-value store or the cloud, and stores them.
+// Reads the catalog of machine types from the key-value store or the cloud, and stores it.
 #include "dunlinknot/node/catalog_keeper.hpp"
 
 #include <spdlog/spdlog.h>
@@ -15,10 +15,12 @@
 
 namespace {
 
-constexpr auto kReadTime = Millis(800);                // for one read of the store
-constexpr auto kLearnRetry = Millis(700);              // a new node cannot take jobs before
-constexpr auto kWriteTime = std::chrono::seconds(1);   // for one transaction
-constexpr auto kStoreRetry = std::chrono::seconds(5);  // nothing waits for the stored copy
+constexpr auto kReadTimeout = Millis(800);  // of one read from the key-value store
+// Short, because a new node accepts no jobs before the catalog is loaded.
+constexpr auto kLoadRetryInterval = Millis(700);
+constexpr auto kWriteTimeout = std::chrono::seconds(1);  // of one transaction
+// Long, because nothing depends on the stored copy while this node runs.
+constexpr auto kStoreRetryInterval = std::chrono::seconds(5);
 
 }  // namespace
 
@@ -26,9 +28,9 @@
                              kv::Client& store, cloud::Client& cloud, jobs::RequestHandler& jobs)
     : context_(context), elector_(elector), store_(store), cloud_(cloud), jobs_(jobs) {}
 
-Task<void> CatalogKeeper::learn() {
+Task<void> CatalogKeeper::load() {
   while (machine_types_.empty()) {
-    const kv::GetResult stored = co_await store_.get(std::string(wire::kCatalogKey), kReadTime);
+    const kv::GetResult stored = co_await store_.get(std::string(wire::kCatalogKey), kReadTimeout);
     std::optional<std::vector<MachineType>> types;
     if (stored.outcome == Outcome::ok && stored.found)
       types = wire::read_catalog(stored.item.value);
@@ -36,7 +38,7 @@
     if (types) {
       machine_types_ = std::move(*types);
     } else {
-      co_await context_.loop.sleep(kLearnRetry);
+      co_await context_.loop.sleep(kLoadRetryInterval);
     }
   }
   jobs_.set_catalog(machine_types_);
@@ -52,23 +54,24 @@
   while (context_.in_term(term)) {
     if (!machine_types_.empty()) {
       std::string record = wire::write_catalog(machine_types_);
-      if (!storable(record)) {
-        spdlog::info("the catalog of {} machine types is too large to be stored",
-                     machine_types_.size());
+      if (!fits_in_store(record)) {
+        spdlog::info(
+            "catalog of {} machine types exceeds the key-value store's value limit; not storing it",
+            machine_types_.size());
         co_return;
       }
       kv::Transaction transaction = transaction_for(std::move(record));
       const kv::TransactionResult result =
-          co_await store_.commit(std::move(transaction), kWriteTime);
-      // Not applied: another leader wrote the catalog, or leads now. Either way nothing is left to
-      // do.
+          co_await store_.commit(std::move(transaction), kWriteTimeout);
+      // If the transaction was not applied, the catalog is stored already or another node leads.
+      // Either way nothing is left to do.
       if (result.outcome == Outcome::ok) co_return;
     }
-    co_await context_.loop.sleep(kStoreRetry);
+    co_await context_.loop.sleep(kStoreRetryInterval);
   }
 }
 
-bool CatalogKeeper::storable(const std::string& record) const {
+bool CatalogKeeper::fits_in_store(const std::string& record) const {
   const auto document = wire::Document::parse(record);
   return document && wire::json_size(document->root()) <= store_.limits().value_bytes();
 }
--- a/src/dunlinknot/node/catalog_keeper.hpp
+++ b/src/dunlinknot/node/catalog_keeper.hpp
@@ -1,4 +1,4 @@
-// Obtains the catalog of machine types and keeps a copy of it in the key-value store.
+// Loads the catalog of machine types and keeps a copy of it in the key-value store.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -11,25 +11,27 @@
 
 namespace dunlinknot::node {
 
-// Every node needs the machine types to tell a job that can run from one that never can, also while
-// the cloud does not answer. Runs on the event loop.
+// Every node needs the catalog to reject jobs that can never run, even while the cloud is
+// unavailable. Runs on the event loop.
 class CatalogKeeper {
  public:
-  // The referenced objects outlive the keeper.
+  // The referenced objects must outlive this one.
   CatalogKeeper(cluster::LeaderContext& context, const leadership::Elector& elector,
                 kv::Client& store, cloud::Client& cloud, jobs::RequestHandler& jobs);
 
-  // Asks the store, then the cloud, until one of them answers, and hands the machine types to the
-  // users' API and, when this node leads, to the cluster state. Once a process.
-  Task<void> learn();
-  // Writes the catalog to the store unless it is there already, until the term ends. Once a term.
+  // Reads the catalog from the key-value store or, failing that, from the cloud, retrying until one
+  // of them answers. Passes it to the users' API and, if this node leads, to the cluster state.
+  // Spawned once in each process.
+  Task<void> load();
+  // Writes the catalog to the key-value store unless it is stored already, retrying until the term
+  // ends. Spawned once in each term.
   Task<void> store(uint64_t term);
 
-  // Empty until learn() is done.
+  // Empty until load() has completed.
   const std::vector<MachineType>& machine_types() const { return machine_types_; }
 
  private:
-  bool storable(const std::string& record) const;
+  bool fits_in_store(const std::string& record) const;
   kv::Transaction transaction_for(std::string record) const;
 
   cluster::LeaderContext& context_;
--- a/src/dunlinknot/node/cluster_summary.cpp
+++ b/src/dunlinknot/node/cluster_summary.cpp
@@ -1,4 +1,4 @@
-// Sums over the cluster state, and the log lines made of them.
+// Computes totals over the cluster state and logs them.
 #include "dunlinknot/node/cluster_summary.hpp"
 
 #include <spdlog/spdlog.h>
@@ -29,13 +29,13 @@
   } else if (seen && allocation.state == TaskState::running) {
     ++totals.running;
   } else {
-    ++totals.in_transition;
+    ++totals.starting_or_stopping;
   }
 }
 
 }  // namespace
 
-ClusterTotals total(const cluster::Cluster& cluster) {
+ClusterTotals cluster_totals(const cluster::Cluster& cluster) {
   ClusterTotals totals;
   totals.machines = cluster.machines().size();
   totals.records_to_write = cluster.dirty_machine_count();
@@ -49,7 +49,7 @@
   for (const auto& [id, job] : cluster.jobs()) {
     totals.waiting += job->pending();
     if (!job->spec().service) continue;
-    totals.replicas_wanted += job->spec().tasks;
+    totals.replicas_requested += job->spec().tasks;
     totals.replicas_running += job->running;
   }
   return totals;
@@ -78,11 +78,11 @@
       "cluster: {} of {} machines up, {:.0f} of {:.0f} cpus and {:.0f} of {:.0f} gpus allocated; "
       "tasks: {} running, {} fetching, {} starting or stopping, {} queued on machines, {} waiting",
       totals.machines_up, totals.machines, totals.used.cpus, totals.size.cpus, totals.used.gpus,
-      totals.size.gpus, totals.running, totals.fetching, totals.in_transition, totals.queued,
+      totals.size.gpus, totals.running, totals.fetching, totals.starting_or_stopping, totals.queued,
       totals.waiting);
-  if (totals.replicas_wanted > 0) {
+  if (totals.replicas_requested > 0) {
     spdlog::info("services: {} of {} replicas running", totals.replicas_running,
-                 totals.replicas_wanted);
+                 totals.replicas_requested);
   }
 }
 
--- a/src/dunlinknot/node/connection_limit.cpp
+++ b/src/dunlinknot/node/connection_limit.cpp
@@ -1,4 +1,4 @@
-// How many of the platform's connections the server may use.
+// Computes the HTTP server's share of the process's connection quota.
 #include "dunlinknot/node/connection_limit.hpp"
 
 #include <algorithm>
@@ -7,19 +7,20 @@
 
 namespace {
 
-constexpr size_t kOtherCalls = 64;  // stops, the cloud, the allocation store
+// Reserved for stop calls and for calls to the cloud and the allocation store.
+constexpr size_t kOtherCallConnections = 64;
 
 }  // namespace
 
-// Calls on the users' behalf take one socket each at most; every peer takes two, one for each
-// direction. On a large quota all else is for workers and users: a leader holds a connection of
-// every machine. On a small one the server keeps three quarters.
+// A user request uses at most one outgoing connection, and each peer uses two, one in each
+// direction. With a large quota the server gets all other connections, because a leader holds a
+// connection from every machine. With a small quota it gets three quarters.
 size_t max_server_connections(const settings::Platform& platform,
                               const settings::Operator& operator_settings) {
-  const size_t own = operator_settings.max_submissions + operator_settings.max_polls +
-                     2 * platform.peers.size() + kOtherCalls;
+  const size_t reserved = operator_settings.max_submissions + operator_settings.max_polls +
+                          2 * platform.peers.size() + kOtherCallConnections;
   const size_t quota = platform.max_connections;
-  return std::max(quota * 3 / 4, quota > own ? quota - own : 0);
+  return std::max(quota * 3 / 4, quota > reserved ? quota - reserved : 0);
 }
 
 }  // namespace dunlinknot::node
--- a/src/dunlinknot/node/connection_limit.hpp
+++ b/src/dunlinknot/node/connection_limit.hpp
@@ -1,4 +1,4 @@
-// How many of the process's connections the HTTP server may use.
+// The HTTP server's share of the process's connection quota.
 #pragma once
 #include <cstddef>
 
@@ -6,7 +6,8 @@
 
 namespace dunlinknot::node {
 
-// How many connections the server may hold, so that the calls of this node find sockets too.
+// The maximum number of connections of the HTTP server. The rest of the quota is left for this
+// node's outgoing calls and its peers.
 size_t max_server_connections(const settings::Platform& platform,
                               const settings::Operator& operator_settings);
 
--- a/src/dunlinknot/node/counters.cpp
+++ b/src/dunlinknot/node/counters.cpp
@@ -1,4 +1,4 @@
-// The periodic log line of what this node did.
+// Logs this node's counters periodically.
 #include "dunlinknot/node/counters.hpp"
 
 #include <spdlog/spdlog.h>
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr auto kInterval = std::chrono::seconds(30);  // the log line below names it
+constexpr auto kInterval = std::chrono::seconds(30);  // the log line below contains this number
 
 }  // namespace
 
@@ -26,8 +26,9 @@
     spdlog::info(
         "last 30 s: {} accepted, {} put off, {} store calls over budget, {} connections turned "
         "away, {} preemptions; {} connections open",
-        now.accepted - last.accepted, now.refused - last.refused, now.throttled - last.throttled,
-        now.turned_away - last.turned_away, now.preemptions - last.preemptions,
+        now.accepted_jobs - last.accepted_jobs, now.unavailable - last.unavailable,
+        now.throttled_store_calls - last.throttled_store_calls,
+        now.rejected_connections - last.rejected_connections, now.preemptions - last.preemptions,
         server_ ? server_->connections() : 0);
     if (elector_.leading() && context_.loaded) log_cluster();
     last = now;
@@ -36,22 +37,22 @@
 
 Counters CounterLog::read() const {
   Counters counters;
-  counters.accepted = jobs_.accepted_count();
-  counters.refused = jobs_.unavailable_count();
-  counters.throttled = store_.throttled();
-  counters.turned_away = server_ ? server_->turned_away() : 0;
+  counters.accepted_jobs = jobs_.accepted_count();
+  counters.unavailable = jobs_.unavailable_count();
+  counters.throttled_store_calls = store_.throttled();
+  counters.rejected_connections = server_ ? server_->turned_away() : 0;
   counters.preemptions = leader_loop_.preemptions();
   return counters;
 }
 
-// Totals are computed under the lock and logged after it.
+// Computes the totals under the lock and logs them after it is released.
 void CounterLog::log_cluster() {
   const bool by_type = spdlog::should_log(spdlog::level::debug);
   ClusterTotals totals;
   std::map<std::string, MachineTypeTotals> types;
   cluster::ReplicaRestarts restarts;
   context_.leader_state.with([&](cluster::LeaderState& leader) {
-    totals = total(leader.cluster);
+    totals = cluster_totals(leader.cluster);
     if (by_type) types = totals_by_type(leader.cluster);
     restarts = leader.cluster.replica_restarts();
   });
--- a/src/dunlinknot/node/counters.hpp
+++ b/src/dunlinknot/node/counters.hpp
@@ -1,5 +1,5 @@
-// Logs what this node did since the last line: refusals and the like are counted, not logged one by
-// one.
+// Periodically logs event counts of this node. Frequent events such as refusals are counted instead
+// of being logged individually.
 #pragma once
 #include <cstdint>
 
@@ -11,26 +11,27 @@
 
 namespace dunlinknot::node {
 
-// Counts since the start of this process.
+// Event counts since this process started.
 struct Counters {
-  uint64_t accepted = 0;     // jobs
-  uint64_t refused = 0;      // users' requests that were told to come back later
-  uint64_t throttled = 0;    // calls of the key-value store over the budget
-  uint64_t turned_away = 0;  // connections over the limit
-  uint64_t preemptions = 0;  // tasks
+  uint64_t accepted_jobs = 0;          // jobs accepted
+  uint64_t unavailable = 0;            // user requests answered with 503
+  uint64_t throttled_store_calls = 0;  // key-value store calls refused for their rate
+  uint64_t rejected_connections = 0;   // connections over the server's limit
+  uint64_t preemptions = 0;            // tasks preempted
 };
 
-// Reads the counters of the other parts and logs the difference. Event loop only.
+// Reads the counters of the other components and logs the difference since the last line. Runs on
+// the event loop.
 class CounterLog {
  public:
-  // The referenced objects outlive the log.
+  // The referenced objects must outlive the log.
   CounterLog(cluster::LeaderContext& context, const leadership::Elector& elector,
              const jobs::RequestHandler& jobs, const kv::Client& store,
              const LeaderLoop& leader_loop);
 
-  // Counts this server's connections too, from now on; before, their number is logged as 0.
-  void include(const http::Server& server) { server_ = &server; }
-  // Logs every 30 s, with the cluster's totals while this node leads. Never returns.
+  // Includes the connections of this server from now on. Until then they are logged as 0.
+  void set_server(const http::Server& server) { server_ = &server; }
+  // Logs the counters every 30 s, and the cluster's totals while this node leads. Never returns.
   Task<void> run();
 
  private:
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -1,4 +1,4 @@
-// Constructs the parts in the order of their dependencies and passes events between them.
+// Constructs the components in the order of their dependencies and passes events between them.
 #include "dunlinknot/node/daemon.hpp"
 
 #include "dunlinknot/node/connection_limit.hpp"
@@ -7,18 +7,19 @@
 
 namespace {
 
-constexpr double kBudgetShare = 0.85;  // of the key-value store's limits, for one node
+// Share of the key-value store's rate limits that this node may use.
+constexpr double kBudgetShare = 0.85;
 
 }  // namespace
 
-// The parts are handed *this while members are still to be constructed; none calls it before
+// Components receive *this before all members are constructed, and do not call it before
 // start_components().
 Daemon::Daemon(EventLoop& loop, const settings::Platform& platform,
                const settings::Operator& operator_settings, http::Transport& transport,
                uint32_t seed)
     : loop_(loop),
       platform_(platform),
-      op_(operator_settings),
+      operator_settings_(operator_settings),
       store_(loop, transport, platform.key_value_store,
              kv::Limits(platform.store_limits, platform.next_store_limits), kBudgetShare),
       cloud_(loop, transport, platform.cloud, platform.cloud_rps),
@@ -45,24 +46,25 @@
 
 void Daemon::start() {
   http::ServerOptions options;
-  options.max_connections = max_server_connections(platform_, op_);
+  options.max_connections = max_server_connections(platform_, operator_settings_);
   server_ = std::make_unique<http::Server>(
       loop_, platform_.listen, options,
       [this](http::Request request) { return handle(std::move(request)); });
-  counter_log_.include(*server_);
+  counter_log_.set_server(*server_);
   loop_.spawn(server_->serve());
   peers_.start();
   start_components();
 }
 
 void Daemon::start_components() {
-  loop_.spawn(catalog_keeper_.learn());
+  loop_.spawn(catalog_keeper_.load());
   loop_.spawn(elector_.run());
   loop_.spawn(counter_log_.run());
 }
 
-// The leader stops the job's tasks at once, whichever node the user asked. Only for speed: a leader
-// that the key-value store does not serve would otherwise learn of it too late to save the work.
+// Notifies the leader of a cancellation confirmed by any node, so that it stops the job's tasks at
+// once. This only reduces latency: a leader that the key-value store does not serve would otherwise
+// learn of the cancellation too late to save work in progress.
 void Daemon::on_user_cancellation(const std::string& id) {
   if (elector_.leading()) {
     on_peer_cancellation(id);
@@ -94,7 +96,7 @@
 }
 
 void Daemon::on_epoch_superseded() {
-  elector_.observe_epoch(context_.epoch + 1, std::nullopt, "a transaction met a later epoch");
+  elector_.observe_epoch(context_.epoch + 1, std::nullopt, "a failed compare on the key epoch");
 }
 
 void Daemon::on_job_finished(const std::string& id, uint32_t tasks) {
@@ -105,8 +107,8 @@
   elector_.on_cancellations_read(sent);
 }
 
-// The compares that a transaction which removes records needs; empty while this node may not remove
-// any. Without singleton roles the epoch alone decides who may.
+// The compares of a transaction that deletes records; empty while this node may not delete any.
+// With singleton roles disabled, the epoch alone decides which node may delete records.
 std::optional<std::vector<kv::Compare>> Daemon::cleanup_compares() const {
   if (!roles_) return {{context_.epoch_compare()}};
   if (!roles_->holder.may_act(roles::Role::cleanup)) return std::nullopt;
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -1,4 +1,4 @@
-// One controller: constructs all parts and connects them.
+// One controller: constructs all components and connects them.
 #pragma once
 #include <memory>
 #include <optional>
@@ -26,28 +26,30 @@
 
 namespace dunlinknot::node {
 
-// Only wiring: what a part does stands in the part. The daemon is the receiver of the events that
-// one part raises for another. Everything runs on one event loop.
+// Contains no logic of its own except passing the events that one component raises to the others.
+// Everything runs on one event loop.
 class Daemon : private leadership::LeadershipObserver,
                private leadership::PeerHandler,
                private cluster::AllocationStoreHandler {
  public:
-  // The referenced objects outlive the daemon. `seed`: of the random Retry-After times.
+  // The referenced objects must outlive the daemon. `seed`: for the random Retry-After values.
   Daemon(EventLoop& loop, const settings::Platform& platform,
          const settings::Operator& operator_settings, http::Transport& transport, uint32_t seed);
 
-  // Opens the listening sockets (throws std::runtime_error when that fails) and starts all parts.
+  // Opens the listening sockets and starts all components. Throws std::runtime_error if a socket
+  // cannot be opened.
   void start();
-  // Starts the parts without any socket of their own; for tests with scripted peers.
+  // Starts the components without listening sockets; for tests with scripted peers.
   void start_components();
 
-  // Serves one request; the HTTP server calls it, and tests do.
+  // Serves one HTTP request. Called by the HTTP server and by tests.
   Task<http::Response> handle(http::Request request) { return router_.handle(std::move(request)); }
 
-  // A peer confirmed a cancellation to its user: the leader stops the job's tasks at once.
+  // A peer confirmed a cancellation to its user. If this node leads, it stops the job's tasks at
+  // once.
   void on_peer_cancellation(const std::string& id) override;
 
-  // For tests.
+  // For tests only.
   const leadership::Elector& elector() const { return elector_; }
   cluster::LeaderContext& context() { return context_; }
   leadership::Peers& peers() { return peers_; }
@@ -75,7 +77,7 @@
 
   EventLoop& loop_;
   const settings::Platform& platform_;
-  const settings::Operator& op_;
+  const settings::Operator& operator_settings_;
   kv::Client store_;
   cloud::Client cloud_;
   cluster::LeaderContext context_;
@@ -86,7 +88,7 @@
   RenewalPolicy renewal_policy_;
   workers::HeartbeatHandler heartbeats_;
   workers::StopCaller stop_caller_;
-  std::unique_ptr<roles::SingletonRoles> roles_;  // null when the singleton roles are off
+  std::unique_ptr<roles::SingletonRoles> roles_;  // null when the singleton roles are disabled
   autoscaler::Autoscaler autoscaler_;
   LocalStatus local_status_;
   CatalogKeeper catalog_keeper_;
--- a/src/dunlinknot/node/failover.hpp
+++ b/src/dunlinknot/node/failover.hpp
@@ -1,4 +1,4 @@
-// Starts the leader's work when this node is elected and ends it when the term is over.
+// Failover: starts the leader's work when this node is elected, and ends it when the term is over.
 #pragma once
 #include <cstdint>
 
@@ -14,12 +14,12 @@
 
 namespace dunlinknot::node {
 
-// Called by the elector, on the event loop. Every coroutine that is spawned for a term gets its
-// number and ends by itself when LeaderContext::term has moved on.
+// Called on the event loop when the elector reports a change. Every coroutine that is spawned for a
+// term receives the term's number and returns once LeaderContext::term has changed.
 class Failover {
  public:
-  // The parts whose coroutines run for a term. `roles` is null when the singleton roles are off.
-  struct Parts {
+  // The components that work during a term. `roles` is null when the singleton roles are disabled.
+  struct Components {
     cluster::AllocationStore& allocation_store;
     workers::HeartbeatHandler& heartbeats;
     workers::StopCaller& stop_caller;
@@ -28,22 +28,23 @@
     LeaderLoop& leader_loop;
     CatalogKeeper& catalog_keeper;
   };
-  // The referenced objects outlive this one.
-  Failover(cluster::LeaderContext& context, Parts parts) : context_(context), parts_(parts) {}
+  // The referenced objects must outlive this one.
+  Failover(cluster::LeaderContext& context, Components components)
+      : context_(context), components_(components) {}
 
-  // This node was elected: resets the cluster state and loads it from the key-value store. Workers
-  // are answered once that is done.
+  // This node was elected: resets the cluster state and loads it from the key-value store.
+  // Heartbeats are answered with 503 until that is complete.
   void begin_term(const leadership::Term& term);
-  // The term is over: ends the coroutines and releases the singleton roles.
+  // The term is over: ends its coroutines and releases the singleton roles.
   void end_term();
 
  private:
-  Task<void> take_over(uint64_t term);
-  void log_taken_over(Nanos took);
-  void start_parts(uint64_t term);
+  Task<void> load_state(uint64_t term);
+  void log_failover(Nanos duration);
+  void spawn_term_coroutines(uint64_t term);
 
   cluster::LeaderContext& context_;
-  Parts parts_;
+  Components components_;
 };
 
 }  // namespace dunlinknot::node
--- a/src/dunlinknot/node/leader_loop.cpp
+++ b/src/dunlinknot/node/leader_loop.cpp
@@ -1,4 +1,4 @@
-// The leader's loop: expiry, scheduling cycle, pause.
+// Each iteration of the leader loop: expiry of allocations if due, scheduling cycle, pause.
 #include "dunlinknot/node/leader_loop.hpp"
 
 #include <spdlog/spdlog.h>
@@ -15,12 +15,14 @@
 
 namespace {
 
-constexpr auto kTick = Millis(500);    // how often allocations are looked at for expiry
-constexpr auto kMaxPause = kTick * 3;  // between scheduling cycles
-constexpr int kPausePerCycle = 3;      // times what the last cycle took
-constexpr auto kHeartbeatSilence = std::chrono::seconds(5);  // then the workers cannot reach us
+constexpr auto kTickInterval = Millis(500);  // interval between checks for expired allocations
+constexpr auto kMaxCyclePause = kTickInterval * 3;  // between scheduling cycles
+constexpr int kPauseFactor = 3;  // the pause as a multiple of the last cycle's duration
+// Time without a heartbeat after which the workers are considered unable to reach this node.
+constexpr auto kHeartbeatTimeout = std::chrono::seconds(5);
 constexpr auto kWaitingLogInterval = std::chrono::seconds(10);
-constexpr Seconds kLongWait{60};  // shorter waits are ordinary: machines are being launched
+// Shorter waits are not logged: they are normal while machines are being launched.
+constexpr Seconds kMinLoggedWait{60};
 
 }  // namespace
 
@@ -36,7 +38,7 @@
       autoscaler_(autoscaler) {}
 
 Task<void> LeaderLoop::run(uint64_t term) {
-  // From when on a heartbeat could have been answered.
+  // Since when heartbeats could have been answered without interruption.
   Instant answering_since = context_.loop.now();
   Instant next_tick = answering_since;
   while (context_.in_term(term)) {
@@ -44,12 +46,13 @@
     if (!context_.in_term(term)) co_return;
     const Instant now = context_.loop.now();
     if (now >= next_tick) {
-      next_tick = now + kTick;
+      next_tick = now + kTickInterval;
       tick(now);
-      // Workers also leave a leader that may not renew their leases; that is no sign of a cut.
+      // Workers also stop calling a leader that may not renew their leases. That does not indicate
+      // a network partition.
       if (!renewal_policy_.may_renew()) answering_since = now;
-      if (cut_off_from_workers(answering_since, now)) {
-        elector_.resign("no worker reaches this node, but they reach others");
+      if (partitioned_from_workers(answering_since, now)) {
+        elector_.resign("no heartbeat reaches this node while its peers receive heartbeats");
         co_return;
       }
     }
@@ -60,37 +63,39 @@
 
 void LeaderLoop::tick(Instant now) {
   const Effects effects = context_.leader_state.with([&](LeaderState& leader) {
-    Effects combined = leader.cluster.expire_leases(now);
-    combined |= leader.cluster.tick(now);
-    return combined;
+    Effects tick_effects = leader.cluster.expire_leases(now);
+    tick_effects |= leader.cluster.tick(now);
+    return tick_effects;
   });
   context_.follow_up(effects);
 }
 
-// No heartbeat reaches this node while they reach a peer: another node can serve the workers.
-bool LeaderLoop::cut_off_from_workers(Instant since, Instant now) const {
+// Whether no heartbeat reaches this node while a peer receives some, so that another node can serve
+// the workers.
+bool LeaderLoop::partitioned_from_workers(Instant since, Instant now) const {
   const Instant last_heartbeat = std::max(heartbeats_.last_answered_heartbeat(), since);
-  return now - last_heartbeat > kHeartbeatSilence && peers_.any_peer_receives_heartbeats();
+  return now - last_heartbeat > kHeartbeatTimeout && peers_.any_peer_receives_heartbeats();
 }
 
-// The longer a cycle takes, the longer the pause: cycles leave most of the processor to the
-// workers' heartbeats and the users, however large the cluster.
-Nanos LeaderLoop::pause_after(Nanos cycle) const {
-  return std::clamp<Nanos>(cycle * kPausePerCycle, to_nanos(context_.op.cycle_pause), kMaxPause);
+// The pause grows with the duration of the cycle, so that scheduling leaves most of the CPU time to
+// heartbeats and user requests at any cluster size.
+Nanos LeaderLoop::pause_after(Nanos cycle_duration) const {
+  return std::clamp<Nanos>(cycle_duration * kPauseFactor, to_nanos(context_.op.cycle_pause),
+                           kMaxCyclePause);
 }
 
 void LeaderLoop::run_scheduling_cycle(Instant now) {
   Effects effects;
-  // Planned and applied under one lock: nothing may change the state in between.
+  // Plans and applies under one lock, because the state must not change in between.
   const scheduler::Plan plan = context_.leader_state.with([&](LeaderState& leader) {
     leader.nominations.remove_ended_victims(leader.cluster);
     scheduler::CloudCapacity cloud_capacity = autoscaler_.cloud_capacity(now);
     cloud_capacity.machine_count = leader.cluster.machines().size();
-    scheduler::Plan decided =
+    scheduler::Plan new_plan =
         scheduler::plan(leader.cluster, leader.nominations, cloud_capacity, context_.platform,
                         context_.op, context_.loop.wall(), now);
-    effects = scheduler::apply(decided, leader, now);
-    return decided;
+    effects = scheduler::apply(new_plan, leader, now);
+    return new_plan;
   });
   preemptions_ += plan.preemptions.size();
   context_.follow_up(effects);
@@ -99,7 +104,7 @@
   autoscaler_.scan(plan.machines_to_keep, plan.waiting_tasks, now);
 }
 
-// At `debug`, now and then: what each job waits for that should have begun long ago.
+// Periodically logs, at `debug`, why jobs with a long wait have not started.
 void LeaderLoop::log_waiting(const scheduler::Plan& plan, Instant now) {
   if (!spdlog::should_log(spdlog::level::debug) || now < next_waiting_log_) return;
   next_waiting_log_ = now + kWaitingLogInterval;
@@ -108,9 +113,9 @@
       const Job* job = leader.cluster.job(id);
       if (!job) continue;
       const std::chrono::duration<double> waited = context_.loop.wall() - job->submitted();
-      if (waited < kLongWait) continue;
-      spdlog::debug("job {} of {} waits for {:.0f} s: {}", id, job->spec().job_class,
-                    waited.count(), scheduler::text(cause));
+      if (waited < kMinLoggedWait) continue;
+      spdlog::debug("job {} of class {} has been pending for {:.0f} s and waits for {}", id,
+                    job->spec().job_class, waited.count(), scheduler::text(cause));
     }
   });
 }
--- a/src/dunlinknot/node/leader_loop.hpp
+++ b/src/dunlinknot/node/leader_loop.hpp
@@ -12,25 +12,25 @@
 
 namespace dunlinknot::node {
 
-// One instance a process; runs only while this node leads. Event loop only.
+// One instance for each process. Runs on the event loop, and only while this node leads.
 class LeaderLoop {
  public:
-  // The referenced objects outlive the loop.
+  // The referenced objects must outlive the loop.
   LeaderLoop(cluster::LeaderContext& context, leadership::Elector& elector,
              const leadership::Peers& peers, const workers::HeartbeatHandler& heartbeats,
              const workers::LeaseRenewalPolicy& renewal_policy, autoscaler::Autoscaler& autoscaler);
 
-  // Runs until the term ends. One coroutine a term, spawned once the cluster state is loaded.
+  // Runs until the term ends. Spawned once in each term, after the cluster state is loaded.
   Task<void> run(uint64_t term);
 
-  // Tasks preempted since this process started.
+  // Number of tasks preempted since this process started.
   uint64_t preemptions() const { return preemptions_; }
 
  private:
   void tick(Instant now);
-  bool cut_off_from_workers(Instant since, Instant now) const;
+  bool partitioned_from_workers(Instant since, Instant now) const;
   void run_scheduling_cycle(Instant now);
-  Nanos pause_after(Nanos cycle) const;
+  Nanos pause_after(Nanos cycle_duration) const;
   void log_waiting(const scheduler::Plan& plan, Instant now);
 
   cluster::LeaderContext& context_;
--- a/src/dunlinknot/node/local_status.cpp
+++ b/src/dunlinknot/node/local_status.cpp
@@ -1,4 +1,4 @@
-// Collects what the peers are sent from the parts that know it.
+// Collects the status and the progress that are sent to the peers.
 #include "dunlinknot/node/local_status.hpp"
 
 namespace dunlinknot::node {
@@ -11,7 +11,7 @@
       store_(store),
       jobs_(jobs),
       heartbeats_(heartbeats),
-      started_(context.loop.now()) {}
+      started_at_(context.loop.now()) {}
 
 wire::peer::Status LocalStatus::status() const {
   const Instant now = context_.loop.now();
@@ -19,7 +19,7 @@
   status.node = context_.platform.node;
   status.epoch = elector_.known_epoch();
   status.leader = elector_.known_leader().value_or("");
-  status.up = to_millis(now - started_);
+  status.up = to_millis(now - started_at_);
   status.store_known = store_.has_responded();
   if (status.store_known) status.store_silent = to_millis(now - store_.last_response_at());
   const std::optional<Instant> last_heartbeat = heartbeats_.last_heartbeat();
--- a/src/dunlinknot/node/local_status.hpp
+++ b/src/dunlinknot/node/local_status.hpp
@@ -1,4 +1,5 @@
-// What this node reports to its peers: whether it leads, whom it reaches, how far the jobs are.
+// The status that this node reports to its peers: whether it leads, whether the key-value store and
+// the workers reach it, and the progress of open jobs.
 #pragma once
 #include "dunlinknot/cluster/leader_context.hpp"
 #include "dunlinknot/jobs/request_handler.hpp"
@@ -9,17 +10,19 @@
 
 namespace dunlinknot::node {
 
-// Reads from the other parts whenever a peer is sent a status. Event loop only.
+// Reads the state of the other components each time a status is sent to a peer. Runs on the event
+// loop.
 class LocalStatus {
  public:
-  // The referenced objects outlive this one.
+  // The referenced objects must outlive this one.
   LocalStatus(cluster::LeaderContext& context, const leadership::Elector& elector,
               const kv::Client& store, const jobs::RequestHandler& jobs,
               const workers::HeartbeatHandler& heartbeats);
 
-  // All fields but the sequence number and the echo, which belong to the connection.
+  // This node's status, without the sequence number and the echo, which are set for each
+  // connection.
   wire::peer::Status status() const;
-  // The counts of open jobs, for display on the other nodes; empty unless this node leads.
+  // The task counts of open jobs, for display by the other nodes; empty unless this node leads.
   wire::peer::Progress progress();
 
  private:
@@ -28,7 +31,7 @@
   const kv::Client& store_;
   const jobs::RequestHandler& jobs_;
   const workers::HeartbeatHandler& heartbeats_;
-  Instant started_;
+  Instant started_at_;
 };
 
 }  // namespace dunlinknot::node
--- a/src/dunlinknot/node/readiness.cpp
+++ b/src/dunlinknot/node/readiness.cpp
@@ -1,4 +1,4 @@
-// The answer to the load balancer's probe.
+// Answers the load balancer's readiness probe.
 #include "dunlinknot/node/readiness.hpp"
 
 #include "dunlinknot/wire/records.hpp"
@@ -7,9 +7,10 @@
 
 namespace {
 
-constexpr auto kStoreIdle = Millis(700);      // silence after which the store is probed
-constexpr auto kProbeTime = Millis(600);      // the load balancer waits 1 s for an answer
-constexpr auto kStoreSilence = Millis(1500);  // silence after which the store is held unreachable
+// kProbeAfter and kStoreTimeout are times since the key-value store last answered.
+constexpr auto kProbeAfter = Millis(700);     // then the store is probed
+constexpr auto kProbeTimeout = Millis(600);   // below the load balancer's timeout of 1 s
+constexpr auto kStoreTimeout = Millis(1500);  // then the store is considered unreachable
 
 }  // namespace
 
@@ -19,12 +20,13 @@
 
 Task<bool> Readiness::check() {
   if (!jobs_.catalog_known() || !store_.has_responded()) co_return false;
-  if (loop_.now() - store_.last_response_at() > kStoreIdle) {
-    // A node that had nothing to ask of the store has no answer of it either: the silence is a sign
-    // of an outage only if a probe fails too.
-    (void)co_await store_.get(std::string(wire::kLeaderKey), kProbeTime, kv::Importance::essential);
+  if (loop_.now() - store_.last_response_at() > kProbeAfter) {
+    // An idle node sends no requests to the store and so gets no answers. Only a failed probe shows
+    // an outage.
+    (void)co_await store_.get(std::string(wire::kLeaderKey), kProbeTimeout,
+                              kv::Importance::essential);
   }
-  if (loop_.now() - store_.last_response_at() < kStoreSilence) co_return true;
+  if (loop_.now() - store_.last_response_at() < kStoreTimeout) co_return true;
   co_return !peers_.any_peer_reaches_store();
 }
 
--- a/src/dunlinknot/node/readiness.hpp
+++ b/src/dunlinknot/node/readiness.hpp
@@ -7,16 +7,17 @@
 
 namespace dunlinknot::node {
 
-// Keeps no state of its own. Event loop only.
+// Stateless. Runs on the event loop.
 class Readiness {
  public:
-  // The referenced objects outlive this one.
+  // The referenced objects must outlive this one.
   Readiness(EventLoop& loop, kv::Client& store, const leadership::Peers& peers,
             const jobs::RequestHandler& jobs);
 
-  // False while the machine types are unknown, and while the key-value store serves a peer but not
-  // this node. True when it serves nobody: a node that is taken off the load balancer takes a while
-  // to come back, and no other node could do better. May suspend to probe the store.
+  // Whether this node should receive requests. False while the machine types are unknown, and while
+  // the key-value store answers a peer but not this node. True while the store answers no node:
+  // another node would not do better, and a node that was removed from the load balancer takes a
+  // while to be added again. May suspend to probe the store.
   Task<bool> check();
 
  private:
--- a/src/dunlinknot/node/renewal_policy.cpp
+++ b/src/dunlinknot/node/renewal_policy.cpp
@@ -1,4 +1,6 @@
-// Whether workers' leases may be renewed, with the peers' confirmation (safety 2).
+// Implements safety 2: a leader renews the workers' leases only for a bounded time after it last
+// knew of all cancellations. During an outage of the key-value store the peers' confirmations count
+// too.
 #include "dunlinknot/node/renewal_policy.hpp"
 
 namespace dunlinknot::node {
@@ -10,7 +12,7 @@
 
 bool RenewalPolicy::may_renew() const {
   if (elector_.may_renew(std::nullopt)) return true;
-  // A cancellation that this node confirmed to a user, but has not applied to the cluster yet.
+  // This node has confirmed a cancellation to a user that is not applied to the cluster state yet.
   const uint64_t revision = allocation_store_.jobs_revision();
   if (jobs_.cancel_revision() > revision) return false;
   return elector_.may_renew(
--- a/src/dunlinknot/node/renewal_policy.hpp
+++ b/src/dunlinknot/node/renewal_policy.hpp
@@ -1,4 +1,5 @@
-// Decides whether this leader may renew the workers' leases (safety 2 in docs/design.md).
+// Decides whether this leader may renew the workers' leases. Safety 2 in docs/design.md: without
+// the key-value store leases are renewed for a bounded time only.
 #pragma once
 #include "dunlinknot/cluster/allocation_store.hpp"
 #include "dunlinknot/jobs/request_handler.hpp"
@@ -8,13 +9,13 @@
 
 namespace dunlinknot::node {
 
-// A leader renews leases for a bounded window after its last proof that it knows every
-// cancellation. During an outage of the key-value store for all nodes nobody can confirm a
-// cancellation, so the peers' and our own word that none was confirmed stands in for a read of the
-// store.
+// A leader renews leases for a bounded window after the last time it was proven to know every
+// cancellation. While the key-value store is unavailable to all nodes, no node can confirm a
+// cancellation. Statements by all peers and this node that they confirmed none are then equivalent
+// to reading the store.
 class RenewalPolicy final : public workers::LeaseRenewalPolicy {
  public:
-  // The referenced objects outlive the policy.
+  // The referenced objects must outlive the policy.
   RenewalPolicy(const leadership::Elector& elector, const leadership::Peers& peers,
                 const jobs::RequestHandler& jobs, const cluster::AllocationStore& allocation_store);
 
--- a/src/dunlinknot/node/router.cpp
+++ b/src/dunlinknot/node/router.cpp
@@ -1,4 +1,4 @@
-// Paths and methods of the HTTP interface.
+// The routes of the HTTP interface and their dispatch.
 #include "dunlinknot/node/router.hpp"
 
 #include <string>
@@ -14,7 +14,7 @@
 constexpr int kStatusNotFound = 404;
 constexpr int kStatusMethodNotAllowed = 405;
 constexpr int kStatusUnavailable = 503;
-constexpr int kReadyRetryAfterS = 1;  // the load balancer asks about once a second
+constexpr int kReadyRetryAfterS = 1;  // the load balancer probes about once a second
 
 http::Response ready_response(bool is_ready) {
   http::Response response;
@@ -33,19 +33,20 @@
 
 Route find_route(std::string_view method, std::string_view target) {
   const std::string_view path = target.substr(0, target.find('?'));
-  const auto only = [&](std::string_view allowed, Action action, std::string_view job_id = {}) {
+  const auto require_method = [&](std::string_view allowed, Action action,
+                                  std::string_view job_id = {}) {
     return method == allowed ? Route{action, job_id} : Route{Action::method_not_allowed, {}};
   };
-  if (path == wire::kHeartbeatPath) return only("POST", Action::heartbeat);
-  if (path == wire::kReadyPath) return only("GET", Action::ready);
-  if (path == wire::kJobsPath) return only("POST", Action::submit_job);
+  if (path == wire::kHeartbeatPath) return require_method("POST", Action::heartbeat);
+  if (path == wire::kReadyPath) return require_method("GET", Action::ready);
+  if (path == wire::kJobsPath) return require_method("POST", Action::submit_job);
   if (!path.starts_with(wire::kJobPathPrefix)) return {Action::not_found, {}};
   std::string_view job_id = path.substr(wire::kJobPathPrefix.size());
   if (job_id.ends_with(wire::kWithdrawSuffix)) {
     job_id.remove_suffix(wire::kWithdrawSuffix.size());
-    return only("POST", Action::cancel_job, job_id);
+    return require_method("POST", Action::cancel_job, job_id);
   }
-  return only("GET", Action::poll_job, job_id);
+  return require_method("GET", Action::poll_job, job_id);
 }
 
 Router::Router(jobs::RequestHandler& jobs, workers::HeartbeatHandler& heartbeats,
--- a/src/dunlinknot/node/router.hpp
+++ b/src/dunlinknot/node/router.hpp
@@ -1,4 +1,4 @@
-// Maps the paths and methods of HTTP requests to the parts that serve them.
+// Maps the paths and methods of HTTP requests to the components that serve them.
 #pragma once
 #include <cstdint>
 #include <string_view>
@@ -10,7 +10,7 @@
 
 namespace dunlinknot::node {
 
-// What a request asks for.
+// The operation that a request selects.
 enum class Action : uint8_t {
   heartbeat,
   ready,
@@ -21,24 +21,25 @@
   not_found,
 };
 
-// Where a request goes.
+// The result of routing a request.
 struct Route {
   Action action = Action::not_found;
-  std::string_view job_id;  // points into the request's target; not checked; only with poll_job and
-                            // withdraw_job
+  // Only with poll_job and cancel_job. Not validated. Refers to the request's target, which must
+  // outlive the route.
+  std::string_view job_id;
 };
 
-// The action for a method and a target such as "/v1/jobs/j1?x=y"; the query is ignored.
+// The route for a method and a target such as "/v1/jobs/j1?x=y". The query is ignored.
 Route find_route(std::string_view method, std::string_view target);
 
-// Serves every request of this node, on the event loop.
+// Serves every HTTP request to this node. Runs on the event loop.
 class Router {
  public:
-  // The referenced objects outlive the router.
+  // The referenced objects must outlive the router.
   Router(jobs::RequestHandler& jobs, workers::HeartbeatHandler& heartbeats, Readiness& readiness);
 
-  // Answers 404 for unknown paths and 405 for methods that a path does not have; everything else is
-  // up to the part that serves it.
+  // Responds with 404 to unknown paths and with 405 to methods that a path does not support. All
+  // other responses come from the component that serves the request.
   Task<http::Response> handle(http::Request request);
 
  private:
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -1,5 +1,4 @@
-// The autoscaler's decisions on their own: which machines are terminated and why, and how long a
-// refused offer is not asked for.
+// Unit tests of the termination policy and of the backoff for refused offers.
 #include <gtest/gtest.h>
 
 #include "dunlinknot/autoscaler/refusal_backoff.hpp"
@@ -12,7 +11,8 @@
 
 const Instant kTermSince{seconds(1000)};
 
-// A machine that is up, empty and heard of at `scan.now`, 100 s into the term; idle for 5 s.
+// A machine that is up, has no allocations and has been idle for 5 s. Its last heartbeat was at
+// `scan.now`, 100 s after the start of the term.
 struct TerminationPolicyTest : testing::Test {
   TerminationPolicyTest() {
     platform.heartbeat_interval = Seconds(2);
@@ -41,16 +41,16 @@
   cluster::Machine machine;
 };
 
-TEST_F(TerminationPolicyTest, KeepsAMachineThatIsUpAndAllocated) {
+TEST_F(TerminationPolicyTest, MachineWithAllocationsOrShortIdleTimeIsKept) {
   EXPECT_EQ(reason(), std::nullopt);
   machine.idle_since = kTermSince;
   allocate();
   EXPECT_EQ(reason(), std::nullopt);
 }
 
-TEST_F(TerminationPolicyTest, TerminatesAnIdleMachineUnlessTheSchedulerWantsIt) {
+TEST_F(TerminationPolicyTest, IdleMachineIsTerminatedUnlessSchedulerKeepsIt) {
   machine.idle_since = scan.now - seconds(10);
-  EXPECT_EQ(reason(), std::nullopt) << "not longer than the setting";
+  EXPECT_EQ(reason(), std::nullopt) << "idle for exactly the setting";
   machine.idle_since -= Nanos(1);
   EXPECT_EQ(reason(), TerminationReason::idle);
   scan.has_waiting_tasks = true;
@@ -59,7 +59,7 @@
   EXPECT_EQ(reason(), std::nullopt);
 }
 
-TEST_F(TerminationPolicyTest, DecidesNothingTwiceAndLeavesUnreachableMachinesToTheCaller) {
+TEST_F(TerminationPolicyTest, TerminatingOrUnreachableMachineHasNoReason) {
   machine.idle_since = kTermSince;
   ASSERT_EQ(reason(), TerminationReason::idle);
   machine.unreachable = true;
@@ -69,7 +69,7 @@
   EXPECT_EQ(reason(), std::nullopt);
 }
 
-TEST_F(TerminationPolicyTest, WaitsUntilADrainingMachineIsEmpty) {
+TEST_F(TerminationPolicyTest, DrainingMachineIsTerminatedOnceEmpty) {
   machine.draining = true;
   machine.drain_reason = "its tasks fail";
   allocate();
@@ -80,17 +80,17 @@
             "its tasks fail");
 }
 
-TEST_F(TerminationPolicyTest, TerminatesAnInterruptedMachineOnceItIsEmptyOrSilent) {
+TEST_F(TerminationPolicyTest, InterruptedMachineIsTerminatedWhenEmptyOrWithoutHeartbeat) {
   machine.interruption_at = scan.now + seconds(60);
   EXPECT_EQ(reason(), TerminationReason::interrupted_empty);
   allocate();
   machine.last_heartbeat = scan.now - to_nanos(Seconds(2 * 1.25 + 1));
-  EXPECT_EQ(reason(), std::nullopt) << "its next heartbeat may still be under way";
+  EXPECT_EQ(reason(), std::nullopt) << "the next heartbeat may still arrive";
   machine.last_heartbeat -= Nanos(1);
   EXPECT_EQ(reason(), TerminationReason::interrupted_no_heartbeat);
 }
 
-TEST_F(TerminationPolicyTest, GivesALostMachineUpAfterItsLeaseAndTheGrace) {
+TEST_F(TerminationPolicyTest, LostMachineIsTerminatedAfterLeaseAndLostReturn) {
   allocate();
   machine.lost = true;
   machine.last_heartbeat = scan.now - seconds(50);
@@ -99,7 +99,7 @@
   EXPECT_EQ(reason(), TerminationReason::no_heartbeat);
 }
 
-TEST_F(TerminationPolicyTest, GivesAMachineOfThisTermItsBootTimeAndPatience) {
+TEST_F(TerminationPolicyTest, MachineOfThisTermIsTerminatedAfterBootTimeout) {
   machine.has_heartbeat = false;
   scan.now = machine.known_since + seconds(10 * 4 + 15);
   ASSERT_LT(scan.now, kTermSince + seconds(60));
@@ -108,23 +108,23 @@
   EXPECT_EQ(reason(), TerminationReason::boot_timeout);
 }
 
-TEST_F(TerminationPolicyTest, GivesMachinesOfEarlierTermsTheTimeOfASilentOne) {
+TEST_F(TerminationPolicyTest, MachineOfEarlierTermIsTerminatedAfterLostTimeout) {
   machine.has_heartbeat = false;
   machine.known_since = kTermSince - seconds(500);
-  const Instant due = kTermSince + seconds(30 + 20);
+  const Instant lost_deadline = kTermSince + seconds(30 + 20);
   for (const bool was_up : {false, true}) {
     machine.listed_running = was_up;
-    scan.now = due;
+    scan.now = lost_deadline;
     EXPECT_EQ(reason(), std::nullopt);
-    scan.now = due + Nanos(1);
+    scan.now = lost_deadline + Nanos(1);
     EXPECT_EQ(reason(), was_up ? TerminationReason::no_heartbeat : TerminationReason::boot_timeout);
   }
   machine.listed_running = false;
   allocate();
-  EXPECT_EQ(reason(), TerminationReason::no_heartbeat) << "something ran there, so it was up";
+  EXPECT_EQ(reason(), TerminationReason::no_heartbeat) << "a machine with allocations was up";
 }
 
-TEST_F(TerminationPolicyTest, KeepsAMachineOfAnUnknownTypeWithoutHeartbeat) {
+TEST_F(TerminationPolicyTest, MachineOfUnknownTypeWithoutHeartbeatIsKept) {
   machine.has_heartbeat = false;
   machine.known_since = kTermSince - seconds(500);
   ASSERT_EQ(reason(), TerminationReason::boot_timeout);
@@ -132,8 +132,8 @@
             std::nullopt);
 }
 
-// These texts are stored in intents and shown by `dunlinknot duties`.
-TEST(TerminationReason, HasTheTextThatIsStored) {
+// The texts are stored in intents and printed by `dunlinknot duties`, so they must not change.
+TEST(TerminationReason, TextsMatchStoredIntents) {
   EXPECT_EQ(text(TerminationReason::failed), "it failed");
   EXPECT_EQ(text(TerminationReason::unreachable), "our responses do not reach it");
   EXPECT_EQ(text(TerminationReason::boot_timeout), "it never came up");
@@ -144,7 +144,7 @@
   EXPECT_EQ(text(TerminationReason::idle_no_fitting_task), "idle, and nothing that waits fits");
 }
 
-TEST(RefusalBackoff, DoublesThePauseUpToEightTimesAndStartsAnewAfterAReset) {
+TEST(RefusalBackoff, PauseDoublesUpToEightTimesAndRestartsAfterReset) {
   const scheduler::Offer offer{"box", "a", true};
   const scheduler::Offer other{"box", "a", false};
   RefusalBackoff backoff;
@@ -160,7 +160,8 @@
   backoff.reset(offer);
   EXPECT_EQ(backoff.offers_in_backoff(now), std::set{other});
   backoff.record_refusal(offer, seconds(15), now);
-  EXPECT_TRUE(backoff.offers_in_backoff(now + seconds(15)).empty()) << "as after a first refusal";
+  EXPECT_TRUE(backoff.offers_in_backoff(now + seconds(15)).empty())
+      << "the pause restarts at its initial value";
   backoff.clear();
   EXPECT_TRUE(backoff.offers_in_backoff(now).empty());
 }
--- a/tests/job_caches_test.cpp
+++ b/tests/job_caches_test.cpp
@@ -1,4 +1,4 @@
-// What a node remembers of jobs: how they ended, and how far the open ones are.
+// Unit tests of the caches of terminal job states and of task counts.
 #include <gtest/gtest.h>
 
 #include "dunlinknot/jobs/final_cache.hpp"
@@ -7,11 +7,11 @@
 namespace dunlinknot::jobs {
 namespace {
 
-TEST(FinalCache, DropsTheOldestJobs) {
+TEST(FinalCache, OldestJobsAreEvictedBeyondCapacity) {
   FinalCache cache(2);
   EXPECT_TRUE(cache.put("run-000001", {false, 1}));
   EXPECT_TRUE(cache.put("run-000002", {true, 2}));
-  EXPECT_FALSE(cache.put("run-000002", {true, 2})) << "known already";
+  EXPECT_FALSE(cache.put("run-000002", {true, 2})) << "in the cache already";
   EXPECT_TRUE(cache.put("run-000003", {false, 3}));
   EXPECT_EQ(cache.find("run-000001"), nullptr);
   ASSERT_NE(cache.find("run-000002"), nullptr);
@@ -20,14 +20,14 @@
   EXPECT_EQ(cache.find("run-000003")->tasks, 3u);
 }
 
-TEST(FinalCache, RemembersNothingWhenItIsOff) {
+TEST(FinalCache, ZeroCapacityStoresNothing) {
   FinalCache cache(0);
   EXPECT_TRUE(cache.put("run-000001", {false, 1}));
   EXPECT_TRUE(cache.put("run-000001", {false, 1}));
   EXPECT_EQ(cache.find("run-000001"), nullptr);
 }
 
-TEST(ProgressCache, KeepsTheCountsOfTheLatestEpoch) {
+TEST(ProgressCache, CountsOfEarlierEpochsAreIgnored) {
   ProgressCache cache;
   wire::peer::Progress progress;
   progress.epoch = 2;
@@ -39,7 +39,7 @@
   progress.epoch = 1;
   progress.entries.front().done = 1;
   cache.replace(progress);
-  EXPECT_EQ(cache.counts("run-000001").done, 3u) << "a former leader";
+  EXPECT_EQ(cache.counts("run-000001").done, 3u) << "counts of a former leader are ignored";
   progress.epoch = 3;
   progress.entries.clear();
   cache.replace(progress);
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -1,4 +1,4 @@
-// Paths and methods of requests, without the parts that serve them.
+// Unit tests of find_route: the action for each path and method.
 #include "dunlinknot/node/router.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace dunlinknot::node {
 namespace {
 
-TEST(Router, FindsEveryActionOfTheProtocol) {
+TEST(Router, EveryProtocolRouteHasItsAction) {
   EXPECT_EQ(find_route("POST", "/agent/beat").action, Action::heartbeat);
   EXPECT_EQ(find_route("GET", "/ready").action, Action::ready);
   EXPECT_EQ(find_route("POST", "/v1/jobs").action, Action::submit_job);
@@ -16,12 +16,12 @@
   EXPECT_EQ(find_route("POST", "/v1/jobs/j1/withdraw").job_id, "j1");
 }
 
-TEST(Router, IgnoresTheQuery) {
+TEST(Router, QueryIsIgnored) {
   EXPECT_EQ(find_route("GET", "/ready?probe=1").action, Action::ready);
   EXPECT_EQ(find_route("GET", "/v1/jobs/j1?x=/withdraw").job_id, "j1");
 }
 
-TEST(Router, RefusesOtherMethodsOfKnownPaths) {
+TEST(Router, OtherMethodsOfKnownPathsAreNotAllowed) {
   EXPECT_EQ(find_route("GET", "/agent/beat").action, Action::method_not_allowed);
   EXPECT_EQ(find_route("POST", "/ready").action, Action::method_not_allowed);
   EXPECT_EQ(find_route("GET", "/v1/jobs").action, Action::method_not_allowed);
@@ -29,7 +29,7 @@
   EXPECT_EQ(find_route("GET", "/v1/jobs/j1/withdraw").action, Action::method_not_allowed);
 }
 
-TEST(Router, DoesNotKnowOtherPaths) {
+TEST(Router, UnknownPathsAreNotFound) {
   EXPECT_EQ(find_route("GET", "/").action, Action::not_found);
   EXPECT_EQ(find_route("POST", "/v1/job").action, Action::not_found);
   EXPECT_EQ(find_route("POST", "/agent/beat/").action, Action::not_found);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,4 +1,4 @@
-// The whole service, one or more controllers, against scripted peers.
+// End-to-end test of one controller against scripted workers, key-value store, cloud and users.
 #include <gtest/gtest.h>
 
 #include "site.hpp"
@@ -6,7 +6,7 @@
 namespace dunlinknot::test {
 namespace {
 
-TEST(Service, RunsAJobToItsEnd) {
+TEST(Service, JobRunsToCompletion) {
   Site site;
   site.run_for(seconds(2));
   ASSERT_EQ(site.submit(job("run-000001", 6)).status, 201);
@@ -15,9 +15,9 @@
   EXPECT_EQ(site.job_state("run-000001"), "done");
   EXPECT_EQ(site.starts, 6u);
   EXPECT_EQ(site.duplicate_starts, 0u);
-  // Idle machines were returned, and no record of a machine is left behind.
+  // Idle machines are terminated by now, and no machine record is left in the key-value store.
   site.run_for(seconds(60));
-  for (const auto& [key, e] : site.store.data) EXPECT_FALSE(key.starts_with("host/")) << key;
+  for (const auto& [key, record] : site.store.data) EXPECT_FALSE(key.starts_with("host/")) << key;
 }
 
 }  // namespace
