--- a/src/dunlinknot/autoscaler/scale_out.hpp
+++ b/src/dunlinknot/autoscaler/scale_out.hpp
@@ -54,7 +54,7 @@
     std::string request;  // the request's name
     scheduler::Offer offer;
     uint32_t count = 0;
-    std::string job;                // that requested the capacity first
+    std::string job;                // the job that requested the capacity first
     uint32_t unanswered_sends = 0;  // requests sent that got no definite answer
     bool recorded = false;  // the intent is durable; always true with singleton roles disabled
     // An earlier copy of the request may still be carried out. The refusal of a later copy does not
@@ -83,7 +83,8 @@
   std::vector<Launch> launches_;     // requests without a final answer
   std::set<std::string> in_flight_;  // names of the requests in flight
   RefusalBackoff backoff_;
-  std::map<std::string, std::set<std::string>> unconfirmed_;  // machines, by request
+  // By request name: launched machines that the next leader might not find without the intent.
+  std::map<std::string, std::set<std::string>> unconfirmed_;
 };
 
 }  // namespace dunlinknot::autoscaler
--- a/src/dunlinknot/jobs/request_handler.cpp
+++ b/src/dunlinknot/jobs/request_handler.cpp
@@ -19,8 +19,8 @@
 // Below the users' timeouts: 5 s for submissions and cancellations, 2 s for polls.
 constexpr auto kWriteDeadline = Millis(4000);
 constexpr auto kPollDeadline = Millis(1600);
-// Writes of one submission. Answered with 503 if the users' share of the write budget is below
-// this.
+// Writes that a submission needs. It is answered with 503 if the users' share of the write budget
+// has room for fewer.
 constexpr double kWritesPerSubmission = 2;
 // Retry-After is chosen at random between these bounds, so that retries do not come in a burst.
 constexpr int kMinRetryAfterS = 1;
--- a/src/dunlinknot/workers/heartbeat_handler.cpp
+++ b/src/dunlinknot/workers/heartbeat_handler.cpp
@@ -18,7 +18,9 @@
 // worker waits for a response, and at most for 1/kRunWaitDivisor of a heartbeat interval.
 constexpr auto kMaxRunWait = Millis(1000);
 constexpr int kRunWaitDivisor = 4;
-constexpr uint64_t kUnreadablePerLogLine = 100;  // a faulty worker cannot flood the log
+// Only one of this many unreadable heartbeats is logged, so that a faulty worker cannot flood the
+// log.
+constexpr uint64_t kUnreadablePerLogLine = 100;
 
 constexpr int kStatusBadRequest = 400;
 constexpr int kStatusMisdirected = 421;
