--- a/src/dunlinknot/leadership/elector.cpp
+++ b/src/dunlinknot/leadership/elector.cpp
@@ -1,4 +1,4 @@
-// Leader election: follow the key, campaign for it, renew the lease on it.
+// Leader election: watches the key `leader`, campaigns for it and renews the lease on it.
 #include "dunlinknot/leadership/elector.hpp"
 
 #include <spdlog/spdlog.h>
@@ -13,14 +13,22 @@
 
 using http::Outcome;
 
-constexpr auto kCallTime = Millis(700);  // for one call: several fit into the lease on `leader`
-constexpr auto kRetry = Millis(150);     // after a call that was refused or got no answer
-constexpr auto kWatchBlock = Millis(10'000);      // how long an idle watch stays open
-constexpr auto kLeastWatchBlock = Millis(50);     // of the last watch before a campaign is allowed
-constexpr auto kUnansweredRenewal = Millis(300);  // between renewals while they get no answer
-constexpr auto kLeastRenewalPause = Millis(20);   // after a renewal that took all its time
-constexpr int kReadBackTries = 20;                // of a campaign with an unknown outcome
-constexpr auto kResignationBackoff = std::chrono::seconds(20);  // a head start for the other nodes
+// Timeout of one call; short, so that several calls fit into the lease on `leader`.
+constexpr auto kCallTimeout = Millis(700);
+// Delay after a call that was refused or not answered.
+constexpr auto kRetryDelay = Millis(150);
+// How long a watch without changes stays open. The lower bound applies to the last watch before the
+// resignation back-off ends.
+constexpr auto kMaxWatchBlock = Millis(10'000);
+constexpr auto kMinWatchBlock = Millis(50);
+// Interval between renewals while the store does not answer them.
+constexpr auto kUnansweredRenewalInterval = Millis(300);
+// Minimum delay between the end of one renewal and the start of the next.
+constexpr auto kMinRenewalDelay = Millis(20);
+// Attempts to read back the result of a campaign whose outcome is unknown.
+constexpr int kMaxReadBackAttempts = 20;
+// After a resignation this node does not campaign for this long, so that another node is elected.
+constexpr auto kResignationBackoff = std::chrono::seconds(20);
 
 }  // namespace
 
@@ -32,7 +40,7 @@
       ttl_(ttl),
       observer_(observer),
       renewal_window_(renewal_window(platform)),
-      changed_(loop) {}
+      term_ended_(loop) {}
 
 bool Elector::may_start() const {
   const Instant now = loop_.now();
@@ -40,13 +48,18 @@
          now - cancellations_read_at_ < ttl_ * 2;
 }
 
-// Safety 2. A cancellation that we do not know of was acknowledged at C, after
-// renewal_window_start() or after what the other nodes confirmed; call that E, so E < C. We answer
-// no heartbeat from E + window on, a worker counts its lease from the sending of the heartbeat that
-// was answered, so every lease we renewed has expired by E + window + lease, drift included: before
-// C + cancel_s. A successor was elected after E as well: our lease on `leader` existed then, and
-// whoever confirmed had won nothing. So it waits for the same window from its own election
-// (former_leader_renewal_window).
+// Safety 2: within `cancel_s` of an acknowledged cancellation the job's tasks have ended on every
+// machine.
+//
+// Let E be the later of renewal_window_start() and `confirmed_until`, and let C be the time at
+// which a cancellation unknown to this node was acknowledged; then E < C. This node answers no
+// heartbeat from E + renewal window on, and a worker counts its lease from sending the heartbeat
+// that was answered. So every lease renewed by this node has expired by E + renewal window + worker
+// lease, clock drift included, which is before C + cancel_s.
+//
+// A successor was also elected after E: at E, this node's lease on `leader` existed or the nodes
+// that confirmed E had not been elected. The successor therefore waits for the same window, counted
+// from its own election (former_leader_renewal_window).
 bool Elector::may_renew(std::optional<Instant> confirmed_until) const {
   if (!leading_) return false;
   Instant from = renewal_window_start();
@@ -59,7 +72,7 @@
 }
 
 void Elector::observe_epoch(uint64_t epoch, std::optional<std::string> leader,
-                            std::string_view from) {
+                            std::string_view source) {
   if (epoch < known_epoch_) return;
   if (epoch > known_epoch_) {
     known_epoch_ = epoch;
@@ -67,45 +80,46 @@
   } else if (leader && !known_leader_) {
     known_leader_ = std::move(leader);
   }
-  // A higher epoch exists, so ours is over, whatever our own view of the key-value store is.
+  // A higher epoch exists, so this node's epoch is over, even if its own reads of the key-value
+  // store do not show that yet.
   if (leading_ && epoch > term_.epoch) {
     step_down(std::string("observed epoch ") + std::to_string(epoch) + " from " +
-              std::string(from));
+              std::string(source));
   }
 }
 
-void Elector::resign(std::string_view why) {
+void Elector::resign(std::string_view reason) {
   if (!leading_) return;
-  not_before_ = loop_.now() + kResignationBackoff;
+  no_campaign_before_ = loop_.now() + kResignationBackoff;
   resigning_ = true;
-  step_down(why);
+  step_down(reason);
 }
 
-void Elector::step_down(std::string_view why) {
+void Elector::step_down(std::string_view reason) {
   if (!leading_) return;
   leading_ = false;
   if (known_leader_ == platform_.node && known_epoch_ <= term_.epoch) known_leader_.reset();
-  spdlog::info("leadership: epoch {} ended here: {}", term_.epoch, why);
+  spdlog::info("leadership: stepped down from epoch {}: {}", term_.epoch, reason);
   observer_.on_leadership_lost();
-  changed_.notify();
+  term_ended_.notify();
 }
 
-// `asked`: when the request was sent that proved that we hold the key.
-void Elector::become_leader(uint64_t epoch, uint64_t mod_revision, Instant asked) {
+// `sent`: when the request was sent whose answer proved that this node holds the key.
+void Elector::become_leader(uint64_t epoch, uint64_t mod_revision, Instant sent) {
   leading_ = true;
-  lease_proven_at_ = asked;
-  cancellations_read_at_ = Instant{};  // until the open jobs have been read
+  lease_proven_at_ = sent;
+  cancellations_read_at_ = Instant{};  // no cancellations known until the open jobs have been read
   resigning_ = false;
   term_ = Term{epoch, mod_revision, loop_.now()};
   known_epoch_ = epoch;
   known_leader_ = platform_.node;
-  spdlog::info("leadership: leading epoch {}", epoch);
+  spdlog::info("leadership: elected for epoch {}", epoch);
   observer_.on_elected(term_);
 }
 
-// Leadership is never held back by the budget.
+// Reads and writes of the leadership keys are sent even when the rate budget is used up.
 Task<kv::GetResult> Elector::get_essential(std::string_view key) {
-  return store_.get(std::string(key), kCallTime, kv::Importance::essential);
+  return store_.get(std::string(key), kCallTimeout, kv::Importance::essential);
 }
 
 kv::Write Elector::leader_write(uint64_t epoch, uint64_t lease) const {
@@ -124,31 +138,31 @@
   return !leader_mod_revision_ || leader_is_previous_process_;
 }
 
-// Returns when nobody holds the key (or only this node's former process does) and this node may
-// campaign.
+// Watches the key. Returns when no node holds it, or only a previous process of this node, and this
+// node may campaign.
 Task<void> Elector::follow() {
-  bool current = false;  // what we know of the key is that of revision_
+  bool up_to_date = false;  // this node knows the key's state at watched_revision_
   for (;;) {
-    if (!current) current = co_await read_leader();
-    if (!current) continue;
-    if (vacant() && loop_.now() >= not_before_) co_return;
-    current = co_await watch_leader();
+    if (!up_to_date) up_to_date = co_await read_leader();
+    if (!up_to_date) continue;
+    if (vacant() && loop_.now() >= no_campaign_before_) co_return;
+    up_to_date = co_await watch_leader();
   }
 }
 
-// Reads the key anew. False, after a pause, when there was no answer.
+// Reads the key. Returns false, after a delay, when the store did not answer.
 Task<bool> Elector::read_leader() {
   const kv::GetResult got = co_await get_essential(wire::kLeaderKey);
   if (got.outcome != Outcome::ok) {
-    co_await loop_.sleep(kRetry);
+    co_await loop_.sleep(kRetryDelay);
     co_return false;
   }
   leader_mod_revision_.reset();
   leader_is_previous_process_ = false;
-  revision_ = got.revision;
+  watched_revision_ = got.revision;
   if (!got.found) co_return true;
   leader_mod_revision_ = got.item.mod_revision;
-  revision_ = got.item.mod_revision;
+  watched_revision_ = got.item.mod_revision;
   if (const auto record = wire::read_leader(got.item.value)) {
     observe_epoch(record->epoch, record->node, "the key-value store");
     leader_is_previous_process_ = record->node == platform_.node && got.item.lease != lease_;
@@ -156,22 +170,22 @@
   co_return true;
 }
 
-// Waits for a change of the key, at most until this node may campaign. False when the key has to be
-// read anew.
+// Waits for a change of the key, at most until this node may campaign. Returns false when the key
+// has to be read again.
 Task<bool> Elector::watch_leader() {
-  const Millis block =
-      vacant() ? std::clamp(to_millis(not_before_ - loop_.now()), kLeastWatchBlock, kWatchBlock)
-               : kWatchBlock;
+  const Millis block = vacant() ? std::clamp(to_millis(no_campaign_before_ - loop_.now()),
+                                             kMinWatchBlock, kMaxWatchBlock)
+                                : kMaxWatchBlock;
   const kv::WatchResult watch =
-      co_await store_.watch(std::string(wire::kLeaderKey), revision_, block);
+      co_await store_.watch(std::string(wire::kLeaderKey), watched_revision_, block);
   if (watch.outcome != Outcome::ok) {
-    co_await loop_.sleep(kRetry);
+    co_await loop_.sleep(kRetryDelay);
     co_return false;
   }
   if (watch.relist_required) co_return false;
-  revision_ = std::max(revision_, watch.revision);
+  watched_revision_ = std::max(watched_revision_, watch.revision);
   for (const kv::Change& change : watch.changes) {
-    // The watch is on a prefix.
+    // The watch matches a prefix, so other keys may be reported too.
     if (change.key == wire::kLeaderKey) apply_leader_change(change);
   }
   co_return true;
@@ -190,100 +204,102 @@
   }
 }
 
-// One attempt to acquire the key, under a new lease and the next epoch.
+// Makes one attempt to acquire the key with a new lease and the next epoch.
 Task<void> Elector::campaign() {
-  // A node that the key-value store does not answer now leaves the others a head start.
-  const kv::LeaseResult lease = co_await store_.grant_lease(to_millis(ttl_), kCallTime);
+  // When the store does not answer this node, the delay gives the other nodes precedence.
+  const kv::LeaseResult lease = co_await store_.grant_lease(to_millis(ttl_), kCallTimeout);
   if (lease.outcome != Outcome::ok) {
-    co_await loop_.sleep(kRetry);
+    co_await loop_.sleep(kRetryDelay);
     co_return;
   }
   lease_ = lease.lease;
   const kv::GetResult stored = co_await get_essential(wire::kEpochKey);
   if (stored.outcome != Outcome::ok) {
-    co_await loop_.sleep(kRetry);
+    co_await loop_.sleep(kRetryDelay);
     co_return;
   }
-  const uint64_t last = stored.found ? wire::read_epoch(stored.item.value).value_or(0) : 0;
-  const uint64_t epoch = std::max(last, known_epoch_) + 1;
+  const uint64_t last_epoch = stored.found ? wire::read_epoch(stored.item.value).value_or(0) : 0;
+  const uint64_t epoch = std::max(last_epoch, known_epoch_) + 1;
   kv::Transaction txn;
   txn.compares.push_back({std::string(wire::kLeaderKey), leader_mod_revision_.value_or(0)});
   txn.compares.push_back(
       {std::string(wire::kEpochKey), stored.found ? stored.item.mod_revision : 0});
   txn.writes.push_back(leader_write(epoch, lease_));
   txn.writes.push_back({std::string(wire::kEpochKey), wire::write_epoch(epoch), 0});
-  const Instant asked = loop_.now();
+  const Instant sent = loop_.now();
   const kv::TransactionResult result =
-      co_await store_.commit(std::move(txn), kCallTime, kv::Importance::essential);
+      co_await store_.commit(std::move(txn), kCallTimeout, kv::Importance::essential);
   if (result.applied) {
-    become_leader(epoch, result.revision, asked);
+    become_leader(epoch, result.revision, sent);
   } else if (result.outcome == Outcome::unknown) {
     co_await read_back_campaign(epoch);
   }
 }
 
-// It is unknown whether the campaign's transaction was applied: nothing else may be tried before
-// the key has been read back. The lease bound to the key distinguishes our own attempt from any
-// other.
+// Reads the key back after a campaign whose outcome is unknown. No other attempt may be made before
+// that. The lease bound to the key shows whether this attempt wrote it.
 Task<void> Elector::read_back_campaign(uint64_t epoch) {
-  for (int i = 0; i < kReadBackTries; ++i) {
-    const Instant asked = loop_.now();
+  for (int attempt = 0; attempt < kMaxReadBackAttempts; ++attempt) {
+    const Instant sent = loop_.now();
     const kv::GetResult got = co_await get_essential(wire::kLeaderKey);
     if (got.outcome == Outcome::ok) {
       const auto record = got.found ? wire::read_leader(got.item.value) : std::nullopt;
       if (record && got.item.lease == lease_ && record->epoch == epoch) {
-        become_leader(epoch, got.item.mod_revision, asked);
+        become_leader(epoch, got.item.mod_revision, sent);
       }
       co_return;
     }
-    co_await loop_.sleep(kRetry);
+    co_await loop_.sleep(kRetryDelay);
   }
 }
 
-// Renews the lease four times in its duration, until the term ends.
+// Renews the lease four times per lease duration, until the term ends.
 Task<void> Elector::lead() {
-  const Nanos pace = ttl_ / 4;
+  const Nanos renewal_interval = ttl_ / 4;
   while (leading_) {
     const Instant started = loop_.now();
-    const kv::LeaseResult renewal = co_await store_.renew_lease(lease_, kCallTime);
+    const kv::LeaseResult renewal = co_await store_.renew_lease(lease_, kCallTimeout);
     if (!leading_) break;
     const bool answered = renewal.outcome == Outcome::ok;
     if (answered && !renewal.expired) lease_proven_at_ = started;
     if (answered && renewal.expired) co_await reacquire_leader_key();
     if (!leading_) break;
-    const Nanos wait = answered ? pace : std::min<Nanos>(pace, kUnansweredRenewal);
-    (void)co_await changed_.wait_until(std::max(started + wait, loop_.now() + kLeastRenewalPause));
+    const Nanos interval =
+        answered ? renewal_interval : std::min<Nanos>(renewal_interval, kUnansweredRenewalInterval);
+    (void)co_await term_ended_.wait_until(
+        std::max(started + interval, loop_.now() + kMinRenewalDelay));
   }
-  // The others need not wait for the lease to expire.
-  if (resigning_) (void)co_await store_.revoke_lease(lease_, kCallTime);
+  // Revoking the lease spares the other nodes the wait for its expiry.
+  if (resigning_) (void)co_await store_.revoke_lease(lease_, kCallTimeout);
   resigning_ = false;
 }
 
-// The lease expired while the key-value store did not answer us. If nobody took over meanwhile, the
-// same epoch continues under a new lease; the compare on `epoch` decides that.
+// Called when the lease expired while the key-value store did not answer this node. If no other
+// node was elected meanwhile, which the compare on `epoch` checks, the same epoch continues with a
+// new lease.
 Task<void> Elector::reacquire_leader_key() {
-  const kv::LeaseResult grant = co_await store_.grant_lease(to_millis(ttl_), kCallTime);
+  const kv::LeaseResult grant = co_await store_.grant_lease(to_millis(ttl_), kCallTimeout);
   if (!leading_ || grant.outcome != Outcome::ok) co_return;
   kv::Transaction txn;
   txn.compares.push_back({std::string(wire::kLeaderKey), 0});
   txn.compares.push_back({std::string(wire::kEpochKey), term_.epoch_mod_revision});
   txn.writes.push_back(leader_write(term_.epoch, grant.lease));
-  const Instant asked = loop_.now();
+  const Instant sent = loop_.now();
   const kv::TransactionResult result =
-      co_await store_.commit(std::move(txn), kCallTime, kv::Importance::essential);
+      co_await store_.commit(std::move(txn), kCallTimeout, kv::Importance::essential);
   if (!leading_) co_return;
   if (result.applied) {
     lease_ = grant.lease;
-    lease_proven_at_ = asked;
-    spdlog::info("leadership: epoch {} continues under a new lease", term_.epoch);
+    lease_proven_at_ = sent;
+    spdlog::info("leadership: lease expired, epoch {} continues with a new lease", term_.epoch);
   } else if (result.outcome == Outcome::ok) {
-    step_down("another node took over while the key-value store did not serve us");
+    step_down("the lease expired and another node was elected meanwhile");
   } else if (result.outcome == Outcome::unknown) {
     co_await read_back_reacquisition(grant.lease);
   }
 }
 
-// The next renewal proves the lease, if it is ours.
+// Adopts the new lease if the key is bound to it; the next renewal then proves it.
 Task<void> Elector::read_back_reacquisition(uint64_t lease) {
   const kv::GetResult got = co_await get_essential(wire::kLeaderKey);
   if (!leading_) co_return;
--- a/src/dunlinknot/leadership/peers.hpp
+++ b/src/dunlinknot/leadership/peers.hpp
@@ -1,6 +1,7 @@
-// The links between the controllers. They exchange who leads, whether the key-value store and the
-// workers reach each of them, how far the open jobs are, and which were just cancelled. Safety
-// depends on one part of it only: each peer's statement of the cancellations that it knows of.
+// Connections between the controllers. They exchange which node leads, when each node last received
+// responses of the key-value store and heartbeats of workers, the progress of open jobs, and new
+// cancellations. Safety depends on one field only: the latest cancellation that each peer knows
+// (`Status::cancel_revision`).
 #pragma once
 #include <deque>
 #include <map>
@@ -13,58 +14,59 @@
 
 namespace dunlinknot::leadership {
 
-// This node's side of the exchange: what is sent to the peers and what is done with what they send.
-// All calls come from the event loop and must not suspend.
+// Supplies what is sent to the peers and handles what they send. All functions are called on the
+// event loop and must not suspend.
 class PeerHandler {
  public:
   virtual ~PeerHandler() = default;
-  // This node's status; `sequence` and `echo` are filled in by the caller.
+  // This node's status; the caller sets `sequence` and `echo`.
   virtual wire::peer::Status status() const = 0;
-  // How far the open jobs are, sent along with each status; no entries when this node does not
-  // lead.
+  // The progress of the open jobs, sent with each status; no entries when this node does not lead.
   virtual wire::peer::Progress progress() = 0;
   virtual void on_peer_status(const wire::peer::Status& status) = 0;
   virtual void on_peer_progress(const wire::peer::Progress& progress) = 0;
-  // A peer acknowledged to its user that the job `id` was cancelled.
+  // A peer acknowledged the cancellation of the job `id` to its user.
   virtual void on_peer_cancellation(const std::string& id) = 0;
 };
 
-// One outgoing connection to each peer, over which statuses are sent and answered, and the incoming
-// ones of the peers. Runs on the event loop that it was given.
+// Keeps one outgoing connection to each peer, over which it sends statuses and receives the
+// answers, and serves the peers' incoming connections. Runs on the event loop passed to the
+// constructor.
 class Peers {
  public:
-  // `platform` and `handler` must outlive it.
+  // `platform` and `handler` must outlive this object.
   Peers(EventLoop& loop, const settings::Platform& platform, PeerHandler& handler);
-  // Opens the listening socket (throws std::runtime_error) and spawns the links.
+  // Opens the listening socket and spawns the connections. Throws std::runtime_error when the
+  // socket cannot be opened.
   void start();
 
-  // The time until which every peer is known to have accepted no cancellation beyond `revision`;
-  // empty when any of them may have. A process that began after `since` cannot answer for the one
-  // before it.
+  // The time up to which every peer is known to have accepted no cancellation after `revision`.
+  // Empty when a peer may have accepted one. A peer process that started after `since` cannot
+  // confirm this, because its previous process may have accepted one.
   std::optional<Instant> no_unknown_cancellation_until(Instant since, uint64_t revision) const;
-  // Sends the leader, or all peers while it is unknown, that a job was cancelled. Only for speed:
-  // the message may get lost or arrive late.
+  // Notifies the leader, or all peers while the leader is unknown, that a job was cancelled. Only
+  // an optimization: the message may be lost or delayed.
   void announce_cancellation(const std::string& job);
-  // A peer's answer to our status, which was sent at `sent`. Public for the tests, whose peers have
-  // no sockets.
+  // Handles a peer's answer to this node's status that was sent at `sent`. Public for tests, which
+  // deliver statuses without sockets.
   void apply_status(const wire::peer::Status& status, Instant sent);
-  // Whether some peer stated recently that the key-value store answers it.
+  // Whether a recent status of some peer says that the key-value store answers it.
   bool any_peer_reaches_store() const;
-  // Whether some peer stated recently that workers reach it.
+  // Whether a recent status of some peer says that it receives heartbeats.
   bool any_peer_receives_heartbeats() const;
 
  private:
   struct Answer {
     wire::peer::Status status;
     Instant received_at{};
-    Instant asked_at{};  // the answer was made after this moment
+    Instant status_sent_at{};  // when the answered status was sent; the answer is newer than this
   };
   struct Link {
     settings::Peer peer;
-    uint64_t sequence = 0;  // of our last status on the outgoing connection
+    uint64_t sequence = 0;  // of the last status sent on the outgoing connection
     std::optional<Answer> last_answer;
-    std::unique_ptr<AutoResetEvent> wake;  // a cancellation waits to be sent
-    std::deque<std::string> cancelled;     // jobs whose cancellation is to be sent
+    std::unique_ptr<AutoResetEvent> cancellation_pending;  // set when a cancellation is to be sent
+    std::deque<std::string> pending_cancellations;  // jobs whose cancellation is still to be sent
   };
   template <class Predicate>
   bool any_recent_status(Predicate predicate) const;
@@ -81,7 +83,7 @@
   PeerHandler& handler_;
   std::map<std::string, Link> links_;  // by the peer's node name; fixed after construction
   std::optional<http::Listener> listener_;
-  size_t served_ = 0;  // incoming connections
+  size_t incoming_connections_ = 0;  // number of open incoming connections
 };
 
 }  // namespace dunlinknot::leadership
