--- a/src/dunlinknot/kv/client.cpp
+++ b/src/dunlinknot/kv/client.cpp
@@ -1,4 +1,4 @@
-// The calls of the key-value store; what they send and get is formed in wire/store_messages.
+// The calls of the key-value store. Their messages are encoded and decoded in wire/store_messages.
 #include "dunlinknot/kv/client.hpp"
 
 #include <spdlog/spdlog.h>
@@ -13,17 +13,21 @@
 using wire::View;
 namespace store = wire::store;
 
-constexpr double kUserShare = 0.5;    // of the writes
-constexpr double kUserRequests = 2;   // in the budget, that users are accepted
-constexpr double kMostReserved = 10;  // writes that must be in the budget; more may overdraw it
+// The share of the write rate that is available to users' requests.
+constexpr double kUserWriteShare = 0.5;
+// Requests that must be left in the budget for a user's request to be accepted.
+constexpr double kMinRequestsForUsers = 2;
+// A call needs at most this many writes in the budget; a larger call may overdraw it.
+constexpr double kMaxReservedWrites = 10;
 
-// The largest bodies that are accepted as answers, in bytes.
-constexpr size_t kItemBody = size_t{64} * 1024;  // one value, or a transaction's result
-constexpr size_t kLeaseBody = 4096;
-constexpr size_t kListBody = size_t{600} * 1024;  // the store sends at most 512 KiB
-constexpr size_t kWatchBody = size_t{4} * 1024 * 1024;
+// Maximum sizes of response bodies in bytes.
+constexpr size_t kMaxItemBody = size_t{64} * 1024;  // one value, or a transaction's result
+constexpr size_t kMaxLeaseBody = 4096;
+constexpr size_t kMaxListBody = size_t{600} * 1024;  // the store sends at most 512 KiB
+constexpr size_t kMaxWatchBody = size_t{4} * 1024 * 1024;
 
-constexpr auto kWatchAnswerTime = std::chrono::seconds(3);  // after the time that it may block
+// Time for the answer to a watch beyond the time for which the watch may block.
+constexpr auto kWatchAnswerTimeout = std::chrono::seconds(3);
 
 constexpr int kOk = 200;
 constexpr int kBadRequest = 400;
@@ -43,10 +47,12 @@
   return document ? document->root() : View();
 }
 
-// An answer of an unexpected form shows nothing of what was carried out.
-Outcome unreadable(const char* what, int status) {
-  spdlog::info("key-value store: unreadable answer to {} (status {}), taken as unknown", what,
-               status);
+// Logs a response that cannot be parsed. It does not show whether the request was executed.
+Outcome unreadable_response(const char* request, int status) {
+  spdlog::info(
+      "key-value store: cannot parse the response to {} (status {}); the outcome is treated as "
+      "unknown",
+      request, status);
   return Outcome::unknown;
 }
 
@@ -56,33 +62,34 @@
   return std::find(failed.begin(), failed.end(), key) != failed.end();
 }
 
-Client::Client(EventLoop& loop, http::Transport& transport, http::Endpoint at, const Limits& limits,
-               double share)
+Client::Client(EventLoop& loop, http::Transport& transport, http::Endpoint endpoint,
+               const Limits& limits, double rate_share)
     : loop_(loop),
       transport_(transport),
-      at_(at),
+      endpoint_(endpoint),
       limits_(limits),
-      share_(share),
-      requests_(limits_.rps() * share, limits_.rps() * share),
-      writes_(limits_.write_rps() * share, limits_.write_rps() * share),
-      user_writes_(limits_.write_rps() * share * kUserShare,
-                   limits_.write_rps() * share * kUserShare) {}
+      rate_share_(rate_share),
+      requests_(limits_.rps() * rate_share, limits_.rps() * rate_share),
+      writes_(limits_.write_rps() * rate_share, limits_.write_rps() * rate_share),
+      user_writes_(limits_.write_rps() * rate_share * kUserWriteShare,
+                   limits_.write_rps() * rate_share * kUserWriteShare) {}
 
 void Client::adopt_limits() {
   const Instant now = loop_.now();
-  requests_.set_rate(now, limits_.rps() * share_);
-  writes_.set_rate(now, limits_.write_rps() * share_);
-  user_writes_.set_rate(now, limits_.write_rps() * share_ * kUserShare);
+  requests_.set_rate(now, limits_.rps() * rate_share_);
+  writes_.set_rate(now, limits_.write_rps() * rate_share_);
+  user_writes_.set_rate(now, limits_.write_rps() * rate_share_ * kUserWriteShare);
 }
 
-// When the announced limits explain the refusal, whoever sent the transaction forms a smaller one.
+// When the transaction exceeds an announced limit, puts the announced limits in force. The caller
+// then builds smaller transactions.
 void Client::on_refused_transaction(const Transaction& txn) {
-  size_t largest = 0;
+  size_t largest_value = 0;
   for (const Write& write : txn.writes) {
     const auto value = Document::parse(write.value);
-    if (value) largest = std::max(largest, wire::json_size(value->root()));
+    if (value) largest_value = std::max(largest_value, wire::json_size(value->root()));
   }
-  if (limits_.on_malformed(txn.writes.size(), largest)) adopt_limits();
+  if (limits_.on_rejected_transaction(txn.writes.size(), largest_value)) adopt_limits();
 }
 
 void Client::on_throttled(bool writes) {
@@ -92,20 +99,21 @@
 
 bool Client::has_user_budget(double writes) {
   const Instant now = loop_.now();
-  return requests_.level(now) >= kUserRequests && user_writes_.level(now) >= writes;
+  return requests_.level(now) >= kMinRequestsForUsers && user_writes_.level(now) >= writes;
 }
 
-// Takes a request and its writes out of the budget; false when it has no room for them.
+// Takes a request and its writes from the budget. Returns false when the budget does not allow
+// them.
 bool Client::reserve_budget(Instant now, double writes, Importance importance) {
-  const bool user = importance == Importance::user;
+  const bool is_user_request = importance == Importance::user;
   if (importance != Importance::essential) {
-    const double level = user ? user_writes_.level(now) : writes_.level(now);
+    const double available = is_user_request ? user_writes_.level(now) : writes_.level(now);
     if (requests_.level(now) < 1) return false;
-    if (writes > 0 && level < std::min(writes, kMostReserved)) return false;
+    if (writes > 0 && available < std::min(writes, kMaxReservedWrites)) return false;
   }
   requests_.force(now);
   if (writes > 0) writes_.force(now, writes);
-  if (user) user_writes_.force(now, writes);
+  if (is_user_request) user_writes_.force(now, writes);
   return true;
 }
 
@@ -119,11 +127,11 @@
     co_return refused;
   }
   http::Call call;
-  call.to = at_;
+  call.to = endpoint_;
   call.method = std::move(request.method);
   call.target = std::move(request.target);
   call.body = std::move(request.body);
-  call.deadline = sent + request.within;
+  call.deadline = sent + request.timeout;
   call.max_body = request.max_body;
   http::Reply reply = co_await transport_.exchange(std::move(call));
   if (reply.outcome != Outcome::ok) co_return reply;
@@ -138,150 +146,154 @@
   co_return reply;
 }
 
-Task<GetResult> Client::get(std::string key, Nanos within, Importance how) {
-  Request request{"GET", store::key_path(key), "", within, kItemBody, 0, how};
+Task<GetResult> Client::get(std::string key, Nanos timeout, Importance importance) {
+  Request request{"GET", store::key_path(key), "", timeout, kMaxItemBody, 0, importance};
   const http::Reply reply = co_await call(std::move(request));
-  GetResult out;
-  out.outcome = reply.outcome;
-  if (reply.outcome != Outcome::ok) co_return out;
-  out.document = parse(reply.body);
-  const View root = root_of(out.document);
+  GetResult result;
+  result.outcome = reply.outcome;
+  if (reply.outcome != Outcome::ok) co_return result;
+  result.document = parse(reply.body);
+  const View root = root_of(result.document);
   if (reply.status == kOk) {
     if (auto item = store::read_key_value(root)) {
-      out.found = true;
-      out.item = std::move(*item);
-      co_return out;
+      result.found = true;
+      result.item = std::move(*item);
+      co_return result;
     }
   } else if (reply.status == kNotFound) {
     if (const auto revision = store::read_revision(root)) {
-      out.revision = *revision;
-      co_return out;
+      result.revision = *revision;
+      co_return result;
     }
   }
-  out.outcome = unreadable("a read", reply.status);
-  co_return out;
+  result.outcome = unreadable_response("a key read", reply.status);
+  co_return result;
 }
 
-Task<ListResult> Client::list(std::string prefix, std::string after, Nanos within) {
-  Request request{"GET", store::list_path(prefix, after), "", within, kListBody};
+Task<ListResult> Client::list(std::string prefix, std::string after, Nanos timeout) {
+  Request request{"GET", store::list_path(prefix, after), "", timeout, kMaxListBody};
   const http::Reply reply = co_await call(std::move(request));
-  ListResult out;
-  out.outcome = reply.outcome;
-  if (reply.outcome != Outcome::ok) co_return out;
-  out.document = parse(reply.body);
-  auto listing = store::read_listing(root_of(out.document));
+  ListResult result;
+  result.outcome = reply.outcome;
+  if (reply.outcome != Outcome::ok) co_return result;
+  result.document = parse(reply.body);
+  auto listing = store::read_listing(root_of(result.document));
   if (reply.status != kOk || !listing) {
-    out.outcome = unreadable("a listing", reply.status);
-    co_return out;
+    result.outcome = unreadable_response("a listing", reply.status);
+    co_return result;
   }
-  out.items = std::move(listing->items);
-  out.more = listing->more;
-  out.revision = listing->revision;
-  co_return out;
+  result.items = std::move(listing->items);
+  result.more = listing->more;
+  result.revision = listing->revision;
+  co_return result;
 }
 
-Task<TransactionResult> Client::commit(Transaction txn, Nanos within, Importance how) {
+Task<TransactionResult> Client::commit(Transaction txn, Nanos timeout, Importance importance) {
   Request request{"POST",
                   std::string(store::kTransactionPath),
                   store::write_transaction(txn),
-                  within,
-                  kItemBody,
+                  timeout,
+                  kMaxItemBody,
                   static_cast<double>(txn.writes.size()),
-                  how};
+                  importance};
   const http::Reply reply = co_await call(std::move(request));
-  TransactionResult out;
-  out.outcome = reply.outcome;
-  if (reply.outcome != Outcome::ok) co_return out;
+  TransactionResult result;
+  result.outcome = reply.outcome;
+  if (reply.outcome != Outcome::ok) co_return result;
   const auto document = parse(reply.body);
   const View root = root_of(document);
   const auto revision = store::read_revision(root);
   auto failed = store::read_failed_compares(root);
   if (reply.status == kOk && revision) {
-    out.applied = true;
-    out.revision = *revision;
+    result.applied = true;
+    result.revision = *revision;
   } else if (reply.status == kConflict && failed) {
-    out.revision = revision.value_or(0);
-    out.failed = std::move(*failed);
+    result.revision = revision.value_or(0);
+    result.failed = std::move(*failed);
   } else if (reply.status == kBadRequest) {
-    out.outcome = Outcome::refused;
+    result.outcome = Outcome::refused;
     const std::string error = store::read_error(root);
-    out.lease_expired = store::is_expired_lease(error);
-    if (!out.lease_expired) {
-      spdlog::error("key-value store refused a transaction: {}", error);
+    result.lease_expired = store::is_expired_lease(error);
+    if (!result.lease_expired) {
+      spdlog::error("key-value store: transaction rejected as malformed, nothing was written: {}",
+                    error);
       on_refused_transaction(txn);
     }
   } else {
-    out.outcome = unreadable("a transaction", reply.status);
+    result.outcome = unreadable_response("a transaction", reply.status);
   }
-  co_return out;
+  co_return result;
 }
 
-Task<LeaseResult> Client::grant_lease(Millis ttl, Nanos within) {
-  Request request{"POST", std::string(store::kLeasesPath), store::write_lease_request(ttl), within,
-                  kLeaseBody};
+Task<LeaseResult> Client::grant_lease(Millis ttl, Nanos timeout) {
+  Request request{"POST", std::string(store::kLeasesPath), store::write_lease_request(ttl), timeout,
+                  kMaxLeaseBody};
   const http::Reply reply = co_await call(std::move(request));
-  LeaseResult out;
-  out.outcome = reply.outcome;
-  if (reply.outcome != Outcome::ok) co_return out;
+  LeaseResult result;
+  result.outcome = reply.outcome;
+  if (reply.outcome != Outcome::ok) co_return result;
   const auto document = parse(reply.body);
   const auto lease = store::read_lease(root_of(document));
   if (reply.status == kOk && lease) {
-    out.lease = *lease;
+    result.lease = *lease;
   } else {
-    out.outcome = unreadable("a lease request", reply.status);
+    result.outcome = unreadable_response("a lease request", reply.status);
   }
-  co_return out;
+  co_return result;
 }
 
-Task<LeaseResult> Client::renew_lease(uint64_t lease, Nanos within) {
-  Request request{"POST", store::lease_renewal_path(lease), "", within, kLeaseBody};
+Task<LeaseResult> Client::renew_lease(uint64_t lease, Nanos timeout) {
+  Request request{"POST", store::lease_renewal_path(lease), "", timeout, kMaxLeaseBody};
   const http::Reply reply = co_await call(std::move(request));
-  LeaseResult out;
-  out.lease = lease;
-  out.outcome = reply.outcome;
-  if (reply.outcome != Outcome::ok) co_return out;
-  out.expired = reply.status == kNotFound;
-  if (reply.status != kOk && !out.expired) out.outcome = unreadable("a renewal", reply.status);
-  co_return out;
+  LeaseResult result;
+  result.lease = lease;
+  result.outcome = reply.outcome;
+  if (reply.outcome != Outcome::ok) co_return result;
+  result.expired = reply.status == kNotFound;
+  if (reply.status != kOk && !result.expired)
+    result.outcome = unreadable_response("a lease renewal", reply.status);
+  co_return result;
 }
 
-Task<LeaseResult> Client::revoke_lease(uint64_t lease, Nanos within) {
-  Request request{"DELETE", store::lease_path(lease), "", within, kLeaseBody};
+Task<LeaseResult> Client::revoke_lease(uint64_t lease, Nanos timeout) {
+  Request request{"DELETE", store::lease_path(lease), "", timeout, kMaxLeaseBody};
   const http::Reply reply = co_await call(std::move(request));
-  LeaseResult out;
-  out.outcome = reply.outcome;
-  co_return out;
+  LeaseResult result;
+  result.outcome = reply.outcome;
+  co_return result;
 }
 
 Task<WatchResult> Client::watch(std::string prefix, uint64_t since, Millis block) {
-  Request request{"GET", store::changes_path(prefix, since, block), "", block + kWatchAnswerTime,
-                  kWatchBody};
+  Request request{"GET", store::changes_path(prefix, since, block), "", block + kWatchAnswerTimeout,
+                  kMaxWatchBody};
   const http::Reply reply = co_await call(std::move(request));
-  WatchResult out;
-  out.outcome = reply.outcome;
+  WatchResult result;
+  result.outcome = reply.outcome;
   if (reply.too_large) {
-    // Asking again would bring the same answer and more. The keys are listed page by page instead,
-    // as when the service no longer has the changes.
-    spdlog::info("key-value store: the changes of {} since {} are too many for one answer", prefix,
-                 since);
-    out.outcome = Outcome::ok;
-    out.relist_required = true;
-    co_return out;
+    // A retry would return at least the same changes. The caller lists the keys page by page
+    // instead, as when the service no longer has the changes.
+    spdlog::info(
+        "key-value store: the changes under {} since revision {} exceed the maximum response size; "
+        "the keys are listed again",
+        prefix, since);
+    result.outcome = Outcome::ok;
+    result.relist_required = true;
+    co_return result;
   }
-  if (reply.outcome != Outcome::ok) co_return out;
+  if (reply.outcome != Outcome::ok) co_return result;
   if (reply.status == kGone) {
-    out.relist_required = true;
-    co_return out;
+    result.relist_required = true;
+    co_return result;
   }
-  out.document = parse(reply.body);
-  auto read = store::read_changes(root_of(out.document));
-  if (reply.status != kOk || !read) {
-    out.outcome = unreadable("a watch", reply.status);
-    co_return out;
+  result.document = parse(reply.body);
+  auto changes = store::read_changes(root_of(result.document));
+  if (reply.status != kOk || !changes) {
+    result.outcome = unreadable_response("a watch", reply.status);
+    co_return result;
   }
-  out.revision = read->revision;
-  out.changes = std::move(read->changes);
-  co_return out;
+  result.revision = changes->revision;
+  result.changes = std::move(changes->changes);
+  co_return result;
 }
 
 }  // namespace dunlinknot::kv
--- a/src/dunlinknot/kv/client.hpp
+++ b/src/dunlinknot/kv/client.hpp
@@ -1,5 +1,6 @@
-// The client of the key-value store: typed calls, a deadline on each, a budget below the service's
-// limits, and an outcome that distinguishes "not carried out" from "may have been, or may yet be".
+// The client of the key-value store: typed calls with a deadline each and a rate budget below the
+// service's limits. A call's outcome distinguishes a request that was certainly not executed from
+// one that may have been executed, or may still be.
 #pragma once
 #include <string>
 
@@ -9,41 +10,43 @@
 
 namespace dunlinknot::kv {
 
-// One per process; all parts share its budget. Runs on the event loop that it was given. No call
-// throws or retries: a call that is over budget is refused without being sent, and the caller
-// decides what an `unknown` outcome means.
+// One per process, so that all components share its budget. Runs on the event loop passed to the
+// constructor. No call throws or retries. A call that exceeds the budget is refused without being
+// sent. The caller decides how to handle the outcome `unknown`.
 class Client {
  public:
-  // Keeps to this share (0 to 1) of the service's rates. `transport` must outlive it.
-  Client(EventLoop& loop, http::Transport& transport, http::Endpoint at, const Limits& limits,
-         double share);
+  // `rate_share`: the part (0 to 1) of the service's rate limits that this client uses. `transport`
+  // must outlive the client.
+  Client(EventLoop& loop, http::Transport& transport, http::Endpoint endpoint, const Limits& limits,
+         double rate_share);
 
-  // Each call gets its answer within the duration `within`, or the outcome is `unknown`.
-  Task<GetResult> get(std::string key, Nanos within, Importance how = Importance::normal);
-  // One page; kv::Pager reads all of them.
-  Task<ListResult> list(std::string prefix, std::string after, Nanos within);
-  Task<TransactionResult> commit(Transaction txn, Nanos within,
-                                 Importance how = Importance::normal);
-  Task<LeaseResult> grant_lease(Millis ttl, Nanos within);
-  Task<LeaseResult> renew_lease(uint64_t lease, Nanos within);
-  Task<LeaseResult> revoke_lease(uint64_t lease, Nanos within);
-  // The changes after the revision `since`, waiting up to `block` for one. A watch that is answered
-  // without changes is a result like any other: there were none up to its revision.
+  // Each call is answered within the duration `timeout`, or its outcome is `unknown`.
+  Task<GetResult> get(std::string key, Nanos timeout, Importance importance = Importance::normal);
+  // Reads one page of keys after `after`; kv::Pager reads all pages.
+  Task<ListResult> list(std::string prefix, std::string after, Nanos timeout);
+  Task<TransactionResult> commit(Transaction txn, Nanos timeout,
+                                 Importance importance = Importance::normal);
+  Task<LeaseResult> grant_lease(Millis ttl, Nanos timeout);
+  Task<LeaseResult> renew_lease(uint64_t lease, Nanos timeout);
+  Task<LeaseResult> revoke_lease(uint64_t lease, Nanos timeout);
+  // Reads the changes after the revision `since`; waits up to `block` for the first one. A result
+  // without changes means that there were none up to its revision.
   Task<WatchResult> watch(std::string prefix, uint64_t since, Millis block);
 
-  // When the service last answered a request of ours, and when that request was sent.
+  // Whether the service has answered any request, when it last did, and the latest sending time of
+  // an answered request. Refusals (429, 503) do not count as answers.
   bool has_responded() const { return has_responded_; }
   Instant last_response_at() const { return last_response_at_; }
   Instant last_answered_request_at() const { return last_answered_request_at_; }
-  // Calls refused for their rate, here or by the service, since the process began.
+  // Calls refused because of the rate, by the budget or by the service, since the process started.
   uint64_t throttled() const { return throttled_; }
 
-  // Whether the budget has room for what users ask for: half of the writes, whatever the leader's
-  // own work uses.
+  // Whether the budget allows a user's request with this many writes. Half of the write rate is
+  // available to users, however many writes the leader itself makes.
   bool has_user_budget(double writes);
-  // How long until the budget allows so many writes.
+  // How long until the budget allows this many writes.
   Nanos time_until_writes(double writes) { return writes_.until(loop_.now(), writes); }
-  // How many writes the budget allows at once when it is full, and at present.
+  // How many writes the budget allows at once when it is full, and now.
   double write_burst() const { return writes_.burst(); }
   double available_writes() { return writes_.level(loop_.now()); }
   const Limits& limits() const { return limits_; }
@@ -53,10 +56,10 @@
     std::string method;
     std::string target;
     std::string body;
-    Nanos within{};
-    size_t max_body = 0;  // bytes of the answer
-    double writes = 0;    // that it takes from the budget
-    // Listings, watches and leases are never refused for the budget: a leader depends on them.
+    Nanos timeout{};
+    size_t max_body = 0;  // maximum size of the response's body in bytes
+    double writes = 0;    // number of writes taken from the budget
+    // Listings, watches and lease calls are never refused by the budget: a leader depends on them.
     Importance importance = Importance::essential;
   };
   Task<http::Reply> call(Request request);
@@ -67,9 +70,9 @@
 
   EventLoop& loop_;
   http::Transport& transport_;
-  http::Endpoint at_;
+  http::Endpoint endpoint_;
   Limits limits_;
-  double share_;
+  double rate_share_;
   TokenBucket requests_;
   TokenBucket writes_;
   TokenBucket user_writes_;
--- a/src/dunlinknot/kv/limits.hpp
+++ b/src/dunlinknot/kv/limits.hpp
@@ -1,5 +1,5 @@
-// The key-value store's limits that are in force: the present ones, and from the first sign that
-// they were lowered those that the settings announce.
+// The key-value store's limits that are in force: the current limits from the settings and, as soon
+// as a refused request shows that the service has lowered them, the limits announced there.
 #pragma once
 #include <optional>
 
@@ -7,35 +7,37 @@
 
 namespace dunlinknot::kv {
 
-// Once the announced limits are in force they stay so. Not synchronized: belongs to a client, on
-// its event loop.
+// Once the announced limits are in force they stay in force. Not synchronized: used by one client
+// on its event loop.
 class Limits {
  public:
-  Limits(const settings::StoreLimits& present,
-         const std::optional<settings::StoreLimits>& next = std::nullopt);
+  Limits(const settings::StoreLimits& current,
+         const std::optional<settings::StoreLimits>& announced = std::nullopt);
 
-  // Values are kept below both limits from the start: what is stored small never has to shrink.
-  // In bytes, of a value in its form as JSON.
+  // Maximum size of a value in bytes, encoded as JSON. The lower of the current and the announced
+  // limit from the start, so that stored values need not be made smaller later.
   size_t value_bytes() const;
-  // The most writes of one transaction.
+  // Maximum number of writes in one transaction.
   size_t txn_ops() const { return in_force().txn_ops; }
-  // Requests, and writes, a second.
+  // Maximum requests and writes per second.
   double rps() const { return in_force().rps; }
   double write_rps() const { return in_force().write_rps; }
 
-  // The service refused a transaction as malformed. Returns whether the announced limits explain
-  // that; they are in force from now on.
-  bool on_malformed(size_t writes, size_t largest_value);
-  // The service refused a request that wrote something for its rate. Returns whether the announced
-  // limits are in force only since now.
+  // Called when the service rejected a transaction as malformed. When the transaction exceeds an
+  // announced limit, puts the announced limits in force and returns true.
+  bool on_rejected_transaction(size_t writes, size_t largest_value);
+  // Called when the service refused a request with writes because of its rate. When the announced
+  // limits were not in force yet, puts them in force and returns true.
   bool on_throttled_write();
 
  private:
-  const settings::StoreLimits& in_force() const { return lowered_ ? *next_ : present_; }
+  const settings::StoreLimits& in_force() const {
+    return announced_in_force_ ? *announced_ : current_;
+  }
 
-  settings::StoreLimits present_;
-  std::optional<settings::StoreLimits> next_;
-  bool lowered_ = false;
+  settings::StoreLimits current_;
+  std::optional<settings::StoreLimits> announced_;
+  bool announced_in_force_ = false;
 };
 
 }  // namespace dunlinknot::kv
--- a/src/dunlinknot/kv/pager.hpp
+++ b/src/dunlinknot/kv/pager.hpp
@@ -1,4 +1,4 @@
-// Reading all keys under a prefix, page by page.
+// Reads all keys under a prefix, page by page.
 #pragma once
 #include <string>
 
@@ -6,31 +6,32 @@
 
 namespace dunlinknot::kv {
 
-// Asks for one page after the other; the caller applies each and decides how often a page without
-// an answer is asked for again:
+// Requests one page after the other. The caller applies each page and decides how often a failed
+// request is retried:
 //
 //   kv::Pager pager(store, prefix, std::chrono::seconds(3));
 //   while (!pager.done()) {
 //     const kv::ListResult page = co_await pager.next();
-//     if (page.outcome != kv::Outcome::ok) ...  // pause and ask again, or give up
+//     if (page.outcome != kv::Outcome::ok) ...  // wait and retry, or give up
 //     for (const kv::KeyValue& item : page.items) ...
 //   }
 //
-// The pages are not of one revision: a key that changes meanwhile is seen before or after that.
+// The pages are not read at one revision: a key that is changed meanwhile may be returned with its
+// old or its new value.
 class Pager {
  public:
-  // `within`: for each page. `client` must outlive it.
-  Pager(Client& client, std::string prefix, Nanos within);
-  // The next page. After any outcome but `ok` the same page is asked for again.
+  // `timeout`: for each page. `client` must outlive the pager.
+  Pager(Client& client, std::string prefix, Nanos timeout);
+  // Reads the next page. After any outcome other than `ok`, the next call requests the same page.
   Task<ListResult> next();
-  // The last page was read.
+  // Whether the last page has been read.
   bool done() const { return done_; }
 
  private:
   Client& client_;
   std::string prefix_;
-  Nanos within_;
-  std::string after_;  // the last key that was read
+  Nanos timeout_;
+  std::string after_;  // the last key read so far
   bool done_ = false;
 };
 
--- a/src/dunlinknot/kv/types.hpp
+++ b/src/dunlinknot/kv/types.hpp
@@ -1,5 +1,5 @@
-// The key-value store's terms, and the results of the client's calls. A result's `document` owns
-// what the views in it point into.
+// Types of the key-value store's client and the results of its calls. The views in a result point
+// into its `document`.
 #pragma once
 #include <memory>
 #include <string>
@@ -18,53 +18,55 @@
 using wire::store::Transaction;
 using wire::store::Write;
 
-// Of reading one key.
+// Result of reading one key.
 struct GetResult {
   Outcome outcome = Outcome::unknown;
   bool found = false;
-  KeyValue item;          // when found
-  uint64_t revision = 0;  // when not found: the store's revision at the reading
+  KeyValue item;          // set when `found`
+  uint64_t revision = 0;  // set when not `found`: the store's revision at the time of the read
   std::shared_ptr<wire::Document> document;
 };
 
-// Of reading one page of the keys under a prefix.
+// Result of reading one page of the keys under a prefix.
 struct ListResult {
   Outcome outcome = Outcome::unknown;
-  std::vector<KeyValue> items;  // in the order of their keys
-  bool more = false;            // the next page begins after the last of `items`
-  uint64_t revision = 0;        // the store's at the reading
+  std::vector<KeyValue> items;  // in key order
+  bool more = false;            // there is a next page, which starts after the last of `items`
+  uint64_t revision = 0;        // the store's revision at the time of the read
   std::shared_ptr<wire::Document> document;
 };
 
-// Of a transaction. `outcome` ok and not `applied`: a compare failed.
+// Result of a transaction. When `outcome` is ok and `applied` is false, a compare failed.
 struct TransactionResult {
   Outcome outcome = Outcome::unknown;
   bool applied = false;
-  bool lease_expired = false;       // refused: a lease to bind a key to does not exist any more
-  uint64_t revision = 0;            // when applied: the mod revision of all keys written
+  bool lease_expired = false;  // refused because a lease named in a write does not exist any more
+  uint64_t revision = 0;       // when applied: the mod revision of all written keys
   std::vector<std::string> failed;  // keys whose compare failed
   bool compare_failed(std::string_view key) const;
 };
 
-// Of granting, renewing or revoking a lease.
+// Result of granting, renewing or revoking a lease.
 struct LeaseResult {
   Outcome outcome = Outcome::unknown;
-  bool expired = false;  // the lease to be renewed does not exist any more
+  bool expired = false;  // the lease that was to be renewed does not exist any more
   uint64_t lease = 0;
 };
 
-// Of waiting for changes under a prefix.
+// Result of waiting for changes under a prefix.
 struct WatchResult {
   Outcome outcome = Outcome::unknown;
-  bool relist_required = false;  // or more than one answer may hold: the keys must be listed again
+  // The store no longer has the changes, or they exceed the maximum size of a response: the caller
+  // must list the keys again.
+  bool relist_required = false;
   std::vector<Change> changes;
-  uint64_t revision = 0;  // to watch from next
+  uint64_t revision = 0;  // the next watch starts after this revision
   std::shared_ptr<wire::Document> document;
 };
 
-// How a call may use the budget. `essential` calls (leases, leadership) are sent in any case.
-// `user` calls (submissions, cancellations) have a share of their own, which the allocation store's
-// writes do not use up.
+// How a call may use the rate budget. `essential` calls (leases, leadership) are always sent, even
+// when the budget is used up. `user` calls (submissions, cancellations) have a separate share that
+// the allocation store's writes cannot use up.
 enum class Importance { normal, user, essential };
 
 }  // namespace dunlinknot::kv
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,5 +1,5 @@
-// The key-value store's lower limits, which come without notice: what is written fits them, the
-// limits may fall between any two steps, and nothing that stands is lost.
+// The key-value store may switch to the announced lower limits at any time. All writes must fit the
+// lower limits, wherever the switch happens, and no accepted job may be lost.
 #include "dunlinknot/kv/limits.hpp"
 
 #include <gtest/gtest.h>
@@ -9,56 +9,61 @@
 namespace dunlinknot::test {
 namespace {
 
-constexpr size_t kNextValue = 2048;
-constexpr settings::StoreLimits kNext{1000, 40, kNextValue, 5};
+constexpr size_t kAnnouncedValueBytes = 2048;
+constexpr settings::StoreLimits kAnnouncedLimits{1000, 40, kAnnouncedValueBytes, 5};
 
-TEST(Limits, AreLoweredByWhatTheAnnouncedOnesExplainAndNothingElse) {
+TEST(Limits, AnnouncedLimitsApplyOnlyAfterRefusalThatTheyExplain) {
   const settings::StoreLimits present{200, 80, 16384, 16};
-  kv::Limits limits(present, kNext);
-  EXPECT_EQ(limits.value_bytes(), kNextValue) << "values are kept small from the start";
+  kv::Limits limits(present, kAnnouncedLimits);
+  EXPECT_EQ(limits.value_bytes(), kAnnouncedValueBytes)
+      << "the lower value limit applies from the start";
   EXPECT_EQ(limits.txn_ops(), 16u);
-  EXPECT_FALSE(limits.on_malformed(kNext.txn_ops, kNext.value_bytes)) << "both just at the limit";
+  EXPECT_FALSE(
+      limits.on_rejected_transaction(kAnnouncedLimits.txn_ops, kAnnouncedLimits.value_bytes))
+      << "both are exactly at the limit";
   EXPECT_EQ(limits.txn_ops(), 16u);
-  EXPECT_TRUE(limits.on_malformed(kNext.txn_ops + 1, 10));
-  EXPECT_EQ(limits.txn_ops(), kNext.txn_ops);
-  EXPECT_EQ(limits.write_rps(), kNext.write_rps);
+  EXPECT_TRUE(limits.on_rejected_transaction(kAnnouncedLimits.txn_ops + 1, 10));
+  EXPECT_EQ(limits.txn_ops(), kAnnouncedLimits.txn_ops);
+  EXPECT_EQ(limits.write_rps(), kAnnouncedLimits.write_rps);
 
-  kv::Limits by_value(present, kNext);
-  EXPECT_TRUE(by_value.on_malformed(1, kNext.value_bytes + 1));
-  EXPECT_EQ(by_value.txn_ops(), kNext.txn_ops);
+  kv::Limits by_value(present, kAnnouncedLimits);
+  EXPECT_TRUE(by_value.on_rejected_transaction(1, kAnnouncedLimits.value_bytes + 1));
+  EXPECT_EQ(by_value.txn_ops(), kAnnouncedLimits.txn_ops);
 
-  kv::Limits by_rate(present, kNext);
+  kv::Limits by_rate(present, kAnnouncedLimits);
   EXPECT_TRUE(by_rate.on_throttled_write());
-  EXPECT_EQ(by_rate.write_rps(), kNext.write_rps);
-  EXPECT_FALSE(by_rate.on_throttled_write()) << "they were lowered before";
+  EXPECT_EQ(by_rate.write_rps(), kAnnouncedLimits.write_rps);
+  EXPECT_FALSE(by_rate.on_throttled_write()) << "the announced limits are already in force";
 
   kv::Limits unannounced(present);
-  EXPECT_FALSE(unannounced.on_malformed(100, 100'000));
+  EXPECT_FALSE(unannounced.on_rejected_transaction(100, 100'000));
   EXPECT_FALSE(unannounced.on_throttled_write());
   EXPECT_EQ(unannounced.value_bytes(), present.value_bytes);
   EXPECT_EQ(unannounced.txn_ops(), present.txn_ops);
 }
 
-TEST(Limits, AChunkOfProgressFitsAnyValueLimitAndIsReadAsBefore) {
+TEST(Limits, ProgressChunkFitsValueLimitAndIsReadBack) {
   const std::vector<bool> all_done(wire::kChunkTasks, true);
   const auto size = [&](uint32_t storable) {
     const std::string packed = wire::write_done_chunk(all_done, 0, storable);
     return compact_json_size(wire::Document::parse(packed)->root());
   };
-  EXPECT_GT(size(wire::kChunkTasks), kNextValue) << "as it was written before: a little too large";
-  for (const size_t limit : {kNextValue - 1, kNextValue, kNextValue + 1, size_t{6} * 1024}) {
+  EXPECT_GT(size(wire::kChunkTasks), kAnnouncedValueBytes)
+      << "a full chunk exceeds the announced limit";
+  for (const size_t limit : {kAnnouncedValueBytes - 1, kAnnouncedValueBytes,
+                             kAnnouncedValueBytes + 1, size_t{6} * 1024}) {
     const uint32_t storable = wire::storable_chunk_tasks(limit);
     EXPECT_LE(size(storable), limit);
     EXPECT_GT(storable, wire::kChunkTasks * 9 / 10);
   }
-  const uint32_t storable = wire::storable_chunk_tasks(kNextValue);
-  std::vector<bool> back(wire::kChunkTasks);
+  const uint32_t storable = wire::storable_chunk_tasks(kAnnouncedValueBytes);
+  std::vector<bool> read_back(wire::kChunkTasks);
   const std::string packed = wire::write_done_chunk(all_done, 0, storable);
-  ASSERT_TRUE(wire::read_done_chunk(wire::Document::parse(packed)->root(), 0, back));
-  EXPECT_EQ(static_cast<uint32_t>(std::count(back.begin(), back.end(), true)), storable);
+  ASSERT_TRUE(wire::read_done_chunk(wire::Document::parse(packed)->root(), 0, read_back));
+  EXPECT_EQ(static_cast<uint32_t>(std::count(read_back.begin(), read_back.end(), true)), storable);
 }
 
-TEST(Limits, TasksBeyondAChunksRecordStayWithTheirWorkersAndDoNotKeepItDirty) {
+TEST(Limits, TasksBeyondStorableChunkAreNotDurableAndDoNotMarkItDirty) {
   constexpr uint32_t kStorable = 100;
   cluster::Job open_job(job("run-000001", 200), WallTime{}, 1, 0, Instant{}, kStorable);
   open_job.mark_done(kStorable);
@@ -68,144 +73,149 @@
   open_job.chunk_stored(0, open_job.done_bits(), 7);
   EXPECT_TRUE(open_job.dirty_chunks().empty());
   EXPECT_TRUE(open_job.is_durable(kStorable - 1));
-  EXPECT_FALSE(open_job.is_durable(kStorable)) << "its worker is not told to forget it";
+  EXPECT_FALSE(open_job.is_durable(kStorable)) << "the worker must not be sent a `forget` for it";
 }
 
-// A site whose key-value store has its new limits from the moment that the test chooses.
+// A site whose key-value store switches to the lower limits when the test calls apply_lower_limits.
 struct LowerLimits : testing::Test {
-  static constexpr size_t kLeastJobs = 12;  // with a task each, in a record under the lower limit
-  Site s{3};
+  // Jobs with one task each that must fit into a machine record under the lower limit.
+  static constexpr size_t kMinJobsPerRecord = 12;
+  Site site{3};
   void SetUp() override {
-    s.adjust_platform = [](settings::Platform& platform) { platform.next_store_limits = kNext; };
-    for (size_t i = 0; i < s.nodes.size(); ++i) s.restart(i);
+    site.adjust_platform = [](settings::Platform& platform) {
+      platform.next_store_limits = kAnnouncedLimits;
+    };
+    for (size_t i = 0; i < site.nodes.size(); ++i) site.restart(i);
     for (const char* zone : {"a", "b"}) {
-      s.cloud.capacity[std::string("box/") + zone + "/ordinary"] = 30;
+      site.cloud.capacity[std::string("box/") + zone + "/ordinary"] = 30;
     }
-    s.operator_settings.max_machines = 60;
-    s.run_for(seconds(3));
-    ASSERT_TRUE(s.leader());
+    site.operator_settings.max_machines = 60;
+    site.run_for(seconds(3));
+    ASSERT_TRUE(site.leader());
   }
-  void lower() { s.store.limits = kNext; }
-  bool done(const std::string& id) { return s.job_state(id) == "done"; }
-  static std::string id(size_t n) { return "run-00" + std::to_string(1000 + n); }
+  void apply_lower_limits() { site.store.limits = kAnnouncedLimits; }
+  bool is_done(const std::string& id) { return site.job_state(id) == "done"; }
+  static std::string job_id(size_t n) { return "run-00" + std::to_string(1000 + n); }
 };
 
-TEST_F(LowerLimits, FallBetweenAnyTwoStepsOfAGangsAllocations) {
+TEST_F(LowerLimits, GangCompletesWhenLimitsFallAtAnyStepOfItsAllocation) {
   for (const auto after :
        {Millis(0), Millis(20), Millis(60), Millis(200), Millis(1000), Millis(4000)}) {
-    s.store.limits.reset();
-    JobSpec gang = job(id(static_cast<size_t>(after.count())), 16);
+    site.store.limits.reset();
+    JobSpec gang = job(job_id(static_cast<size_t>(after.count())), 16);
     gang.gang = true;
     gang.need = {4, 0, 8};
-    ASSERT_EQ(s.submit(gang).status, 201);
-    s.run_for(after);
-    lower();
-    s.run_for(seconds(90));
-    EXPECT_TRUE(done(gang.id)) << "limits fell after " << after.count() << " ms";
+    ASSERT_EQ(site.submit(gang).status, 201);
+    site.run_for(after);
+    apply_lower_limits();
+    site.run_for(seconds(90));
+    EXPECT_TRUE(is_done(gang.id)) << "limits fell after " << after.count() << " ms";
   }
-  expect_no_violations(s);
+  expect_no_violations(site);
 }
 
-TEST_F(LowerLimits, FallWithAFullQueueOfWritesAndCostNoTerm) {
-  const size_t leader = *s.leader();
-  for (size_t n = 0; n < 30; ++n) ASSERT_EQ(s.submit(job(id(n), 4)).status, 201);
-  s.run_for(seconds(4));
-  lower();
-  s.run_for(seconds(120));
-  for (size_t n = 0; n < 30; ++n) EXPECT_TRUE(done(id(n))) << id(n);
-  EXPECT_EQ(s.leader(), leader);
-  EXPECT_LT(s.store.oversized, 10u)
-      << "a transaction that was too large is not sent again as it was";
-  expect_no_violations(s);
+TEST_F(LowerLimits, LeaderKeepsItsTermWhenLimitsFallWithPendingWrites) {
+  const size_t leader = *site.leader();
+  for (size_t n = 0; n < 30; ++n) ASSERT_EQ(site.submit(job(job_id(n), 4)).status, 201);
+  site.run_for(seconds(4));
+  apply_lower_limits();
+  site.run_for(seconds(120));
+  for (size_t n = 0; n < 30; ++n) EXPECT_TRUE(is_done(job_id(n))) << job_id(n);
+  EXPECT_EQ(site.leader(), leader);
+  EXPECT_LT(site.store.oversized, 10u) << "an oversized transaction must not be retried unchanged";
+  expect_no_violations(site);
 }
 
-TEST_F(LowerLimits, AreKeptWhileATransactionIsInDoubt) {
-  s.store.fault_delay = seconds(3);
-  for (size_t n = 0; n < 6; ++n) ASSERT_EQ(s.submit(job(id(n), 8)).status, 201);
-  s.run_for(seconds(3));
-  s.store.call_fault = [k = 0](const http::Call& call) mutable {
+TEST_F(LowerLimits, JobsCompleteWhenLimitsFallWhileTransactionOutcomesAreUnknown) {
+  site.store.fault_delay = seconds(3);
+  for (size_t n = 0; n < 6; ++n) ASSERT_EQ(site.submit(job(job_id(n), 8)).status, 201);
+  site.run_for(seconds(3));
+  site.store.call_fault = [commits = 0](const http::Call& call) mutable {
     if (!is_transaction_on(call, "host/")) return CallFault::none;
-    ++k;
-    return k % 3 == 0   ? CallFault::apply_late
-           : k % 3 == 1 ? CallFault::lose_reply
-                        : CallFault::none;
+    ++commits;
+    return commits % 3 == 0   ? CallFault::apply_late
+           : commits % 3 == 1 ? CallFault::lose_reply
+                              : CallFault::none;
   };
-  s.run_for(seconds(2));
-  lower();
-  s.run_for(seconds(6));
-  s.store.call_fault = nullptr;
-  s.run_for(seconds(120));
-  for (size_t n = 0; n < 6; ++n) EXPECT_TRUE(done(id(n))) << id(n);
-  expect_no_violations(s);
+  site.run_for(seconds(2));
+  apply_lower_limits();
+  site.run_for(seconds(6));
+  site.store.call_fault = nullptr;
+  site.run_for(seconds(120));
+  for (size_t n = 0; n < 6; ++n) EXPECT_TRUE(is_done(job_id(n))) << job_id(n);
+  expect_no_violations(site);
 }
 
-TEST_F(LowerLimits, OneMachineHoldsManyJobsAndARecordStoredLargeShrinksByItself) {
-  // As a controller of the version before left it: a record far above the new limit.
+TEST_F(LowerLimits, ManyJobsCompleteAndOversizedMachineRecordIsRemoved) {
+  // A record as written by the previous version, far above the lower limit.
   wire::MachineRecord large{"box", "a", "", false, {}};
   for (size_t n = 0; n < 60; ++n) {
-    large.groups.push_back({id(500 + n), "red", {0.01, 0, 0.01}, false, {{0, n + 1}}});
+    large.groups.push_back({job_id(500 + n), "red", {0.01, 0, 0.01}, false, {{0, n + 1}}});
   }
-  ASSERT_GT(wire::write_machine_record(large).size(), 2 * kNextValue);
-  s.store.put("host/vm-old", wire::write_machine_record(large));
-  lower();
-  const size_t old = *s.leader();
-  s.crash(old);
-  s.run_for(seconds(20));
-  ASSERT_TRUE(s.leader());
-  for (size_t n = 0; n < 2 * kLeastJobs; ++n) {
-    JobSpec small = job(id(n));
+  ASSERT_GT(wire::write_machine_record(large).size(), 2 * kAnnouncedValueBytes);
+  site.store.put("host/vm-old", wire::write_machine_record(large));
+  apply_lower_limits();
+  const size_t former_leader = *site.leader();
+  site.crash(former_leader);
+  site.run_for(seconds(20));
+  ASSERT_TRUE(site.leader());
+  for (size_t n = 0; n < 2 * kMinJobsPerRecord; ++n) {
+    JobSpec small = job(job_id(n));
     small.need = {0.1, 0, 0.1};
-    ASSERT_EQ(s.submit(small, *s.leader()).status, 201);
+    ASSERT_EQ(site.submit(small, *site.leader()).status, 201);
   }
-  s.store.max_value = 0;
-  s.run_for(seconds(120));
-  for (size_t n = 0; n < 2 * kLeastJobs; ++n) {
-    EXPECT_EQ(s.job_state(id(n), *s.leader()), "done") << id(n);
+  site.store.max_value = 0;
+  site.run_for(seconds(120));
+  for (size_t n = 0; n < 2 * kMinJobsPerRecord; ++n) {
+    EXPECT_EQ(site.job_state(job_id(n), *site.leader()), "done") << job_id(n);
   }
-  EXPECT_LT(s.store.oversized, 10u);
-  EXPECT_FALSE(s.store.data.contains("host/vm-old")) << "nothing is allocated there any more";
-  expect_no_violations(s);
+  EXPECT_LT(site.store.oversized, 10u);
+  EXPECT_FALSE(site.store.data.contains("host/vm-old"))
+      << "the record of a machine without allocations must be removed";
+  expect_no_violations(site);
 }
 
-TEST_F(LowerLimits, ARecordHasRoomForManyJobs) {
-  cluster::Cluster c(s.nodes[0]->platform, s.operator_settings);
-  c.begin_term(1000, s.clock.now());
+TEST_F(LowerLimits, MachineRecordFitsMinimumNumberOfJobs) {
+  cluster::Cluster cluster_state(site.nodes[0]->platform, site.operator_settings);
+  cluster_state.begin_term(1000, site.clock.now());
   const cluster::Job typical(job("run-000412"), WallTime{}, 1, 0, Instant{});
-  const cluster::Cluster::RecordCost cost = c.record_cost(typical);
+  const cluster::Cluster::RecordCost cost = cluster_state.record_cost(typical);
   const size_t frame = wire::machine_record_size("sortrig", "kamloops", "10.1.0.232:9000");
-  EXPECT_GE((c.record_limit() - frame) / (cost.group_bytes + cost.task_bytes), kLeastJobs);
+  EXPECT_GE((cluster_state.record_limit() - frame) / (cost.group_bytes + cost.task_bytes),
+            kMinJobsPerRecord);
 }
 
-TEST_F(LowerLimits, ALargeJobsProgressDoesNotCrowdOutAllocations) {
-  // On partsgrid-bc-next the first jobs had new progress before the last were reached, and no
-  // allocation was written for half a minute. Here workers report in step and leave pauses: this
-  // passes without the pacing of each batch too, so only the bench's day shows that fault.
+TEST_F(LowerLimits, ProgressOfLargeJobsDoesNotStarveAllocations) {
+  // Guards against progress writes starving allocations. On partsgrid-bc-next the first jobs had
+  // new progress before that of the last jobs was written, so no allocation was written for half a
+  // minute. The scripted workers report at the same times with pauses in between, so this test also
+  // passes without the pacing of each batch; only a full-day run of the bench shows that fault.
   for (size_t n = 0; n < 12; ++n) {
-    JobSpec array = job(id(n), 400);
+    JobSpec array = job(job_id(n), 400);
     array.need = {0.5, 0, 1};
-    ASSERT_EQ(s.submit(array).status, 201);
+    ASSERT_EQ(site.submit(array).status, 201);
   }
-  s.run_for(seconds(20));
-  lower();
-  s.run_for(seconds(10));
-  const size_t before = s.starts;
-  const JobSpec late = job(id(99));
-  ASSERT_EQ(s.submit(late).status, 201);
-  s.run_for(seconds(30));
-  EXPECT_GT(s.starts, before + 200);
-  s.run_for(seconds(240));
-  EXPECT_TRUE(done(late.id));
-  expect_no_violations(s);
+  site.run_for(seconds(20));
+  apply_lower_limits();
+  site.run_for(seconds(10));
+  const size_t starts_before = site.starts;
+  const JobSpec late = job(job_id(99));
+  ASSERT_EQ(site.submit(late).status, 201);
+  site.run_for(seconds(30));
+  EXPECT_GT(site.starts, starts_before + 200);
+  site.run_for(seconds(240));
+  EXPECT_TRUE(is_done(late.id));
+  expect_no_violations(site);
 }
 
-TEST_F(LowerLimits, ADescriptionThatCouldNotBeStoredIsRefusedAtOnceAndAKnownOneIsNot) {
-  JobSpec wordy = job(id(1));
-  ASSERT_EQ(s.submit(wordy).status, 201);
-  for (size_t i = 0; i < 30; ++i) wordy.types.push_back("box" + std::string(75, 'x'));
-  wordy.types.push_back("box");
-  EXPECT_EQ(s.submit(wordy).status, 200) << "known already";
-  wordy.id = id(2);
-  EXPECT_EQ(s.submit(wordy).status, 422);
+TEST_F(LowerLimits, OversizedJobIsRejectedUnlessAlreadyAccepted) {
+  JobSpec oversized = job(job_id(1));
+  ASSERT_EQ(site.submit(oversized).status, 201);
+  for (size_t i = 0; i < 30; ++i) oversized.types.push_back("box" + std::string(75, 'x'));
+  oversized.types.push_back("box");
+  EXPECT_EQ(site.submit(oversized).status, 200) << "the job was accepted before it was too long";
+  oversized.id = job_id(2);
+  EXPECT_EQ(site.submit(oversized).status, 422);
 }
 
 }  // namespace
