--- a/src/dunlinknot/roles/intent_log.cpp
+++ b/src/dunlinknot/roles/intent_log.cpp
@@ -1,4 +1,5 @@
-// The intent log: guarded writes, and evidence about writes without an answer.
+// The intent log: writes that compare the role's key, and reading back writes that were not
+// answered.
 #include "dunlinknot/roles/intent_log.hpp"
 
 #include <spdlog/spdlog.h>
@@ -13,28 +14,29 @@
 
 using http::Outcome;
 
-constexpr Millis kCallTime{1200};
-constexpr Millis kRetryPause{150};
-constexpr size_t kMaxWrites = 16;  // of a transaction, where the store's own limit is higher
+constexpr Millis kCallTimeout{1200};
+constexpr Millis kRetryDelay{150};
+constexpr size_t kMaxBatchWrites = 16;  // per transaction, also when the store allows more
 
 }  // namespace
 
 IntentLog::IntentLog(cluster::LeaderContext& context, kv::Client& store, RoleHolder& holder)
-    : context_(context), store_(store), holder_(holder), has_ended_(context.loop) {}
+    : context_(context), store_(store), holder_(holder), has_settled_(context.loop) {}
 
 void IntentLog::begin_term() {
   mod_revisions_.clear();
-  ended_.clear();
-  has_ended_.notify();
+  settled_.clear();
+  has_settled_.notify();
 }
 
 size_t IntentLog::max_batch() const {
-  return std::min(store_.limits().txn_ops(), kMaxWrites);
+  return std::min(store_.limits().txn_ops(), kMaxBatchWrites);
 }
 
 Task<std::optional<OpenIntents>> IntentLog::load(uint64_t term) {
-  // A leader without the open intents could repeat what is decided: it retries until its term ends.
-  const ListRetry retry{kRetryPause, std::nullopt, [this, term] { return context_.in_term(term); }};
+  // A leader that does not know the open intents could decide the same again, so this retries until
+  // the term ends.
+  const ListRetry retry{kRetryDelay, std::nullopt, [this, term] { return context_.in_term(term); }};
   const auto pages = co_await list_all(context_.loop, store_, std::string(kIntentPrefix), retry);
   if (!pages) co_return std::nullopt;
   OpenIntents open;
@@ -47,12 +49,13 @@
 void IntentLog::add_loaded(OpenIntents& open, const kv::KeyValue& item) {
   const ReadIntent read = read_intent(item.key, item.value);
   if (const auto* error = std::get_if<RecordError>(&read)) {
-    spdlog::error("singleton roles: the intent {} is left alone: {}", item.key, text(*error));
+    spdlog::error("singleton roles: the intent {} is skipped and not overwritten: {}", item.key,
+                  describe(*error));
     open.unreadable.push_back({item.key, *error});
     return;
   }
-  if (const auto* launch = std::get_if<ScaleOutIntent>(&read)) open.scale_out.push_back(*launch);
-  if (const auto* end = std::get_if<ScaleInIntent>(&read)) open.scale_in.push_back(*end);
+  if (const auto* intent = std::get_if<ScaleOutIntent>(&read)) open.scale_out.push_back(*intent);
+  if (const auto* intent = std::get_if<ScaleInIntent>(&read)) open.scale_in.push_back(*intent);
   mod_revisions_[item.key] = item.mod_revision;
 }
 
@@ -79,19 +82,21 @@
 Task<bool> IntentLog::record(uint64_t term, Role role, std::vector<Entry> entries) {
   std::erase_if(entries, [&](const Entry& entry) { return mod_revisions_.contains(entry.key); });
   if (entries.empty()) co_return true;
-  const bool ready = co_await holder_.settle_writes(term, role);
+  const bool ready = co_await holder_.fence_unanswered_writes(term, role);
   if (!ready || !holder_.may_act(role)) co_return false;
-  const Written written = co_await write(term, role, entries);
-  if (written != Written::unknown) co_return written == Written::yes;
-  // Found by a test: applied late, it brought back an intent that was settled and removed by then.
-  const bool final = co_await holder_.settle_writes(term, role);
+  const WriteResult written = co_await write(term, role, entries);
+  if (written != WriteResult::unknown) co_return written == WriteResult::applied;
+  // Without this, a transaction that is applied late restores an intent that was settled and
+  // removed meanwhile.
+  const bool final = co_await holder_.fence_unanswered_writes(term, role);
   if (!final) co_return false;
   const bool durable = co_await read_back(term, entries);
   co_return durable;
 }
 
-// One transaction that creates all entries, under the role's compares.
-Task<IntentLog::Written> IntentLog::write(uint64_t term, Role role, std::vector<Entry> entries) {
+// Creates all entries in one transaction with the role's compares.
+Task<IntentLog::WriteResult> IntentLog::write(uint64_t term, Role role,
+                                              std::vector<Entry> entries) {
   kv::Transaction txn;
   txn.compares = holder_.compares(role);
   for (const Entry& entry : entries) {
@@ -99,100 +104,100 @@
     txn.writes.push_back({entry.key, entry.value, 0});
   }
   const Instant sent = context_.loop.boot_now();
-  const kv::TransactionResult result = co_await store_.commit(std::move(txn), kCallTime);
-  if (!context_.in_term(term)) co_return Written::no;
+  const kv::TransactionResult result = co_await store_.commit(std::move(txn), kCallTimeout);
+  if (!context_.in_term(term)) co_return WriteResult::not_applied;
   holder_.apply_result(role, result, sent);
   if (result.applied) {
     for (const Entry& entry : entries) mod_revisions_[entry.key] = result.revision;
-    co_return Written::yes;
+    co_return WriteResult::applied;
   }
   const bool exists = std::any_of(entries.begin(), entries.end(), [&](const Entry& entry) {
     return result.compare_failed(entry.key);
   });
   if (result.outcome == Outcome::refused || (result.outcome == Outcome::ok && !exists)) {
-    co_return Written::no;
+    co_return WriteResult::not_applied;
   }
-  co_return Written::unknown;
+  co_return WriteResult::unknown;
 }
 
-// It is unknown whether the transaction was applied, or an earlier attempt of it: what is stored
-// counts, whichever attempt wrote it. A termination that a former holder decided stays decided.
+// Reads the entries back after a transaction whose outcome is unknown. A stored intent counts as
+// durable, whichever attempt wrote it; this includes a termination decided by a former holder.
 Task<bool> IntentLog::read_back(uint64_t term, std::vector<Entry> entries) {
-  bool all = true;
+  bool all_found = true;
   for (const Entry& entry : entries) {
-    const kv::GetResult got = co_await store_.get(entry.key, kCallTime);
+    const kv::GetResult got = co_await store_.get(entry.key, kCallTimeout);
     if (!context_.in_term(term) || got.outcome != Outcome::ok) co_return false;
     if (got.found) {
       mod_revisions_[entry.key] = got.item.mod_revision;
     } else {
-      all = false;
+      all_found = false;
     }
   }
-  co_return all;
+  co_return all_found;
 }
 
-void IntentLog::end(Role role, std::string key) {
+void IntentLog::mark_settled(Role role, std::string key) {
   if (!mod_revisions_.contains(key)) return;
-  const bool listed = std::any_of(ended_.begin(), ended_.end(),
-                                  [&](const Ended& ended) { return ended.key == key; });
+  const bool listed = std::any_of(settled_.begin(), settled_.end(),
+                                  [&](const SettledIntent& settled) { return settled.key == key; });
   if (listed) return;
-  ended_.push_back({role, std::move(key)});
-  has_ended_.notify();
+  settled_.push_back({role, std::move(key)});
+  has_settled_.notify();
 }
 
 Task<void> IntentLog::remove_settled(uint64_t term) {
   while (context_.in_term(term)) {
-    if (ended_.empty()) (void)co_await has_ended_.wait();
+    if (settled_.empty()) (void)co_await has_settled_.wait();
     if (!context_.in_term(term)) co_return;
-    if (ended_.empty()) continue;
+    if (settled_.empty()) continue;
     const bool removed = co_await remove_batch(term);
-    if (!removed && context_.in_term(term)) co_await context_.loop.sleep(kRetryPause);
+    if (!removed && context_.in_term(term)) co_await context_.loop.sleep(kRetryDelay);
   }
 }
 
-// One transaction over ended intents of one role.
+// Removes settled intents of one role in one transaction. Returns whether they were removed.
 Task<bool> IntentLog::remove_batch(uint64_t term) {
-  const Role role = ended_.front().role;
-  const bool settled = co_await holder_.settle_writes(term, role);
-  if (!settled || !holder_.may_act(role)) co_return false;
-  std::vector<Ended> batch;
+  const Role role = settled_.front().role;
+  const bool fenced = co_await holder_.fence_unanswered_writes(term, role);
+  if (!fenced || !holder_.may_act(role)) co_return false;
+  std::vector<SettledIntent> batch;
   kv::Transaction txn;
   txn.compares = holder_.compares(role);
-  for (const Ended& ended : ended_) {
-    if (ended.role != role || batch.size() >= max_batch()) continue;
-    batch.push_back(ended);
-    txn.compares.push_back({ended.key, mod_revisions_[ended.key]});
-    txn.writes.push_back({ended.key, "", 0});
+  for (const SettledIntent& settled : settled_) {
+    if (settled.role != role || batch.size() >= max_batch()) continue;
+    batch.push_back(settled);
+    txn.compares.push_back({settled.key, mod_revisions_[settled.key]});
+    txn.writes.push_back({settled.key, "", 0});
   }
   const Instant sent = context_.loop.boot_now();
-  const kv::TransactionResult result = co_await store_.commit(std::move(txn), kCallTime);
+  const kv::TransactionResult result = co_await store_.commit(std::move(txn), kCallTimeout);
   if (!context_.in_term(term)) co_return false;
   holder_.apply_result(role, result, sent);
   if (!result.applied) {
-    if (result.outcome != Outcome::refused) co_await reread_ended(term, batch);
+    if (result.outcome != Outcome::refused) co_await reread_settled(term, batch);
     co_return false;
   }
-  std::erase_if(ended_, [&](const Ended& ended) {
+  std::erase_if(settled_, [&](const SettledIntent& settled) {
     return std::any_of(batch.begin(), batch.end(),
-                       [&](const Ended& removed) { return removed.key == ended.key; });
+                       [&](const SettledIntent& removed) { return removed.key == settled.key; });
   });
-  for (const Ended& removed : batch) mod_revisions_.erase(removed.key);
+  for (const SettledIntent& removed : batch) mod_revisions_.erase(removed.key);
   co_return true;
 }
 
-// After a removal that failed or had no answer: drops what is removed from the list, and compares
-// the present mod revision of the rest next time.
-Task<void> IntentLog::reread_ended(uint64_t term, std::vector<Ended> batch) {
-  for (const Ended& ended : batch) {
-    const kv::GetResult got = co_await store_.get(ended.key, kCallTime);
+// Called after a removal that failed or was not answered. Drops the intents that no longer exist
+// and reads the current mod revisions of the others for the next attempt.
+Task<void> IntentLog::reread_settled(uint64_t term, std::vector<SettledIntent> batch) {
+  for (const SettledIntent& settled : batch) {
+    const kv::GetResult got = co_await store_.get(settled.key, kCallTimeout);
     if (!context_.in_term(term)) co_return;
     if (got.outcome != Outcome::ok) continue;
     if (got.found) {
-      mod_revisions_[ended.key] = got.item.mod_revision;
+      mod_revisions_[settled.key] = got.item.mod_revision;
       continue;
     }
-    mod_revisions_.erase(ended.key);
-    std::erase_if(ended_, [&](const Ended& each) { return each.key == ended.key; });
+    mod_revisions_.erase(settled.key);
+    std::erase_if(settled_, [&](const SettledIntent& each) { return each.key == settled.key; });
   }
 }
 
--- a/src/dunlinknot/roles/intent_log.hpp
+++ b/src/dunlinknot/roles/intent_log.hpp
@@ -1,10 +1,10 @@
-// The log of what is decided under the singleton roles. Each request to the cloud is durable here
-// before it is sent, in a transaction that compares the role's key, and stays until there is
-// evidence of its outcome.
+// The log of decisions made under the singleton roles. Each request to the cloud is recorded here
+// as an intent before it is sent, by a transaction that compares the role's key. The intent stays
+// until the outcome of the request is known.
 //
 // A successor reads the open intents and repeats the same requests under the same names before it
-// decides anything of its own. So whatever a former holder still sends, however late, is a
-// duplicate of what is decided anyway (docs/singleton_roles.md).
+// makes decisions of its own. So a request that a former holder sends late is always a duplicate of
+// one that is sent anyway (docs/singleton_roles.md).
 #pragma once
 #include <deque>
 #include <map>
@@ -15,45 +15,45 @@
 
 namespace dunlinknot::roles {
 
-// An intent that cannot be used. Its key still says which request or machine it is about.
+// An intent that cannot be used. Its key still names the request or machine.
 struct UnreadableIntent {
   std::string key;
   RecordError error = RecordError::damaged;
 };
 
-// What a new holder finds in the log, each kind in key order.
+// The open intents that a new holder loads from the log, each kind in key order.
 struct OpenIntents {
   std::vector<ScaleOutIntent> scale_out;
   std::vector<ScaleInIntent> scale_in;
   std::vector<UnreadableIntent> unreadable;
 };
 
-// Records and removes intents for the holder of the roles. All calls on the controller's event
-// loop; a call of an earlier term ends without an effect.
+// Records and removes intents for the holder of the roles. All functions must be called on the
+// controller's event loop. Coroutines of an earlier term return without effect.
 class IntentLog {
  public:
-  // All three must outlive the log.
+  // `context`, `store` and `holder` must outlive the log.
   IntentLog(cluster::LeaderContext& context, kv::Client& store, RoleHolder& holder);
 
-  // Forgets what was known in an earlier term.
+  // Discards the state of the previous term.
   void begin_term();
-  // Reads all open intents, with retries; nothing when the term ended meanwhile.
+  // Reads all open intents, with retries. Returns nothing when the term ended meanwhile.
   Task<std::optional<OpenIntents>> load(uint64_t term);
 
-  // Whether these intents are durable now. If not, no request may be sent for them; they may be
-  // recorded again. At most `max_batch` at a time.
+  // Records intents, at most `max_batch` at a time. Returns whether they are durable. If they are
+  // not, no request may be sent for them; the caller may record them again.
   Task<bool> record_scale_out(uint64_t term, std::vector<ScaleOutIntent> intents);
   Task<bool> record_scale_in(uint64_t term, std::vector<ScaleInIntent> intents);
   size_t max_batch() const;
 
-  // There is evidence that the request is settled: its record is removed by `remove_settled`.
+  // Called when the outcome of the request is known. `remove_settled` then removes its record.
   void mark_scale_out_settled(const std::string& request) {
-    end(Role::scale_out, scale_out_key(request));
+    mark_settled(Role::scale_out, scale_out_key(request));
   }
   void mark_scale_in_settled(const std::string& machine) {
-    end(Role::scale_in, scale_in_key(machine));
+    mark_settled(Role::scale_in, scale_in_key(machine));
   }
-  // Removes the records of settled requests, as long as the term lasts.
+  // Removes the records of settled requests until the term ends.
   Task<void> remove_settled(uint64_t term);
 
  private:
@@ -61,26 +61,26 @@
     std::string key;
     std::string value;
   };
-  struct Ended {
+  struct SettledIntent {
     Role role;
     std::string key;
   };
-  enum class Written : uint8_t { yes, no, unknown };
+  enum class WriteResult : uint8_t { applied, not_applied, unknown };
 
   void add_loaded(OpenIntents& open, const kv::KeyValue& item);
   Task<bool> record(uint64_t term, Role role, std::vector<Entry> entries);
-  Task<Written> write(uint64_t term, Role role, std::vector<Entry> entries);
+  Task<WriteResult> write(uint64_t term, Role role, std::vector<Entry> entries);
   Task<bool> read_back(uint64_t term, std::vector<Entry> entries);
   Task<bool> remove_batch(uint64_t term);
-  Task<void> reread_ended(uint64_t term, std::vector<Ended> batch);
-  void end(Role role, std::string key);
+  Task<void> reread_settled(uint64_t term, std::vector<SettledIntent> batch);
+  void mark_settled(Role role, std::string key);
 
   cluster::LeaderContext& context_;
   kv::Client& store_;
   RoleHolder& holder_;
   std::map<std::string, uint64_t> mod_revisions_;  // of the open intents, by key
-  std::deque<Ended> ended_;                        // to be removed
-  AutoResetEvent has_ended_;
+  std::deque<SettledIntent> settled_;              // whose records are still to be removed
+  AutoResetEvent has_settled_;
 };
 
 }  // namespace dunlinknot::roles
--- a/src/dunlinknot/roles/list_all.hpp
+++ b/src/dunlinknot/roles/list_all.hpp
@@ -9,17 +9,17 @@
 
 namespace dunlinknot::roles {
 
-// What is done about a page that could not be read.
+// How failed reads of a page are retried.
 struct ListRetry {
-  Nanos pause{0};                    // between two tries of the same page
-  std::optional<int> tries_of_page;  // unlimited if empty
-  // Asked after each wait: whether the caller still needs the list. Empty: always.
-  std::function<bool()> wanted;
+  Nanos delay{0};                            // between two attempts at the same page
+  std::optional<int> max_attempts_per_page;  // unlimited if empty
+  // Called after each suspension: whether the caller still needs the list. Empty: always.
+  std::function<bool()> still_needed;
 };
 
-// All pages under `prefix`, in key order. Nothing when the tries of one page are used up or the
-// list is not wanted any more. The pages are read one after the other, so they need not show one
-// revision of the store. `loop` and `store` must outlive the call. Runs on the caller's loop.
+// Returns all pages under `prefix`, in key order, or nothing when the attempts at one page are used
+// up or the list is no longer needed. The pages are read one after the other, so they may be of
+// different revisions of the store. `loop` and `store` must outlive the call. Runs on `loop`.
 Task<std::optional<std::vector<kv::ListResult>>> list_all(EventLoop& loop, kv::Client& store,
                                                           std::string prefix, ListRetry retry);
 
--- a/src/dunlinknot/roles/overview.cpp
+++ b/src/dunlinknot/roles/overview.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-// An operator waits for the answer: few tries.
-constexpr int kTriesOfPage = 3;
-constexpr Millis kRetryPause{300};
+// Few attempts, since an operator waits for the result.
+constexpr int kMaxAttemptsPerPage = 3;
+constexpr Millis kRetryDelay{300};
 
 RoleStatus read_status(Role role, const std::vector<kv::ListResult>& pages) {
   RoleStatus status{role, std::nullopt, std::nullopt};
@@ -28,10 +28,10 @@
 
 void add_intent(Overview& overview, const kv::KeyValue& item) {
   const ReadIntent read = read_intent(item.key, item.value);
-  if (const auto* launch = std::get_if<ScaleOutIntent>(&read)) {
-    overview.scale_out.push_back(*launch);
-  } else if (const auto* termination = std::get_if<ScaleInIntent>(&read)) {
-    overview.scale_in.push_back(*termination);
+  if (const auto* scale_out = std::get_if<ScaleOutIntent>(&read)) {
+    overview.scale_out.push_back(*scale_out);
+  } else if (const auto* scale_in = std::get_if<ScaleInIntent>(&read)) {
+    overview.scale_in.push_back(*scale_in);
   } else {
     overview.unreadable.push_back(item.key);
   }
@@ -40,7 +40,7 @@
 }  // namespace
 
 Task<std::optional<Overview>> read_overview(EventLoop& loop, kv::Client& store) {
-  const ListRetry retry{kRetryPause, kTriesOfPage, nullptr};
+  const ListRetry retry{kRetryDelay, kMaxAttemptsPerPage, nullptr};
   const auto role_pages = co_await list_all(loop, store, std::string(kRolePrefix), retry);
   if (!role_pages) co_return std::nullopt;
   const auto intent_pages = co_await list_all(loop, store, std::string(kIntentPrefix), retry);
@@ -58,7 +58,7 @@
     std::string holder = "nobody";
     if (status.holder)
       holder = fmt::format("{} under token {}", status.holder->node, status.holder->fencing_token);
-    if (status.error) holder = fmt::format("unreadable: {}", text(*status.error));
+    if (status.error) holder = fmt::format("unreadable: {}", describe(*status.error));
     out << fmt::format("{:<8} {}\n", name(status.role), holder);
   }
   for (const ScaleOutIntent& intent : overview.scale_out) {
--- a/src/dunlinknot/roles/overview.hpp
+++ b/src/dunlinknot/roles/overview.hpp
@@ -1,5 +1,5 @@
-// The singleton roles as the key-value store shows them, for operators: holders and open intents.
-// Printed by `dunlinknot duties`; reads only.
+// An overview of the singleton roles for operators: their holders and the open intents, as stored
+// in the key-value store. Printed by `dunlinknot duties`. Writes nothing to the store.
 #pragma once
 #include <optional>
 #include <ostream>
@@ -11,23 +11,23 @@
 
 namespace dunlinknot::roles {
 
-// Who holds one role.
+// The holder of one role.
 struct RoleStatus {
   Role role = Role::scale_out;
-  std::optional<RoleHolderRecord> holder;  // empty: vacant, or unreadable
-  std::optional<RecordError> error;        // why the record cannot be read
+  std::optional<RoleHolderRecord> holder;  // empty: no holder, or unreadable
+  std::optional<RecordError> error;        // set when the record cannot be read
 };
 
-// Everything that is printed, in key order.
+// The contents of the overview; intents are in key order.
 struct Overview {
-  std::vector<RoleStatus> holders;  // one of each role
+  std::vector<RoleStatus> holders;  // one per role
   std::vector<ScaleOutIntent> scale_out;
   std::vector<ScaleInIntent> scale_in;
-  std::vector<std::string> unreadable;  // keys of intents
+  std::vector<std::string> unreadable;  // keys of intents that cannot be read
 };
 
-// Nothing when the key-value store did not answer after a few tries. `loop` and `store` must
-// outlive the call.
+// Reads the overview. Returns nothing when the key-value store did not answer after a few attempts.
+// `loop` and `store` must outlive the call.
 Task<std::optional<Overview>> read_overview(EventLoop& loop, kv::Client& store);
 void print(std::ostream& out, const Overview& overview);
 
--- a/src/dunlinknot/roles/role_holder.cpp
+++ b/src/dunlinknot/roles/role_holder.cpp
@@ -1,4 +1,4 @@
-// Acquisition, renewal and loss of the singleton roles.
+// Acquires, renews and releases the singleton roles.
 #include "dunlinknot/roles/role_holder.hpp"
 
 #include <spdlog/spdlog.h>
@@ -11,10 +11,12 @@
 
 using http::Outcome;
 
-constexpr Millis kCallTime{700};
-constexpr Millis kRetryPause{150};
-constexpr Nanos kHaltedRetryPause = std::chrono::seconds(5);
-constexpr int kLateWakeShare = 2;  // of the lease: a timer later than its half is distrusted
+constexpr Millis kCallTimeout{700};
+constexpr Millis kRetryDelay{150};
+constexpr Nanos kHaltedRetryDelay = std::chrono::seconds(5);
+// When the renewal timer fires later than 1/kLateWakeDivisor of the lease duration, the process may
+// have been suspended and the last confirmation is discarded.
+constexpr int kLateWakeDivisor = 2;
 
 }  // namespace
 
@@ -37,30 +39,33 @@
 }
 
 void RoleHolder::on_term_ended() {
-  for (Holding& each : holdings_) each.lease.lose();
+  for (Holding& each : holdings_) each.lease.mark_lost();
 }
 
 void RoleHolder::apply_result(Role role, const kv::TransactionResult& result, Instant sent) {
   Holding& held = holding(role);
-  if (result.outcome == Outcome::unknown) held.writes_unsettled = true;
+  if (result.outcome == Outcome::unknown) held.has_unanswered_write = true;
   if (result.outcome != Outcome::ok) return;
   if (!result.compare_failed(role_key(role))) {
-    held.lease.proved(sent);
+    held.lease.confirmed(sent);
     return;
   }
-  // Sent before `settle_writes` changed the mod revision itself: no sign of another holder.
+  // The transaction was sent before `fence_unanswered_writes` changed the mod revision, so the
+  // failed compare does not show another holder.
   if (sent < held.rewritten_at) return;
-  spdlog::info("singleton roles: {} under fencing token {} is lost: its key was changed or removed",
-               name(role), fencing_token(role));
-  held.lease.lose();
+  spdlog::info(
+      "singleton roles: lost role {} with fencing token {}: its key was changed or removed",
+      name(role), fencing_token(role));
+  held.lease.mark_lost();
 }
 
 Task<std::optional<RoleHolder::StoredRoles>> RoleHolder::read_stored(uint64_t term) {
   StoredRoles stored;
-  const kv::ListResult list = co_await store_.list(std::string(kRolePrefix), "", kCallTime);
+  const kv::ListResult list = co_await store_.list(std::string(kRolePrefix), "", kCallTimeout);
   if (!context_.in_term(term) || list.outcome != Outcome::ok || list.more) co_return std::nullopt;
   for (const kv::KeyValue& item : list.items) {
-    if (item.key == kFencingTokenKey && !read_token(item, stored)) co_return std::nullopt;
+    if (item.key == kFencingTokenKey && !read_last_fencing_token(item, stored))
+      co_return std::nullopt;
     for (const Role role : kAllRoles) {
       if (item.key == role_key(role))
         stored.mod_revisions[static_cast<size_t>(role)] = item.mod_revision;
@@ -69,13 +74,13 @@
   co_return stored;
 }
 
-// False, and halted, when the record of the last fencing token cannot be read: without it no token
-// is known to be higher than all before.
-bool RoleHolder::read_token(const kv::KeyValue& item, StoredRoles& stored) {
+// Returns false and halts when the record of the last fencing token cannot be read: without it no
+// token is known to be higher than all earlier ones.
+bool RoleHolder::read_last_fencing_token(const kv::KeyValue& item, StoredRoles& stored) {
   const auto read = read_fencing_token(item.value);
   if (const auto* error = std::get_if<RecordError>(&read)) {
-    spdlog::error("singleton roles: {} is left alone, and no role is acquired: {}", item.key,
-                  text(*error));
+    spdlog::error("singleton roles: {} is not overwritten and no role is acquired: {}", item.key,
+                  describe(*error));
     halted_ = true;
     return false;
   }
@@ -88,7 +93,8 @@
   return {role_key(role), write_holder({context_.platform.node, fencing_token}), store_lease_};
 }
 
-// Acquires one role under the next fencing token. False when that is not known to have worked.
+// Acquires one role with the next fencing token. Returns false when the role is not known to have
+// been acquired.
 Task<bool> RoleHolder::acquire_role(uint64_t term, Role role, StoredRoles& stored) {
   const uint64_t fencing_token = stored.fencing_token + 1;
   kv::Transaction txn;
@@ -99,7 +105,7 @@
   txn.writes.push_back({std::string(kFencingTokenKey), write_fencing_token(fencing_token), 0});
   Instant sent = context_.loop.boot_now();
   const kv::TransactionResult result =
-      co_await store_.commit(std::move(txn), kCallTime, kv::Importance::essential);
+      co_await store_.commit(std::move(txn), kCallTimeout, kv::Importance::essential);
   if (!context_.in_term(term)) co_return false;
   uint64_t mod_revision = result.revision;
   if (!result.applied) {
@@ -109,21 +115,22 @@
     if (!own) co_return false;
     mod_revision = *own;
   }
-  // The transaction wrote both keys, so they share one mod revision.
+  // The transaction wrote both keys, so they have the same mod revision.
   stored.fencing_token = fencing_token;
   stored.token_mod_revision = mod_revision;
   holding(role).lease.acquired({fencing_token, mod_revision}, sent);
-  holding(role).writes_unsettled = false;
-  spdlog::info("singleton roles: {} held under fencing token {}", name(role), fencing_token);
+  holding(role).has_unanswered_write = false;
+  spdlog::info("singleton roles: acquired role {} with fencing token {}", name(role),
+               fencing_token);
   co_return true;
 }
 
-// The mod revision of the role's key if it is as this process wrote it under that fencing token:
-// the lease bound to the key distinguishes our own attempt from any other.
+// The mod revision of the role's key if this process wrote it with that fencing token, nothing
+// otherwise. The lease bound to the key shows whether this process wrote it.
 Task<std::optional<uint64_t>> RoleHolder::own_mod_revision(uint64_t term, Role role,
                                                            uint64_t fencing_token) {
   const kv::GetResult got =
-      co_await store_.get(role_key(role), kCallTime, kv::Importance::essential);
+      co_await store_.get(role_key(role), kCallTimeout, kv::Importance::essential);
   if (!context_.in_term(term) || got.outcome != Outcome::ok || !got.found) co_return std::nullopt;
   const auto read = read_holder(got.item.value);
   const auto* record = std::get_if<RoleHolderRecord>(&read);
@@ -132,9 +139,9 @@
   co_return got.item.mod_revision;
 }
 
-Task<bool> RoleHolder::settle_writes(uint64_t term, Role role) {
+Task<bool> RoleHolder::fence_unanswered_writes(uint64_t term, Role role) {
   Holding& held = holding(role);
-  if (!held.writes_unsettled) co_return true;
+  if (!held.has_unanswered_write) co_return true;
   if (!may_act(role)) co_return false;
   const RoleGrant before = held.lease.grant();
   kv::Transaction txn;
@@ -142,24 +149,24 @@
   txn.writes.push_back(holder_write(role, before.fencing_token));
   const Instant sent = context_.loop.boot_now();
   const kv::TransactionResult result =
-      co_await store_.commit(std::move(txn), kCallTime, kv::Importance::essential);
+      co_await store_.commit(std::move(txn), kCallTimeout, kv::Importance::essential);
   if (!context_.in_term(term)) co_return false;
   apply_result(role, result, sent);
   std::optional<uint64_t> mod_revision;
   if (result.applied) mod_revision = result.revision;
   if (result.outcome == Outcome::unknown)
     mod_revision = co_await own_mod_revision(term, role, before.fencing_token);
-  // An unchanged mod revision: this transaction, too, may yet be applied.
+  // If the mod revision is unchanged, this transaction may still be applied, too.
   if (!mod_revision || *mod_revision == before.mod_revision || !may_act(role)) co_return false;
   held.lease.acquired({before.fencing_token, *mod_revision}, sent);
   held.rewritten_at = context_.loop.boot_now();
-  held.writes_unsettled = false;
+  held.has_unanswered_write = false;
   co_return true;
 }
 
 Task<bool> RoleHolder::try_acquire(uint64_t term) {
   const kv::LeaseResult granted =
-      co_await store_.grant_lease(to_millis(to_nanos(context_.op.roles_ttl)), kCallTime);
+      co_await store_.grant_lease(to_millis(to_nanos(context_.op.roles_ttl)), kCallTimeout);
   if (!context_.in_term(term) || granted.outcome != Outcome::ok) co_return false;
   store_lease_ = granted.lease;
   std::optional<StoredRoles> stored = co_await read_stored(term);
@@ -175,49 +182,53 @@
   halted_ = false;
   while (context_.in_term(term)) {
     for (Holding& each : holdings_) {
-      each.lease.lose();
+      each.lease.mark_lost();
       each.lease.become_candidate();
     }
     const bool acquired = co_await try_acquire(term);
     if (acquired) co_return AcquireResult::held;
     if (halted_) co_return AcquireResult::halted;
-    if (context_.in_term(term)) co_await context_.loop.sleep(kRetryPause);
+    if (context_.in_term(term)) co_await context_.loop.sleep(kRetryDelay);
   }
   co_return AcquireResult::term_ended;
 }
 
 Task<void> RoleHolder::renew_until_term_ends(uint64_t term) {
   const Nanos ttl = to_nanos(context_.op.roles_ttl);
-  const Nanos every = to_nanos(context_.op.roles_renew);
-  Instant planned = context_.loop.boot_now() + every;
+  const Nanos renew_interval = to_nanos(context_.op.roles_renew);
+  Instant next_renewal_at = context_.loop.boot_now() + renew_interval;
   while (context_.in_term(term)) {
-    co_await context_.loop.sleep(
-        std::max<Nanos>(planned - context_.loop.boot_now(), std::min<Nanos>(every, kRetryPause)));
+    co_await context_.loop.sleep(std::max<Nanos>(next_renewal_at - context_.loop.boot_now(),
+                                                 std::min<Nanos>(renew_interval, kRetryDelay)));
     if (!context_.in_term(term)) co_return;
-    const Instant woke = context_.loop.boot_now();
-    if (woke > planned + ttl / kLateWakeShare) {
-      for (Holding& each : holdings_) each.lease.distrust();
+    const Instant woken_at = context_.loop.boot_now();
+    if (woken_at > next_renewal_at + ttl / kLateWakeDivisor) {
+      for (Holding& each : holdings_) each.lease.discard_confirmation();
     }
     const Renewal renewal = co_await renew(term);
     if (!context_.in_term(term)) co_return;
-    planned = woke + (renewal.proved ? every : std::min<Nanos>(every, kRetryPause * 2));
+    next_renewal_at =
+        woken_at +
+        (renewal.confirmed ? renew_interval : std::min<Nanos>(renew_interval, kRetryDelay * 2));
     if (!renewal.expired && all_held()) continue;
-    spdlog::info("singleton roles: not all are held while this node leads: they are taken again");
+    spdlog::info(
+        "singleton roles: this node leads but does not hold all roles; acquiring them again");
     const AcquireResult acquired = co_await acquire(term);
     if (acquired == AcquireResult::term_ended) co_return;
-    planned =
-        context_.loop.boot_now() + (acquired == AcquireResult::held ? every : kHaltedRetryPause);
-    // Launches and terminations were held back while the roles were not held.
+    next_renewal_at = context_.loop.boot_now() +
+                      (acquired == AcquireResult::held ? renew_interval : kHaltedRetryDelay);
+    // Launches and terminations were not sent while the roles were not held.
     context_.scaling.notify();
   }
 }
 
 Task<RoleHolder::Renewal> RoleHolder::renew(uint64_t term) {
   Renewal renewal;
-  const kv::LeaseResult renewed = co_await store_.renew_lease(store_lease_, kCallTime);
+  const kv::LeaseResult renewed = co_await store_.renew_lease(store_lease_, kCallTimeout);
   if (!context_.in_term(term)) co_return renewal;
   renewal.expired = renewed.expired;
-  if (renewed.outcome == Outcome::ok && !renewed.expired) renewal.proved = co_await prove();
+  if (renewed.outcome == Outcome::ok && !renewed.expired)
+    renewal.confirmed = co_await confirm_roles();
   co_return renewal;
 }
 
@@ -227,22 +238,22 @@
   });
 }
 
-// A renewed lease alone proves nothing: a successor may have replaced the records under the keys.
-// A transaction that only compares shows that they are as this process wrote them.
-Task<bool> RoleHolder::prove() {
-  kv::Transaction compare;
-  compare.compares.push_back(context_.epoch_compare());
-  for (const Role role : kAllRoles) compare.compares.push_back(compares(role).back());
+// A renewed lease alone does not show that the roles are held: a successor may have overwritten the
+// records. A transaction with compares and no writes shows that the keys are unchanged.
+Task<bool> RoleHolder::confirm_roles() {
+  kv::Transaction txn;
+  txn.compares.push_back(context_.epoch_compare());
+  for (const Role role : kAllRoles) txn.compares.push_back(compares(role).back());
   const Instant sent = context_.loop.boot_now();
   const kv::TransactionResult result =
-      co_await store_.commit(std::move(compare), kCallTime, kv::Importance::essential);
+      co_await store_.commit(std::move(txn), kCallTimeout, kv::Importance::essential);
   for (const Role role : kAllRoles) apply_result(role, result, sent);
   co_return result.applied;
 }
 
 Task<void> RoleHolder::release() {
   if (store_lease_ == 0) co_return;
-  (void)co_await store_.revoke_lease(std::exchange(store_lease_, 0), kCallTime);
+  (void)co_await store_.revoke_lease(std::exchange(store_lease_, 0), kCallTimeout);
 }
 
 }  // namespace dunlinknot::roles
--- a/src/dunlinknot/roles/role_lease.cpp
+++ b/src/dunlinknot/roles/role_lease.cpp
@@ -1,4 +1,4 @@
-// The lease of one role: when it may be relied on.
+// The lease of one role on the side of its holder.
 #include "dunlinknot/roles/role_lease.hpp"
 
 #include <algorithm>
@@ -7,26 +7,27 @@
 
 namespace {
 
-constexpr double kDrift = 1.001;  // two clocks, each off by up to 0.05%
+// Maximum ratio of the rates of two clocks, each off by up to 0.05%.
+constexpr double kMaxClockDrift = 1.001;
 
 }  // namespace
 
-RoleLease::RoleLease(Nanos ttl) : validity_(to_nanos(to_seconds(ttl) / kDrift)) {}
+RoleLease::RoleLease(Nanos ttl) : validity_(to_nanos(to_seconds(ttl) / kMaxClockDrift)) {}
 
 void RoleLease::acquired(const RoleGrant& grant, Instant sent) {
   phase_ = Phase::held;
   grant_ = grant;
-  proof_ = sent;
+  confirmed_at_ = sent;
 }
 
-void RoleLease::proved(Instant sent) {
+void RoleLease::confirmed(Instant sent) {
   if (phase_ != Phase::held) return;
-  proof_ = proof_ ? std::max(*proof_, sent) : sent;
+  confirmed_at_ = confirmed_at_ ? std::max(*confirmed_at_, sent) : sent;
 }
 
-void RoleLease::lose() {
+void RoleLease::mark_lost() {
   phase_ = Phase::lost;
-  proof_.reset();
+  confirmed_at_.reset();
 }
 
 void RoleLease::become_candidate() {
@@ -36,8 +37,8 @@
 LeaseState RoleLease::state(Instant now) const {
   if (phase_ == Phase::candidate) return LeaseState::candidate;
   if (phase_ == Phase::lost) return LeaseState::lost;
-  const bool valid = proof_ && now < *proof_ + validity_;
-  return valid ? LeaseState::held : LeaseState::doubtful;
+  const bool valid = confirmed_at_ && now < *confirmed_at_ + validity_;
+  return valid ? LeaseState::held : LeaseState::unconfirmed;
 }
 
 }  // namespace dunlinknot::roles
--- a/src/dunlinknot/roles/role_records.cpp
+++ b/src/dunlinknot/roles/role_records.cpp
@@ -1,4 +1,4 @@
-// Keys and packed form of the singleton roles' records.
+// Keys and MessagePack encoding of the singleton roles' records.
 #include "dunlinknot/roles/role_records.hpp"
 
 namespace dunlinknot::roles {
@@ -10,7 +10,7 @@
 
 constexpr std::string_view kScaleOutPrefix = "intent/rent/";
 constexpr std::string_view kScaleInPrefix = "intent/return/";
-constexpr uint64_t kMaxMachines = 50;  // the cloud launches no more for one request
+constexpr uint64_t kMaxMachinesPerLaunch = 50;  // the cloud's limit for one launch request
 
 std::string join(std::string_view prefix, std::string_view name) {
   std::string key(prefix);
@@ -22,7 +22,7 @@
   return key.starts_with(prefix) ? key.substr(prefix.size()) : std::string_view();
 }
 
-// Checks the fields that all records have; empty when they are valid.
+// Checks the fields that all records have. Returns nothing when they are valid.
 std::optional<RecordError> check_header(View value) {
   const auto version = value["v"].count();
   if (!version || *version == 0) return RecordError::damaged;
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-std::string_view text(RecordError error) {
+std::string_view describe(RecordError error) {
   return error == RecordError::newer ? "it was written by a later version" : "it cannot be read";
 }
 
@@ -97,7 +97,7 @@
   if (!request || *request != request_of_scale_out_key(key) || !type || !zone || !spot) {
     return RecordError::damaged;
   }
-  if (!count || *count == 0 || *count > kMaxMachines) return RecordError::damaged;
+  if (!count || *count == 0 || *count > kMaxMachinesPerLaunch) return RecordError::damaged;
   ScaleOutIntent intent;
   intent.request = *request;
   intent.type = *type;
--- a/tests/role_history.hpp
+++ b/tests/role_history.hpp
@@ -1,5 +1,5 @@
-// The history of what controllers did under their singleton roles, as the scripted cloud and
-// key-value store saw it, and the checks over it.
+// The history of requests that controllers sent under their singleton roles, as received by the
+// scripted cloud and key-value store, and the checks on it.
 #pragma once
 #include <map>
 #include <string>
@@ -9,33 +9,35 @@
 
 namespace dunlinknot::test {
 
-// Checks each act at the moment when the cloud or the store applies it. Must not outlive the site.
+// Checks each operation when the cloud or the store applies it. Must not outlive the site.
 class RoleHistory {
  public:
-  // Watches the site from now on.
+  // Registers with the site; operations are checked from now on.
   explicit RoleHistory(Site& site);
 
-  // Descriptions of what was wrong, in the order in which it was seen.
+  // Descriptions of the violations, in order of occurrence.
   const std::vector<std::string>& violations() const { return violations_; }
-  // Launch and termination requests that the cloud carried out. Fenced: sent by a replaced holder.
+  // Launch and termination requests that the cloud executed. A request is fenced if its sender no
+  // longer held the role.
   struct Counts {
-    uint64_t acts = 0;
-    uint64_t changed = 0;         // of all, those that launched or terminated something
-    uint64_t fenced_repeats = 0;  // of these, fenced; the present holder has the same intent open
+    uint64_t operations = 0;
+    uint64_t changed = 0;  // launched or terminated a machine
+    // Changed and fenced, while the current holder has the same intent open.
+    uint64_t fenced_repeats = 0;
     uint64_t fenced_without_effect = 0;
   };
   const Counts& counts() const { return counts_; }
-  // Machines that are paid for.
-  size_t machines_held() const;
+  // Number of machines that were launched and not terminated.
+  size_t running_machine_count() const;
 
  private:
-  void apply_act(const ScriptedCloud::Operation& act);
-  void apply_removed_key(const std::string& key);
+  void check_operation(const ScriptedCloud::Operation& operation);
+  void check_removed_key(const std::string& key);
   void check_launch(const std::string& request);
   void check_scale_in(const std::string& machine);
-  // The fencing token under which the role is held at this moment; 0 when nobody holds it.
-  uint64_t present_token(roles::Role role) const;
-  bool machine_lives(std::string_view machine) const;
+  // The fencing token with which the role is currently held; 0 when it has no holder.
+  uint64_t current_fencing_token(roles::Role role) const;
+  bool machine_exists(std::string_view machine) const;
 
   Site& site_;
   std::vector<std::string> violations_;
