--- a/src/dunlinknot/preemption/fit.cpp
+++ b/src/dunlinknot/preemption/fit.cpp
@@ -11,17 +11,17 @@
 using cluster::Allocation;
 
 // How long one replica of a service is missing while it moves: until another has started.
-constexpr Seconds kReplicaGap{15};
+constexpr Seconds kReplicaMoveDowntime{15};
 // An accelerator counts as so many cores when lost work is weighed.
 constexpr double kCoresPerGpu = 8;
 // Tasks that need (almost) no cores still lose something when they are stopped.
-constexpr double kLeastWeight = 0.1;
+constexpr double kMinCoreWeight = 0.1;
 
 // An allocation that may be stopped for the preemptor.
 struct Removable {
-  size_t index;    // into Machine::allocations
-  bool is_victim;  // already on the machine's victim list
-  double lost;     // see lost_work
+  size_t index;              // into Machine::allocations
+  bool is_victim;            // already on the machine's victim list
+  double lost_core_seconds;  // see lost_work
 };
 
 bool on_list(const std::vector<Victim>* victims, const Allocation& allocation) {
@@ -40,8 +40,8 @@
 // Takes the allocation out of what its team has beyond its guarantee; false when it may not go.
 // Jobs within their guarantee stay: else two teams, both with work within their guarantees, would
 // preempt one another for ever.
-bool reclaim(const Allocation& allocation, const Eligibility& preemptor,
-             std::vector<Resources>& over_guarantee) {
+bool try_reclaim(const Allocation& allocation, const Eligibility& preemptor,
+                 std::vector<Resources>& over_guarantee) {
   if (!preemptor.within_guarantee || allocation.team < 0 || allocation.team == preemptor.team)
     return false;
   if (preemptor.guaranteed_jobs && preemptor.guaranteed_jobs->contains(allocation.task.job))
@@ -67,7 +67,7 @@
     // Leaves for another reason and in its own time: not to be counted on.
     if (allocation.stopping() && !is_victim) continue;
     const bool allowed = allocation.priority < preemptor.priority || is_victim ||
-                         reclaim(allocation, preemptor, over_guarantee);
+                         try_reclaim(allocation, preemptor, over_guarantee);
     if (!allowed) continue;
     removable.push_back(
         {i, is_victim, lost_work(allocation, cluster.job(allocation.task.job), now)});
@@ -81,24 +81,25 @@
     const Priority priority_a = machine.allocations[a.index].priority;
     const Priority priority_b = machine.allocations[b.index].priority;
     if (priority_a != priority_b) return priority_a > priority_b;
-    if (a.lost != b.lost) return a.lost > b.lost;
+    if (a.lost_core_seconds != b.lost_core_seconds)
+      return a.lost_core_seconds > b.lost_core_seconds;
     return a.index < b.index;
   });
 }
 
 }  // namespace
 
-uint32_t tasks_in(const Resources& room, const Resources& need, uint32_t most) {
-  const auto limit = [&](double have, double each) {
-    if (have + Resources::kSlack < each) most = 0;
-    if (most == 0 || each <= 0) return;
-    const double fitting = std::floor((have + Resources::kSlack) / each);
-    if (fitting < most) most = static_cast<uint32_t>(fitting);
+uint32_t tasks_that_fit_in(const Resources& room, const Resources& need, uint32_t max_tasks) {
+  const auto limit = [&](double available, double per_task) {
+    if (available + Resources::kSlack < per_task) max_tasks = 0;
+    if (max_tasks == 0 || per_task <= 0) return;
+    const double fitting_tasks = std::floor((available + Resources::kSlack) / per_task);
+    if (fitting_tasks < max_tasks) max_tasks = static_cast<uint32_t>(fitting_tasks);
   };
   limit(room.cpus, need.cpus);
   limit(room.gpus, need.gpus);
   limit(room.memory_gb, need.memory_gb);
-  return most;
+  return max_tasks;
 }
 
 MachineCapacity::MachineCapacity(const cluster::Machine& machine, const Nominations& nominations,
@@ -109,7 +110,7 @@
       if (on_list(victims, allocation)) victims_ += allocation.need;
     }
   }
-  for (const uint64_t id : nominations.on(machine.id)) {
+  for (const uint64_t id : nominations.on_machine(machine.id)) {
     const Nomination& nomination = nominations.all().at(id);
     add_hold(id, nomination.room, nomination.priority);
   }
@@ -128,20 +129,21 @@
 
 bool MachineCapacity::fits(const Resources& need, Priority priority, uint64_t ignored_nomination,
                            const Resources& removed, const Resources& removed_victims) const {
-  const Resources plain = free_ + removed;
-  if (!need.fits_in(plain)) return false;  // pass 2: without the holds
+  const Resources free_after_removal = free_ + removed;
+  if (!need.fits_in(free_after_removal)) return false;  // pass 2: without the holds
   const std::optional<Resources> held = held_against(priority, ignored_nomination);
   if (!held) return true;
   // Pass 1: victims that are still allocated are subtracted (each once: those the simulation
   // removed already are not subtracted again), the holds are added.
-  return need.fits_in(plain + (victims_ - removed_victims) - *held);
+  return need.fits_in(free_after_removal + (victims_ - removed_victims) - *held);
 }
 
-uint32_t MachineCapacity::count(const Resources& need, Priority priority, uint32_t most) const {
-  most = tasks_in(free_, need, most);  // pass 2
+uint32_t MachineCapacity::count(const Resources& need, Priority priority,
+                                uint32_t max_tasks) const {
+  max_tasks = tasks_that_fit_in(free_, need, max_tasks);  // pass 2
   // No nomination has the id 0, so none is left out.
   const std::optional<Resources> held = held_against(priority, 0);
-  return held ? tasks_in(free_ + victims_ - *held, need, most) : most;
+  return held ? tasks_that_fit_in(free_ + victims_ - *held, need, max_tasks) : max_tasks;
 }
 
 Resources MachineCapacity::held() const {
@@ -161,10 +163,11 @@
 double lost_work(const Allocation& allocation, const cluster::Job* job, Instant now) {
   if (allocation.running_since == Instant{}) return 0;
   // Of a replica only the time until it runs elsewhere is lost, however long it ran.
-  if (allocation.service) return kReplicaGap.count() * std::max(allocation.need.cpus, kLeastWeight);
+  if (allocation.service)
+    return kReplicaMoveDowntime.count() * std::max(allocation.need.cpus, kMinCoreWeight);
   const double ran = std::max(0.0, to_seconds(now - allocation.running_since).count());
   const double weight =
-      std::max({allocation.need.cpus, allocation.need.gpus * kCoresPerGpu, kLeastWeight});
+      std::max({allocation.need.cpus, allocation.need.gpus * kCoresPerGpu, kMinCoreWeight});
   if (job && job->spec().checkpoint > Seconds(0)) return job->spec().save.count() * weight;
   return ran * weight;
 }
@@ -178,10 +181,10 @@
       removable_allocations(machine, nominations.victims_on(machine.id), cluster, preemptor, now);
   if (removable.empty()) return std::nullopt;
   Resources removed, removed_victims;
-  for (const Removable& each : removable) {
-    const Resources& freed = machine.allocations[each.index].need;
+  for (const Removable& candidate : removable) {
+    const Resources& freed = machine.allocations[candidate.index].need;
     removed += freed;
-    if (each.is_victim) removed_victims += freed;
+    if (candidate.is_victim) removed_victims += freed;
   }
   const auto fits_with = [&](const Resources& freed) {
     return capacity.fits(need, preemptor.priority, ignored_nomination, freed, removed_victims);
@@ -191,18 +194,18 @@
   // nothing more and stay removed.
   sort_most_costly_first(removable, machine);
   VictimSet chosen;
-  for (const Removable& each : removable) {
-    const Allocation& allocation = machine.allocations[each.index];
-    if (!each.is_victim) {
+  for (const Removable& candidate : removable) {
+    const Allocation& allocation = machine.allocations[candidate.index];
+    if (!candidate.is_victim) {
       const Resources fewer = removed - allocation.need;
       if (fits_with(fewer)) {
         removed = fewer;
         continue;
       }
-      chosen.lost_seconds += each.lost;
+      chosen.lost_core_seconds += candidate.lost_core_seconds;
     }
     chosen.victims.push_back({allocation.task, allocation.attempt});
-    chosen.allocation_indices.push_back(each.index);
+    chosen.allocation_indices.push_back(candidate.index);
     chosen.highest_priority =
         std::max(chosen.highest_priority, static_cast<int>(allocation.priority));
   }
--- a/src/dunlinknot/preemption/fit.hpp
+++ b/src/dunlinknot/preemption/fit.hpp
@@ -15,7 +15,7 @@
 namespace dunlinknot::preemption {
 
 // How many tasks that need `need` each fit into `room`, up to `most`.
-uint32_t tasks_in(const Resources& room, const Resources& need, uint32_t most);
+uint32_t tasks_that_fit_in(const Resources& room, const Resources& need, uint32_t max_tasks);
 
 // The capacity of one machine in the course of a scheduling cycle: what is free after the
 // placements made so far, and what nominations hold for preemptors. Refers to the machine, which
@@ -37,7 +37,7 @@
   bool fits(const Resources& need, Priority priority, uint64_t ignored_nomination = 0,
             const Resources& removed = {}, const Resources& removed_victims = {}) const;
   // How many such tasks fit without stopping any, up to `most`.
-  uint32_t count(const Resources& need, Priority priority, uint32_t most) const;
+  uint32_t count(const Resources& need, Priority priority, uint32_t max_tasks) const;
   // The sum of what is held for preemptors, of any priority.
   Resources held() const;
 
@@ -69,7 +69,7 @@
 struct VictimSet {
   std::vector<Victim> victims;
   std::vector<size_t> allocation_indices;  // of the victims, into Machine::allocations
-  double lost_seconds = 0;                 // work to be done again, weighted by the cores it holds
+  double lost_core_seconds = 0;            // work to be done again, weighted by the cores it holds
   int highest_priority = -1;               // among the victims
 };
 
--- a/src/dunlinknot/preemption/nominations.cpp
+++ b/src/dunlinknot/preemption/nominations.cpp
@@ -39,35 +39,35 @@
   return id;
 }
 
-void Nominations::end(uint64_t id, NominationEnd why) {
+void Nominations::end(uint64_t id, NominationEnd reason) {
   const auto it = nominations_.find(id);
   if (it == nominations_.end()) return;
   spdlog::debug("nomination {} of {} on {} ends: {}", id, it->second.job, it->second.machine,
-                text(why));
-  ++ended_[static_cast<size_t>(why)];
-  const auto drop = [id](auto& index, const std::string& key) {
-    const auto at = index.find(key);
-    std::erase(at->second, id);
-    if (at->second.empty()) index.erase(at);
+                text(reason));
+  ++ended_[static_cast<size_t>(reason)];
+  const auto remove_from = [id](auto& index, const std::string& key) {
+    const auto entry = index.find(key);
+    std::erase(entry->second, id);
+    if (entry->second.empty()) index.erase(entry);
   };
-  drop(by_machine_, it->second.machine);
-  drop(by_job_, it->second.job);
+  remove_from(by_machine_, it->second.machine);
+  remove_from(by_job_, it->second.job);
   nominations_.erase(it);
 }
 
 void Nominations::end_all_of_job(const std::string& job) {
-  for (const uint64_t id : of(job)) end(id, NominationEnd::cancelled);
+  for (const uint64_t id : of_job(job)) end(id, NominationEnd::cancelled);
 }
 
 void Nominations::handle_stop_failure(const std::string& machine,
                                       const std::vector<Victim>& victims) {
   const auto it = victims_.find(machine);
   if (it == victims_.end()) return;
-  bool any = false;
-  for (const Victim& victim : victims) any |= std::erase(it->second, victim) > 0;
+  bool any_removed = false;
+  for (const Victim& victim : victims) any_removed |= std::erase(it->second, victim) > 0;
   if (it->second.empty()) victims_.erase(it);
-  if (!any) return;
-  for (const uint64_t id : std::vector(on(machine))) end(id, NominationEnd::stop_failed);
+  if (!any_removed) return;
+  for (const uint64_t id : std::vector(on_machine(machine))) end(id, NominationEnd::stop_failed);
 }
 
 void Nominations::remove_ended_victims(const cluster::Cluster& cluster) {
@@ -91,12 +91,12 @@
   victims_.clear();
 }
 
-std::vector<uint64_t> Nominations::of(const std::string& job) const {
+std::vector<uint64_t> Nominations::of_job(const std::string& job) const {
   const auto it = by_job_.find(job);
   return it == by_job_.end() ? std::vector<uint64_t>{} : it->second;
 }
 
-const std::vector<uint64_t>& Nominations::on(const std::string& machine) const {
+const std::vector<uint64_t>& Nominations::on_machine(const std::string& machine) const {
   static const std::vector<uint64_t> none;
   const auto it = by_machine_.find(machine);
   return it == by_machine_.end() ? none : it->second;
--- a/src/dunlinknot/preemption/nominations.hpp
+++ b/src/dunlinknot/preemption/nominations.hpp
@@ -39,7 +39,7 @@
   stop_failed,  // the call that was to stop its victims failed
   cleared,      // the cycle found that it is of no use any more
 };
-inline constexpr size_t kEnds = 5;  // the number of values of NominationEnd
+inline constexpr size_t kNominationEndCount = 5;  // the number of values of NominationEnd
 
 // All nominations and victim lists of the leader's term. Part of the leader's state: every call is
 // made under the lock that guards it.
@@ -64,20 +64,20 @@
   // By id.
   const std::map<uint64_t, Nomination>& all() const { return nominations_; }
   // The ids of the nominations of a job, oldest first.
-  std::vector<uint64_t> of(const std::string& job) const;
+  std::vector<uint64_t> of_job(const std::string& job) const;
   // The ids of the nominations on a machine, oldest first; valid until the next change.
-  const std::vector<uint64_t>& on(const std::string& machine) const;
+  const std::vector<uint64_t>& on_machine(const std::string& machine) const;
   // The victims that are still allocated on a machine; null when there are none.
   const std::vector<Victim>* victims_on(const std::string& machine) const;
   // Whether victims on the machine are still to leave.
-  bool settling(const std::string& machine) const { return victims_on(machine) != nullptr; }
+  bool has_victims(const std::string& machine) const { return victims_on(machine) != nullptr; }
   // How many nominations were made, and ended so, since this process began.
   uint64_t created_count() const { return next_id_ - 1; }
   uint64_t ended_count(NominationEnd why) const { return ended_[static_cast<size_t>(why)]; }
 
  private:
   uint64_t next_id_ = 1;
-  std::array<uint64_t, kEnds> ended_{};
+  std::array<uint64_t, kNominationEndCount> ended_{};
   std::map<uint64_t, Nomination> nominations_;
   std::map<std::string, std::vector<uint64_t>> by_machine_;
   std::map<std::string, std::vector<uint64_t>> by_job_;
--- a/src/dunlinknot/scheduler/apply.cpp
+++ b/src/dunlinknot/scheduler/apply.cpp
@@ -22,9 +22,10 @@
   spdlog::debug("placing {} tasks of {} on {} ({})", placement.count, placement.job, machine.id,
                 machine.type);
   for (uint32_t i = 0; i < placement.count; ++i) {
-    auto index = job.pop_pending();
-    if (!index && cluster.withdraw_queued(placement.job, now)) index = job.pop_pending();
-    if (!index || !cluster.allocate(machine, job, *index, cluster.next_attempt(), now)) return;
+    auto task_index = job.pop_pending();
+    if (!task_index && cluster.withdraw_queued(placement.job, now)) task_index = job.pop_pending();
+    if (!task_index || !cluster.allocate(machine, job, *task_index, cluster.next_attempt(), now))
+      return;
     effects.store_machines = true;
   }
 }
@@ -35,12 +36,12 @@
   Job& job = *cluster.job(gang.job);
   const uint64_t attempt = cluster.next_attempt();
   job.gang_may_start = false;
-  for (const auto& [id, count] : gang.on) {
+  for (const auto& [id, count] : gang.shares) {
     Machine& machine = *cluster.find_machine(id);
     spdlog::debug("placing {} tasks of gang {} on {} ({})", count, gang.job, id, machine.type);
     for (uint32_t i = 0; i < count; ++i) {
-      const auto index = job.pop_pending();
-      if (!index || !cluster.allocate(machine, job, *index, attempt, now)) {
+      const auto task_index = job.pop_pending();
+      if (!task_index || !cluster.allocate(machine, job, *task_index, attempt, now)) {
         effects |= cluster.drop_planned_for_job(gang.job, now);
         return;
       }
@@ -55,10 +56,10 @@
   Job& job = *cluster.job(placement.job);
   Machine& machine = *cluster.find_machine(placement.machine);
   for (uint32_t i = 0; i < placement.count; ++i) {
-    const auto index = job.pop_pending();
-    if (!index) return;
-    if (!cluster.queue_on(machine, job, *index, cluster.next_attempt(), placement.queue_position,
-                          now))
+    const auto task_index = job.pop_pending();
+    if (!task_index) return;
+    if (!cluster.queue_on(machine, job, *task_index, cluster.next_attempt(),
+                          placement.queue_position, now))
       return;
     effects.store_machines = true;
   }
@@ -69,28 +70,28 @@
   if (preemption.renews)
     state.nominations.end(preemption.renews, preemption::NominationEnd::renominated);
   Machine& machine = *state.cluster.find_machine(preemption.machine);
-  std::string names;
+  std::string victim_names;
   for (const auto& victim : preemption.victims) {
     effects |= state.cluster.preempt(machine, victim.task, victim.attempt, now);
-    names += " " + victim.task.text();
+    victim_names += " " + victim.task.text();
   }
   state.nominations.add(preemption.job, preemption.machine, preemption.room, preemption.priority,
                         preemption.victims);
   spdlog::info("preempting on {} for {} (room {} cpus, {} gpus, {} GB):{}", preemption.machine,
                preemption.job, preemption.room.cpus, preemption.room.gpus,
-               preemption.room.memory_gb, names);
+               preemption.room.memory_gb, victim_names);
 }
 
 }  // namespace
 
 Effects apply(const Plan& plan, LeaderState& state, Instant now) {
   Effects effects;
-  for (const uint64_t id : plan.cleared)
+  for (const uint64_t id : plan.cleared_nominations)
     state.nominations.end(id, preemption::NominationEnd::cleared);
   for (const Placement& placement : plan.placements) allocate_tasks(placement, state, now, effects);
   for (const GangPlacement& gang : plan.gangs) allocate_gang(gang, state, now, effects);
   for (const QueuedPlacement& placement : plan.queued) queue_tasks(placement, state, now, effects);
-  state.cluster.set_reserved(plan.reserved_room, plan.saved);
+  state.cluster.set_reserved(plan.reserved_room, plan.reserved_quota);
   state.cluster.set_has_pending_work(plan.waiting_tasks > 0);
   for (const Preemption& preemption : plan.preemptions)
     preempt_victims(preemption, state, now, effects);
--- a/src/dunlinknot/scheduler/array_placement.cpp
+++ b/src/dunlinknot/scheduler/array_placement.cpp
@@ -9,22 +9,21 @@
 namespace {
 
 // `most_on_machine`: of a service's replicas, on one machine, those there already included.
-uint32_t place_ranked(CycleState& state, const Job& job, uint32_t most,
-                      PlacementConstraints& constraints, double most_cost,
-                      uint32_t most_on_machine) {
+uint32_t place_ranked(CycleState& state, const Job& job, uint32_t max_tasks,
+                      PlacementConstraints& constraints, double max_cost, uint32_t max_on_machine) {
   const JobSpec& spec = job.spec();
-  if (most == 0) return 0;
+  if (max_tasks == 0) return 0;
   uint32_t placed = 0;
   for (const auto& [cost, candidate] : ranked_candidates(state, job, Readiness::ready)) {
-    if (placed == most || cost > most_cost) break;
+    if (placed == max_tasks || cost > max_cost) break;
     // A second image would halve the rate at which the gang's comes.
-    if (candidate->gang_fetches && !candidate->machine->has_image(spec.image)) continue;
-    uint32_t most_here = std::min(most - placed, constraints.tasks_allowed(candidate->zone()));
+    if (candidate->gang_fetching && !candidate->machine->has_image(spec.image)) continue;
+    uint32_t max_here = std::min(max_tasks - placed, constraints.tasks_allowed(candidate->zone()));
     if (spec.service) {
       const uint32_t there = tasks_on(job, *candidate->machine);
-      most_here = std::min(most_here, most_on_machine > there ? most_on_machine - there : 0);
+      max_here = std::min(max_here, max_on_machine > there ? max_on_machine - there : 0);
     }
-    const uint32_t tasks = most_here > 0 ? tasks_that_fit(state, job, *candidate, most_here) : 0;
+    const uint32_t tasks = max_here > 0 ? tasks_that_fit(state, job, *candidate, max_here) : 0;
     if (tasks == 0) continue;
     constraints.add(candidate->zone(), tasks);
     place_tasks(state, job, *candidate, tasks, {});
@@ -35,39 +34,39 @@
 
 }  // namespace
 
-uint32_t place_array(CycleState& state, const Job& job, uint32_t most,
-                     PlacementConstraints& constraints, double most_cost) {
-  if (most == 0) return 0;
+uint32_t place_array(CycleState& state, const Job& job, uint32_t max_tasks,
+                     PlacementConstraints& constraints, double max_cost) {
+  if (max_tasks == 0) return 0;
   const uint32_t tasks = job.spec().tasks;
   uint32_t placed = 0;
   if (job.spec().service) {
     // The loss of one machine should leave some of it running.
     const uint32_t half = (tasks + 1) / 2;
-    placed = place_ranked(state, job, most, constraints, most_cost, half);
+    placed = place_ranked(state, job, max_tasks, constraints, max_cost, half);
   }
-  return placed + place_ranked(state, job, most - placed, constraints, most_cost, tasks);
+  return placed + place_ranked(state, job, max_tasks - placed, constraints, max_cost, tasks);
 }
 
-uint32_t expect_array_placement(CycleState& state, const QueueEntry& entry, uint32_t open,
-                                PlacementConstraints& expected) {
+uint32_t reserve_upcoming_for_array(CycleState& state, const QueueEntry& entry, uint32_t unplaced,
+                                    PlacementConstraints& expected) {
   const Job& job = *entry.job;
   const JobSpec& spec = job.spec();
   uint32_t provided = 0;
-  for (const auto& [cost, candidate] : ranked_candidates(state, job, Readiness::coming)) {
-    if (provided == open) break;
+  for (const auto& [cost, candidate] : ranked_candidates(state, job, Readiness::upcoming)) {
+    if (provided == unplaced) break;
     const MachineType& type = *candidate->pool->type;
-    double up_in = type.boot.count();
+    double ready_in_seconds = type.boot.count();
     if (candidate->machine)
-      up_in -=
-          std::min(up_in, to_seconds(state.inputs.now - candidate->machine->known_since).count());
-    const double uses = uses_until_due(entry, type, up_in);
-    auto places = static_cast<uint32_t>(std::ceil((open - provided) / uses));
-    places = std::min(places, expected.tasks_allowed(candidate->zone()));
-    const uint32_t tasks = places > 0 ? tasks_that_fit(state, job, *candidate, places) : 0;
+      ready_in_seconds -= std::min(
+          ready_in_seconds, to_seconds(state.inputs.now - candidate->machine->known_since).count());
+    const double tasks_per_slot = tasks_per_slot_until_due(entry, type, ready_in_seconds);
+    auto slots = static_cast<uint32_t>(std::ceil((unplaced - provided) / tasks_per_slot));
+    slots = std::min(slots, expected.tasks_allowed(candidate->zone()));
+    const uint32_t tasks = slots > 0 ? tasks_that_fit(state, job, *candidate, slots) : 0;
     if (tasks == 0) continue;
     candidate->capacity.take(spec.need * tasks);
     expected.add(candidate->zone(), tasks);
-    provided = std::min(open, provided + static_cast<uint32_t>(tasks * uses));
+    provided = std::min(unplaced, provided + static_cast<uint32_t>(tasks * tasks_per_slot));
   }
   return provided;
 }
--- a/src/dunlinknot/scheduler/arrays.cpp
+++ b/src/dunlinknot/scheduler/arrays.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // An overdue job that nothing was started of begins with one in so many of its tasks.
-constexpr uint32_t kFirstShare = 16;
+constexpr uint32_t kInitialTaskDivisor = 16;
 
 }  // namespace
 
@@ -24,7 +24,7 @@
   uint32_t to_place = std::min(job.pending(), allowed);
   // An overdue job is considered first only so that it begins: the rest keeps its ordinary place.
   if (entry.overdue && job.done_count() == 0 && !job.spec().service)
-    to_place = std::min(to_place, job.spec().tasks / kFirstShare + 1);
+    to_place = std::min(to_place, job.spec().tasks / kInitialTaskDivisor + 1);
   JobNominations nominations(state_, job);
   PlacementConstraints constraints = state_.cluster().constraints_of(job);
   uint32_t placed = 0;
@@ -32,32 +32,32 @@
   if (to_place > 0) {
     placed = nominations.place(to_place, constraints);
     placed += place_array(state_, job, to_place - placed, constraints);
-    cause = provide_for(entry, to_place - placed, nominations, constraints);
+    cause = request_capacity(entry, to_place - placed, nominations, constraints);
   }
-  if (placed == 0) state_.note_waiting(job, cause);
+  if (placed == 0) state_.add_waiting_job(job, cause);
   if (placed == job.pending() && placed < allowed) {
     // Room for what is queued on a machine elsewhere: it need not wait, if that is sooner.
     (void)place_array(state_, job, std::min(job.queued_tasks, allowed - placed), constraints,
                       machine_queueing_.span());
-  } else if (nominations.open().empty()) {
+  } else if (nominations.active().empty()) {
     machine_queueing_.queue(entry, job.pending() - placed);
   }
 }
 
-WaitCause ArrayScheduling::provide_for(const QueueEntry& entry, uint32_t open,
-                                       JobNominations& nominations,
-                                       PlacementConstraints& constraints) {
-  nominations.keep_at_most(open);
-  nominations.promise(constraints);
+WaitCause ArrayScheduling::request_capacity(const QueueEntry& entry, uint32_t unplaced,
+                                            JobNominations& nominations,
+                                            PlacementConstraints& constraints) {
+  nominations.keep_at_most(unplaced);
+  nominations.add_to(constraints);
   // What has a nomination waits for its room; the rest may use machines that are coming, then
   // launch.
-  const uint32_t without_promise = open - static_cast<uint32_t>(nominations.open().size());
-  uint32_t left = without_promise;
+  const uint32_t without_nomination = unplaced - static_cast<uint32_t>(nominations.active().size());
+  uint32_t left = without_nomination;
   PlacementConstraints expected = constraints;
-  if (left > 0) left -= expect_array_placement(state_, entry, left, expected);
+  if (left > 0) left -= reserve_upcoming_for_array(state_, entry, left, expected);
   if (left > 0) left -= scale_out_.request_for_array(entry, left, expected);
-  WaitCause cause = left < without_promise ? WaitCause::machine_coming : WaitCause::no_room;
-  if (!nominations.open().empty()) cause = WaitCause::preemption;
+  WaitCause cause = left < without_nomination ? WaitCause::machine_upcoming : WaitCause::no_room;
+  if (!nominations.active().empty()) cause = WaitCause::preemption;
   preemption_.preempt(entry, nominations, left, constraints);
   return cause;
 }
@@ -66,16 +66,16 @@
 void ArrayScheduling::prepare_move(const QueueEntry& entry) {
   const Job& job = *entry.job;
   const JobSpec& spec = job.spec();
-  uint32_t open = replicas_leaving(state_.cluster(), job);
+  uint32_t unplaced = replicas_leaving(state_.cluster(), job);
   for (const auto& [cost, candidate] : ranked_candidates(state_, job, Readiness::ready)) {
-    if (open == 0) return;
-    const uint32_t tasks = tasks_that_fit(state_, job, *candidate, open);
+    if (unplaced == 0) return;
+    const uint32_t tasks = tasks_that_fit(state_, job, *candidate, unplaced);
     candidate->capacity.take(spec.need * tasks);
-    open -= tasks;
+    unplaced -= tasks;
   }
   PlacementConstraints expected(spec);
-  if (open > 0) open -= expect_array_placement(state_, entry, open, expected);
-  if (open > 0) (void)scale_out_.request_for_array(entry, open, expected);
+  if (unplaced > 0) unplaced -= reserve_upcoming_for_array(state_, entry, unplaced, expected);
+  if (unplaced > 0) (void)scale_out_.request_for_array(entry, unplaced, expected);
 }
 
 }  // namespace dunlinknot::scheduler
--- a/src/dunlinknot/scheduler/arrays.hpp
+++ b/src/dunlinknot/scheduler/arrays.hpp
@@ -24,8 +24,8 @@
 
  private:
   // For `open` tasks that found no place: machines, or victims. Returns what the job waits for.
-  WaitCause provide_for(const QueueEntry& entry, uint32_t open, JobNominations& nominations,
-                        PlacementConstraints& constraints);
+  WaitCause request_capacity(const QueueEntry& entry, uint32_t unplaced,
+                             JobNominations& nominations, PlacementConstraints& constraints);
   // Sees to it that the replicas on interrupted machines, which move late, will find room.
   void prepare_move(const QueueEntry& entry);
 
--- a/src/dunlinknot/scheduler/candidates.cpp
+++ b/src/dunlinknot/scheduler/candidates.cpp
@@ -27,18 +27,18 @@
 
 // Not up yet, or just up and about to bear our fencing token: counted on, so that nothing is
 // launched in its place for that moment.
-bool is_coming(const CycleInputs& inputs, const Machine& machine) {
+bool is_upcoming(const CycleInputs& inputs, const Machine& machine) {
   if (machine.draining || machine.terminating || machine.listed_failed) return false;
   return !machine.has_heartbeat || (!machine.fenced && !machine.lost && !machine.interruption_at &&
                                     heartbeat_is_recent(inputs, machine));
 }
 
-void note_fetches(CandidateMachine& candidate) {
+void collect_fetches(CandidateMachine& candidate) {
   for (const Allocation& allocation : candidate.machine->allocations) {
     if (allocation.queued || allocation.state != TaskState::fetching || allocation.image.empty())
       continue;
-    candidate.fetching.push_back(allocation.image);
-    candidate.gang_fetches |= allocation.gang;
+    candidate.fetching_images.push_back(allocation.image);
+    candidate.gang_fetching |= allocation.gang;
   }
 }
 
@@ -47,12 +47,12 @@
 Candidates::Candidates(const CycleInputs& inputs) : inputs_(inputs) {
   for (const auto& [id, machine] : inputs.cluster.machines()) {
     const bool ready = is_ready(inputs, *machine);
-    const bool coming = is_coming(inputs, *machine);
-    if ((!ready && !coming) || machine->size.cpus <= 0) continue;
+    const bool upcoming = is_upcoming(inputs, *machine);
+    if ((!ready && !upcoming) || machine->size.cpus <= 0) continue;
     CandidateMachine& candidate = add(machine.get(), *machine, pool_of(*machine),
-                                      coming ? Readiness::coming : Readiness::ready);
+                                      upcoming ? Readiness::upcoming : Readiness::ready);
     candidate.queued_tasks = machine->queued_tasks;
-    note_fetches(candidate);
+    collect_fetches(candidate);
   }
   for (const PendingLaunch& launch : inputs.cloud_capacity.pending_launches) {
     for (uint32_t i = 0; i < launch.count; ++i) add_pending(launch.offer);
@@ -72,7 +72,7 @@
   if (!type) return nullptr;
   auto placeholder = std::make_unique<Machine>();
   placeholder->size = type->size;
-  CandidateMachine& candidate = add(nullptr, *placeholder, pool_of(offer), Readiness::coming);
+  CandidateMachine& candidate = add(nullptr, *placeholder, pool_of(offer), Readiness::upcoming);
   placeholders_.push_back(std::move(placeholder));
   return &candidate;
 }
--- a/src/dunlinknot/scheduler/candidates.hpp
+++ b/src/dunlinknot/scheduler/candidates.hpp
@@ -19,7 +19,7 @@
 // Whether a machine can be given tasks in this cycle.
 enum class Readiness : uint8_t {
   ready,
-  coming,  // not up yet, or only asked for
+  upcoming,  // not up yet, or only asked for
 };
 
 // Machines of one type in one zone. What a job allows is decided once for a pool, not for each of
@@ -28,9 +28,9 @@
   Offer offer;
   const MachineType* type = nullptr;  // null: not in the catalog
   std::vector<CandidateMachine*> ready;
-  std::vector<CandidateMachine*> coming;
+  std::vector<CandidateMachine*> upcoming;
   std::vector<CandidateMachine*>& machines(Readiness readiness) {
-    return readiness == Readiness::coming ? coming : ready;
+    return readiness == Readiness::upcoming ? upcoming : ready;
   }
 };
 
@@ -39,24 +39,25 @@
   Resources room;
   std::string_view owner;             // the class's name or the gang's id; empty: none
   Priority priority = Priority::low;  // work of higher priority may use the room
-  bool taken() const { return !owner.empty(); }
+  bool has_owner() const { return !owner.empty(); }
 };
 
 // One machine in the course of the cycle.
 struct CandidateMachine {
-  CandidateMachine(const cluster::Machine* of_machine, preemption::MachineCapacity its_capacity,
-                   const InstancePool& its_pool, Readiness readiness)
-      : machine(of_machine),
-        capacity(std::move(its_capacity)),
-        pool(&its_pool),
-        coming(readiness == Readiness::coming) {}
+  CandidateMachine(const cluster::Machine* cluster_machine,
+                   preemption::MachineCapacity machine_capacity, const InstancePool& instance_pool,
+                   Readiness readiness)
+      : machine(cluster_machine),
+        capacity(std::move(machine_capacity)),
+        pool(&instance_pool),
+        upcoming(readiness == Readiness::upcoming) {}
 
   const cluster::Machine* machine = nullptr;  // null: asked for
   preemption::MachineCapacity capacity;
   const InstancePool* pool;
-  bool coming = false;
-  std::vector<std::string_view> fetching;  // images that tasks there are waiting for
-  bool gang_fetches = false;               // a whole gang waits for the slowest of its fetches
+  bool upcoming = false;
+  std::vector<std::string_view> fetching_images;  // images that tasks there are waiting for
+  bool gang_fetching = false;  // a whole gang waits for the slowest of its fetches
   ReservedRoom reserved;
   std::optional<size_t> record_room;  // bytes left in its record; empty: not looked at yet
   uint32_t queued_tasks = 0;          // queued on the machine, this cycle's included
--- a/src/dunlinknot/scheduler/cycle_state.cpp
+++ b/src/dunlinknot/scheduler/cycle_state.cpp
@@ -12,7 +12,7 @@
   return std::any_of(cluster.jobs().begin(), cluster.jobs().end(), [&](const auto& entry) {
     const Job& job = *entry.second;
     return job.spec().need.gpus > 0 && job.pending() > 0 && job.team() >= 0 &&
-           quotas.clear_of_limit(job);
+           quotas.well_below_limit(job);
   });
 }
 
@@ -24,10 +24,10 @@
       quotas(inputs.cluster),
       guaranteed_jobs(jobs_within_guarantee(inputs.cluster)),
       accelerators_wanted(accelerators_are_wanted(inputs.cluster, quotas)) {
-  plan.saved.resize(quotas.team_count());
+  plan.reserved_quota.resize(quotas.team_count());
 }
 
-void CycleState::note_waiting(const Job& job, WaitCause cause) {
+void CycleState::add_waiting_job(const Job& job, WaitCause cause) {
   if (job.live_count() > job.queued_tasks || job.done_count() > 0) return;
   plan.waiting_jobs.push_back(
       {job.spec().id, job.queued_tasks > 0 ? WaitCause::queued_on_machine : cause});
--- a/src/dunlinknot/scheduler/cycle_state.hpp
+++ b/src/dunlinknot/scheduler/cycle_state.hpp
@@ -11,9 +11,9 @@
 namespace dunlinknot::scheduler {
 
 // The time until new room can be made: a boot and a fetch, or running work that comes to its end.
-inline constexpr Seconds kTimeToMakeRoom{75};
+inline constexpr Seconds kTimeToNewCapacity{75};
 // When a job without a deadline or an objective for its start is due, after its submission.
-inline constexpr Seconds kNoDeadline{600};
+inline constexpr Seconds kDefaultDueTime{600};
 
 // Each stage takes room from the candidates, charges the teams and adds to the plan.
 struct CycleState {
@@ -23,7 +23,7 @@
 
   const Cluster& cluster() const { return inputs.cluster; }
   // Adds the job to the plan's waiting jobs unless a task of it has begun or ended.
-  void note_waiting(const Job& job, WaitCause cause);
+  void add_waiting_job(const Job& job, WaitCause cause);
 
   const CycleInputs inputs;
   Candidates candidates;
--- a/src/dunlinknot/scheduler/gang_placement.cpp
+++ b/src/dunlinknot/scheduler/gang_placement.cpp
@@ -38,8 +38,8 @@
   for (const auto& [cost, candidate] : ranked) {
     if (left == 0) break;
     if (!zone.empty() && candidate->zone() != zone) continue;
-    const uint32_t most_here = std::min(left, constraints.tasks_allowed(candidate->zone()));
-    const uint32_t count = most_here > 0 ? tasks_that_fit(state, job, *candidate, most_here) : 0;
+    const uint32_t max_here = std::min(left, constraints.tasks_allowed(candidate->zone()));
+    const uint32_t count = max_here > 0 ? tasks_that_fit(state, job, *candidate, max_here) : 0;
     if (count == 0) continue;
     constraints.add(candidate->zone(), count);
     room.shares.push_back({candidate, count});
@@ -67,11 +67,11 @@
   GangPlacement placement{spec.id, {}};
   for (const auto& [candidate, count] : room.shares) {
     candidate->capacity.take(spec.need * count);
-    if (!candidate->machine || candidate->coming) continue;
-    candidate->fetching.push_back(spec.image);
-    candidate->gang_fetches = true;
+    if (!candidate->machine || candidate->upcoming) continue;
+    candidate->fetching_images.push_back(spec.image);
+    candidate->gang_fetching = true;
     reserve_record_space(state.cluster(), job, *candidate, count);
-    placement.on.push_back({candidate->machine->id, count});
+    placement.shares.push_back({candidate->machine->id, count});
     state.plan.machines_to_keep.push_back(candidate->machine->id);
   }
   state.quotas.charge(job, spec.tasks);
@@ -88,11 +88,11 @@
   return true;
 }
 
-bool expect_gang_placement(CycleState& state, const Job& job, Borrowing borrowing) {
+bool reserve_upcoming_for_gang(CycleState& state, const Job& job, Borrowing borrowing) {
   std::vector<RankedCandidate> ranked = ranked_candidates(state, job, Readiness::ready, borrowing);
-  const std::vector<RankedCandidate> coming =
-      ranked_candidates(state, job, Readiness::coming, borrowing);
-  ranked.insert(ranked.end(), coming.begin(), coming.end());
+  const std::vector<RankedCandidate> upcoming =
+      ranked_candidates(state, job, Readiness::upcoming, borrowing);
+  ranked.insert(ranked.end(), upcoming.begin(), upcoming.end());
   const auto room = cheapest_room(state, job, ranked);
   if (!room) return false;
   (void)occupy(state, job, *room);
--- a/src/dunlinknot/scheduler/gang_placement.hpp
+++ b/src/dunlinknot/scheduler/gang_placement.hpp
@@ -10,6 +10,6 @@
 
 // The same with machines that are coming: takes the room and charges the team, so that nothing is
 // launched or placed there in this cycle, but places nothing.
-bool expect_gang_placement(CycleState& state, const Job& job, Borrowing borrowing);
+bool reserve_upcoming_for_gang(CycleState& state, const Job& job, Borrowing borrowing);
 
 }  // namespace dunlinknot::scheduler
--- a/src/dunlinknot/scheduler/gang_reservation.cpp
+++ b/src/dunlinknot/scheduler/gang_reservation.cpp
@@ -11,26 +11,26 @@
 // A task that has not started is taken to need its estimate and half as much for its fetch.
 constexpr double kNotStartedFactor = 1.5;
 // A task that runs over its estimate may end at any time: so much of the estimate is left, one in.
-constexpr double kOverrunPart = 4;
+constexpr double kOverrunDivisor = 4;
 
 // Room for one of the gang's tasks.
-struct Place {
-  double in = 0;  // seconds until it is free, by the estimates
+struct FreeSlot {
+  double in_seconds = 0;  // seconds until it is free, by the estimates
   CandidateMachine* candidate = nullptr;
 };
 
 struct EndingTask {
-  double in = 0;  // seconds
+  double in_seconds = 0;  // seconds
   const Allocation* allocation = nullptr;
 };
 
 // Seconds until the task ends, by its owner's estimate.
-double ends_in(const Allocation& allocation, Instant now) {
+double seconds_until_end(const Allocation& allocation, Instant now) {
   if (allocation.service) return std::numeric_limits<double>::max();
   const double run = std::max(1.0, allocation.estimate.count());
   if (allocation.running_since == Instant{}) return run * kNotStartedFactor;
   const double ran = to_seconds(now - allocation.running_since).count();
-  return ran < run ? run - ran : run / kOverrunPart;
+  return ran < run ? run - ran : run / kOverrunDivisor;
 }
 
 // Tasks of arrays on the machine, the first to end first.
@@ -38,41 +38,41 @@
   std::vector<EndingTask> tasks;
   for (const Allocation& allocation : machine.allocations) {
     if (!allocation.gang && !allocation.queued && !allocation.service)
-      tasks.push_back({ends_in(allocation, now), &allocation});
+      tasks.push_back({seconds_until_end(allocation, now), &allocation});
   }
   std::sort(tasks.begin(), tasks.end(), [](const EndingTask& a, const EndingTask& b) {
-    if (a.in != b.in) return a.in < b.in;
+    if (a.in_seconds != b.in_seconds) return a.in_seconds < b.in_seconds;
     return std::less<>()(a.allocation, b.allocation);
   });
   return tasks;
 }
 
-void add_places(const JobSpec& spec, CandidateMachine& candidate, Instant now,
-                std::vector<Place>& places) {
+void add_slots(const JobSpec& spec, CandidateMachine& candidate, Instant now,
+               std::vector<FreeSlot>& slots) {
   Resources room = candidate.capacity.free();
-  uint32_t found = preemption::tasks_in(room, spec.need, spec.tasks);
-  places.insert(places.end(), found, Place{0, &candidate});
+  uint32_t found = preemption::tasks_that_fit_in(room, spec.need, spec.tasks);
+  slots.insert(slots.end(), found, FreeSlot{0, &candidate});
   for (const EndingTask& task : ending_tasks(*candidate.machine, now)) {
     room += task.allocation->need;
-    for (; preemption::tasks_in(room, spec.need, spec.tasks) > found; ++found)
-      places.push_back({task.in, &candidate});
+    for (; preemption::tasks_that_fit_in(room, spec.need, spec.tasks) > found; ++found)
+      slots.push_back({task.in_seconds, &candidate});
   }
 }
 
 // The places in each zone that the gang may be in; all under one name if it may be in several.
-std::map<std::string, std::vector<Place>> places_by_zone(CycleState& state, const Job& job,
-                                                         Borrowing borrowing) {
+std::map<std::string, std::vector<FreeSlot>> slots_by_zone(CycleState& state, const Job& job,
+                                                           Borrowing borrowing) {
   const JobSpec& spec = job.spec();
-  std::map<std::string, std::vector<Place>> by_zone;
+  std::map<std::string, std::vector<FreeSlot>> by_zone;
   for (auto& [offer, pool] : state.candidates.pools()) {
     if (!pool.type || !offer_allowed(spec, offer) ||
         !may_borrow(state, spec, pool.type, borrowing) || !spec.need.fits_in(pool.type->size))
       continue;
-    auto& places = by_zone[spec.one_zone ? offer.zone : std::string()];
+    auto& slots = by_zone[spec.one_zone ? offer.zone : std::string()];
     for (CandidateMachine* candidate : pool.ready) {
       const ReservedRoom& reserved = candidate->reserved;
-      if (reserved.taken() && reserved.owner != spec.job_class) continue;
-      if (may_use(state, job, *candidate)) add_places(spec, *candidate, state.inputs.now, places);
+      if (reserved.has_owner() && reserved.owner != spec.job_class) continue;
+      if (may_use(state, job, *candidate)) add_slots(spec, *candidate, state.inputs.now, slots);
     }
   }
   return by_zone;
@@ -80,17 +80,18 @@
 
 // A place for each of the gang's tasks, the soonest that its constraints allow; none when there
 // are too few.
-std::vector<Place> soonest_places(const Cluster& cluster, const Job& job,
-                                  std::vector<Place> places) {
-  std::stable_sort(places.begin(), places.end(),
-                   [](const Place& a, const Place& b) { return a.in < b.in; });
+std::vector<FreeSlot> earliest_slots(const Cluster& cluster, const Job& job,
+                                     std::vector<FreeSlot> slots) {
+  std::stable_sort(slots.begin(), slots.end(), [](const FreeSlot& a, const FreeSlot& b) {
+    return a.in_seconds < b.in_seconds;
+  });
   PlacementConstraints constraints = cluster.constraints_of(job);
-  std::vector<Place> chosen;
-  for (const Place& place : places) {
+  std::vector<FreeSlot> chosen;
+  for (const FreeSlot& slot : slots) {
     if (chosen.size() == job.spec().tasks) break;
-    if (constraints.tasks_allowed(place.candidate->zone()) == 0) continue;
-    constraints.add(place.candidate->zone(), 1);
-    chosen.push_back(place);
+    if (constraints.tasks_allowed(slot.candidate->zone()) == 0) continue;
+    constraints.add(slot.candidate->zone(), 1);
+    chosen.push_back(slot);
   }
   if (chosen.size() < job.spec().tasks) chosen.clear();
   return chosen;
@@ -98,23 +99,23 @@
 
 }  // namespace
 
-bool GangReservations::reserve(const Job& job, Borrowing borrowing, double most_seconds) {
+bool GangReservations::reserve(const Job& job, Borrowing borrowing, double max_seconds) {
   const JobSpec& spec = job.spec();
   if (reserved_.contains(&job)) return true;
-  std::vector<Place> best;
-  for (auto& [zone, places] : places_by_zone(state_, job, borrowing)) {
-    std::vector<Place> chosen = soonest_places(state_.cluster(), job, std::move(places));
+  std::vector<FreeSlot> best;
+  for (auto& [zone, slots] : slots_by_zone(state_, job, borrowing)) {
+    std::vector<FreeSlot> chosen = earliest_slots(state_.cluster(), job, std::move(slots));
     if (chosen.empty()) continue;
-    if (best.empty() || chosen.back().in < best.back().in) best = std::move(chosen);
+    if (best.empty() || chosen.back().in_seconds < best.back().in_seconds) best = std::move(chosen);
   }
-  if (best.empty() || best.back().in > most_seconds) return false;
-  for (const Place& place : best) {
-    ReservedRoom& reserved = place.candidate->reserved;
+  if (best.empty() || best.back().in_seconds > max_seconds) return false;
+  for (const FreeSlot& slot : best) {
+    ReservedRoom& reserved = slot.candidate->reserved;
     if (reserved.owner != spec.id) reserved.room = Resources{};
     reserved.room += spec.need;
     reserved.owner = spec.id;
     reserved.priority = Priority::production;  // no ordinary work may take its room
-    state_.plan.machines_to_keep.push_back(place.candidate->machine->id);
+    state_.plan.machines_to_keep.push_back(slot.candidate->machine->id);
   }
   reserved_.insert(&job);
   return true;
--- a/src/dunlinknot/scheduler/gang_reservation.hpp
+++ b/src/dunlinknot/scheduler/gang_reservation.hpp
@@ -18,7 +18,7 @@
   // estimates of the tasks that run there. False, and nothing is reserved, when that takes longer
   // than `most_seconds` or the allowed machines do not suffice. True if it has its room already.
   bool reserve(const Job& job, Borrowing borrowing,
-               double most_seconds = std::numeric_limits<double>::max());
+               double max_seconds = std::numeric_limits<double>::max());
 
  private:
   CycleState& state_;
--- a/src/dunlinknot/scheduler/gangs.cpp
+++ b/src/dunlinknot/scheduler/gangs.cpp
@@ -11,40 +11,40 @@
 namespace {
 
 // Overdue gangs that room is reserved for at a time: more of them would leave none to others.
-constexpr size_t kMostReservedOverdue = 3;
+constexpr size_t kMaxOverdueReservations = 3;
 // The share of the time for its start that a gang waits for room without accelerators.
-constexpr double kPatience = 0.25;
+constexpr double kMaxReservationWaitShare = 0.25;
 // What is left of that time counts as at least so many seconds.
-constexpr double kLeastTimeLeft = 0.1;
+constexpr double kMinSecondsLeft = 0.1;
 
 // The shortest time in which the job is expected to start, in seconds from its submission.
-double start_within(const CycleInputs& inputs, const QueueEntry& entry) {
-  double within = kNoDeadline.count() / 10;
+double target_wait_seconds(const CycleInputs& inputs, const QueueEntry& entry) {
+  double target_wait = kDefaultDueTime.count() / 10;
   for (const auto& objective : inputs.platform.objectives) {
     const bool wait =
         objective.kind == "wait" && objective.job_class == entry.job->spec().job_class;
     if (wait || (objective.kind == "guarantee" && entry.guaranteed))
-      within = std::min(within, objective.within.count());
+      target_wait = std::min(target_wait, objective.within.count());
   }
-  return within;
+  return target_wait;
 }
 
 // Seconds until a machine of a type that the job may use is up, were it launched now.
-double soonest_boot(const CycleState& state, const JobSpec& spec, Borrowing borrowing) {
-  double soonest = std::numeric_limits<double>::max();
+double shortest_boot_seconds(const CycleState& state, const JobSpec& spec, Borrowing borrowing) {
+  double shortest = std::numeric_limits<double>::max();
   for (const MachineType& type : state.cluster().catalog()) {
     if (!cluster::type_allowed(spec, type.name) || !spec.need.fits_in(type.size)) continue;
-    if (may_borrow(state, spec, &type, borrowing)) soonest = std::min(soonest, type.boot.count());
+    if (may_borrow(state, spec, &type, borrowing)) shortest = std::min(shortest, type.boot.count());
   }
-  return soonest;
+  return shortest;
 }
 
 }  // namespace
 
-void GangScheduling::serve_overdue(const std::vector<QueueEntry>& queue) {
+void GangScheduling::schedule_overdue(const std::vector<QueueEntry>& queue) {
   size_t reserved = 0;
   for (const QueueEntry& entry : queue) {
-    if (reserved == kMostReservedOverdue) return;
+    if (reserved == kMaxOverdueReservations) return;
     if (entry.overdue && entry.job->spec().gang && !entry.job->any_live())
       reserved += place_or_reserve(*entry.job) ? 1 : 0;
   }
@@ -66,7 +66,7 @@
     // Its team's limit is used up by work behind it in the queue: what that leaves is saved up
     // for the gang, else smaller tasks take it piece by piece and the gang never starts.
     state_.quotas.charge(job, spec.tasks);
-    state_.plan.saved[static_cast<size_t>(job.team())] += spec.need * spec.tasks;
+    state_.plan.reserved_quota[static_cast<size_t>(job.team())] += spec.need * spec.tasks;
     return WaitCause::team_limit;
   }
   // Machines with accelerators are borrowed last: a gang's task there strands accelerators for
@@ -74,23 +74,27 @@
   // that short work leaves elsewhere, and for expensive ones until there is no other room.
   // It waits for a machine to come up only where that is in time for its start, or too late in
   // any case.
-  const double within = start_within(state_.inputs, entry);
-  const double left = within - waited(state_.inputs, job);
+  const double target_wait = target_wait_seconds(state_.inputs, entry);
+  const double seconds_left = target_wait - waiting_seconds(state_.inputs, job);
   for (const Borrowing borrowing : {Borrowing::none, Borrowing::cheap, Borrowing::any}) {
     if (place_gang(state_, job, borrowing)) return std::nullopt;
     const bool last = borrowing == Borrowing::any;
-    const double boot = last || left <= 0 ? 0 : soonest_boot(state_, spec, borrowing);
-    if (boot < std::max(left, kLeastTimeLeft) && (expect_gang_placement(state_, job, borrowing) ||
-                                                  scale_out_.request_for_gang(entry, borrowing))) {
-      return WaitCause::machine_coming;
+    const double boot_seconds =
+        last || seconds_left <= 0 ? 0 : shortest_boot_seconds(state_, spec, borrowing);
+    if (boot_seconds < std::max(seconds_left, kMinSecondsLeft) &&
+        (reserve_upcoming_for_gang(state_, job, borrowing) ||
+         scale_out_.request_for_gang(entry, borrowing))) {
+      return WaitCause::machine_upcoming;
     }
     const bool may_wait =
         borrowing != Borrowing::none ||
-        (state_.accelerators_wanted && waited(state_.inputs, job) < within * kPatience);
-    const double most_seconds = last ? std::numeric_limits<double>::max() : std::max(left, 0.0);
+        (state_.accelerators_wanted &&
+         waiting_seconds(state_.inputs, job) < target_wait * kMaxReservationWaitShare);
+    const double max_seconds =
+        last ? std::numeric_limits<double>::max() : std::max(seconds_left, 0.0);
     // Machines where its tasks strand several accelerators are not what it waits for longer.
-    if (may_wait && reservations_.reserve(job, last ? Borrowing::cheap : borrowing, most_seconds))
-      return WaitCause::room_kept;
+    if (may_wait && reservations_.reserve(job, last ? Borrowing::cheap : borrowing, max_seconds))
+      return WaitCause::room_reserved;
   }
   return WaitCause::no_room;
 }
--- a/src/dunlinknot/scheduler/gangs.hpp
+++ b/src/dunlinknot/scheduler/gangs.hpp
@@ -19,13 +19,13 @@
   // Before anything else is placed: places the gangs that wait for longer than any order may ask
   // of them, or reserves their room and what their teams' limits lack. Work ahead of them in the
   // queue, and single tasks that always are, would else take each place as it comes free.
-  void serve_overdue(const std::vector<QueueEntry>& queue);
+  void schedule_overdue(const std::vector<QueueEntry>& queue);
 
   // Called in queue order. Returns what it waits for, or nothing when it was placed.
   std::optional<WaitCause> schedule(const QueueEntry& entry);
 
   // Whether serve_overdue() placed the job.
-  bool placed_before_turn(const Job& job) const { return placed_overdue_.contains(&job); }
+  bool placed_as_overdue(const Job& job) const { return placed_overdue_.contains(&job); }
 
  private:
   // Whether room was reserved.
--- a/src/dunlinknot/scheduler/headroom.cpp
+++ b/src/dunlinknot/scheduler/headroom.cpp
@@ -10,47 +10,50 @@
 
 namespace {
 
-constexpr Millis kHeadroomMemory = std::chrono::seconds(200);  // of arrivals that are counted
-constexpr Millis kRecentArrivals = std::chrono::seconds(60);
-constexpr double kShortestSpan = 60;     // seconds: a single arrival makes no rate
-constexpr double kMeanShare = 0.6;       // of the mean, on machines with accelerators
-constexpr double kHeadroomSpread = 1.0;  // beyond the mean, in standard deviations
+constexpr Millis kArrivalWindow = std::chrono::seconds(200);  // of arrivals that are counted
+constexpr Millis kRecentArrivalWindow = std::chrono::seconds(60);
+constexpr double kMinArrivalWindowSeconds = 60;    // seconds: a single arrival makes no rate
+constexpr double kAcceleratorHeadroomShare = 0.6;  // of the mean, on machines with accelerators
+constexpr double kStandardDeviations = 1.0;        // beyond the mean, in standard deviations
 
 // The order of machines for headroom: lower first.
-constexpr double kRankComing = 30;
-constexpr double kRankNoRoomNow = 20;
-constexpr double kRankPerGpu = 25;
-constexpr double kRankPerMissingImage = 10;
+constexpr double kUpcomingMachinePenalty = 30;
+constexpr double kNoFreeRoomPenalty = 20;
+constexpr double kPenaltyPerGpu = 25;
+constexpr double kPenaltyPerMissingImage = 10;
 
 // How many tasks of a class may come before new room could be made for them.
 struct ExpectedTasks {
-  uint32_t wanted = 0;  // with the spread of what may come
-  uint32_t mean = 0;    // what comes on average
-  uint32_t steady = 0;  // the same, by the last minute where that saw less
+  uint32_t upper_estimate = 0;  // with the spread of what may come
+  uint32_t mean = 0;            // what comes on average
+  uint32_t sustained_mean = 0;  // the same, by the last minute where that saw less
 };
 
 ExpectedTasks expected_tasks(const cluster::DemandForecast& forecast, WallTime wall) {
   double tasks = 0;
-  double of_late = 0;
-  double squares = 0;  // a few large jobs vary more than many small ones
+  double recent_tasks = 0;
+  double sum_of_squares = 0;  // a few large jobs vary more than many small ones
   WallTime first = wall;
   for (const auto& [at, arrived] : forecast.arrivals) {
-    if (wall - at > kHeadroomMemory) continue;
+    if (wall - at > kArrivalWindow) continue;
     tasks += arrived;
-    if (wall - at <= kRecentArrivals) of_late += arrived;
-    squares += static_cast<double>(arrived) * arrived;
+    if (wall - at <= kRecentArrivalWindow) recent_tasks += arrived;
+    sum_of_squares += static_cast<double>(arrived) * arrived;
     first = std::min(first, at);
   }
   if (tasks <= 0) return {};
-  const double span = std::max(kShortestSpan, std::chrono::duration<double>(wall - first).count());
-  const double coming = tasks / span * kTimeToMakeRoom.count();
+  const double window_seconds =
+      std::max(kMinArrivalWindowSeconds, std::chrono::duration<double>(wall - first).count());
+  const double mean_tasks = tasks / window_seconds * kTimeToNewCapacity.count();
   // What came all at once some time ago, such as a day's first jobs, is no sign of what comes
   // next.
-  of_late *= kTimeToMakeRoom.count() / to_seconds(kRecentArrivals).count();
-  const double spread = std::sqrt(squares / span * kTimeToMakeRoom.count());
-  return {static_cast<uint32_t>(std::ceil(coming + spread * kHeadroomSpread)),
-          static_cast<uint32_t>(std::ceil(coming * kMeanShare)),
-          static_cast<uint32_t>(std::ceil(std::min(coming, of_late) * kMeanShare))};
+  recent_tasks *= kTimeToNewCapacity.count() / to_seconds(kRecentArrivalWindow).count();
+  const double standard_deviation =
+      std::sqrt(sum_of_squares / window_seconds * kTimeToNewCapacity.count());
+  return {static_cast<uint32_t>(std::ceil(mean_tasks + standard_deviation * kStandardDeviations)),
+          static_cast<uint32_t>(std::ceil(mean_tasks * kAcceleratorHeadroomShare)),
+          static_cast<uint32_t>(
+              std::ceil(std::min(mean_tasks, recent_tasks) * kAcceleratorHeadroomShare))};
 }
 
 bool could_hold(const JobSpec& spec, const CandidateMachine& candidate) {
@@ -64,11 +67,12 @@
   const JobSpec& spec = forecast.sample;
   const MachineType* type = candidate.pool->type;
   double rank = 0;
-  if (candidate.coming) rank += kRankComing;
-  if (!spec.need.fits_in(candidate.capacity.free())) rank += kRankNoRoomNow;
-  if (would_borrow(spec, type)) rank += kRankPerGpu * type->size.gpus;
+  if (candidate.upcoming) rank += kUpcomingMachinePenalty;
+  if (!spec.need.fits_in(candidate.capacity.free())) rank += kNoFreeRoomPenalty;
+  if (would_borrow(spec, type)) rank += kPenaltyPerGpu * type->size.gpus;
   for (const auto& [image, at] : forecast.images) {
-    if (!(candidate.machine && candidate.machine->has_image(image))) rank += kRankPerMissingImage;
+    if (!(candidate.machine && candidate.machine->has_image(image)))
+      rank += kPenaltyPerMissingImage;
   }
   return rank;
 }
@@ -99,7 +103,7 @@
 
 // What the machine may hold of the class once shorter work there is done: all but what gangs,
 // services and higher priorities hold.
-Resources room_in_time(const JobSpec& spec, const CandidateMachine& candidate) {
+Resources capacity_for_class(const JobSpec& spec, const CandidateMachine& candidate) {
   Resources room = candidate.pool->type->size;
   if (!candidate.machine) return room;
   for (const Allocation& allocation : candidate.machine->allocations) {
@@ -112,27 +116,28 @@
 void reserve_for_class(CycleState& state, const std::string& job_class,
                        const cluster::DemandForecast& forecast) {
   // A class that has the time to wait for new machines needs no idle ones.
-  if (forecast.target_wait > kTimeToMakeRoom) return;
+  if (forecast.target_wait > kTimeToNewCapacity) return;
   const ExpectedTasks expected = expected_tasks(forecast, state.inputs.wall);
-  uint32_t left = expected.wanted;
-  if (left == 0) return;
+  uint32_t unreserved = expected.upper_estimate;
+  if (unreserved == 0) return;
   const JobSpec& spec = forecast.sample;
   const std::vector<RankedCandidate> ranked = ranked_for_headroom(forecast, state.candidates);
   uint32_t counted = borrowing_tasks(spec, ranked);  // against the bound for borrowed machines
   for (const auto& [rank, candidate] : ranked) {
-    if (left == 0) break;
-    if (candidate->reserved.taken()) continue;
+    if (unreserved == 0) break;
+    if (candidate->reserved.has_owner()) continue;
     // Machines with accelerators are expensive to keep idle: no more of them than the mean needs,
     // and where a task would strand several, not for a burst of arrivals that is over.
     if (const MachineType* type = candidate->pool->type; would_borrow(spec, type)) {
       const bool is_cheap = may_borrow(state, spec, type, Borrowing::cheap);
-      const uint32_t most = is_cheap ? expected.mean : expected.steady;
-      left = std::min(left, most > counted ? most - counted : 0);
+      const uint32_t max_tasks = is_cheap ? expected.mean : expected.sustained_mean;
+      unreserved = std::min(unreserved, max_tasks > counted ? max_tasks - counted : 0);
     }
-    const uint32_t tasks = preemption::tasks_in(room_in_time(spec, *candidate), spec.need, left);
+    const uint32_t tasks =
+        preemption::tasks_that_fit_in(capacity_for_class(spec, *candidate), spec.need, unreserved);
     if (tasks == 0) continue;
     candidate->reserved = {spec.need * tasks, job_class, spec.priority};
-    left -= tasks;
+    unreserved -= tasks;
     counted += tasks;
     if (candidate->machine) state.plan.machines_to_keep.push_back(candidate->machine->id);
   }
--- a/src/dunlinknot/scheduler/job_nominations.cpp
+++ b/src/dunlinknot/scheduler/job_nominations.cpp
@@ -12,31 +12,32 @@
 }
 
 void clear_nomination(CycleState& state, uint64_t nomination) {
-  state.plan.cleared.push_back(nomination);
+  state.plan.cleared_nominations.push_back(nomination);
   const std::string& machine = state.inputs.nominations.all().at(nomination).machine;
   if (CandidateMachine* candidate = state.candidates.find(machine))
     candidate->capacity.end_hold(nomination);
 }
 
 JobNominations::JobNominations(CycleState& state, const Job& job)
-    : state_(state), job_(job), open_(state.inputs.nominations.of(job.spec().id)) {}
+    : state_(state), job_(job), active_(state.inputs.nominations.of_job(job.spec().id)) {}
 
-bool JobNominations::usable(const preemption::Nomination& nomination, CandidateMachine* candidate,
-                            const PlacementConstraints& constraints) const {
+bool JobNominations::is_usable(const preemption::Nomination& nomination,
+                               CandidateMachine* candidate,
+                               const PlacementConstraints& constraints) const {
   const JobSpec& spec = job_.spec();
-  return candidate && !candidate->coming && may_go(state_, job_, *candidate) &&
+  return candidate && !candidate->upcoming && may_place(state_, job_, *candidate) &&
          candidate->capacity.fits(spec.need, spec.priority, nomination.id) &&
          constraints.tasks_allowed(candidate->zone()) > 0;
 }
 
-uint32_t JobNominations::place(uint32_t most, PlacementConstraints& constraints) {
+uint32_t JobNominations::place(uint32_t max_tasks, PlacementConstraints& constraints) {
   uint32_t placed = 0;
   std::vector<uint64_t> remaining;
-  for (const uint64_t id : open_) {
+  for (const uint64_t id : active_) {
     const preemption::Nomination& nomination = state_.inputs.nominations.all().at(id);
     CandidateMachine* candidate =
-        placed < most ? state_.candidates.find(nomination.machine) : nullptr;
-    if (!usable(nomination, candidate, constraints)) {
+        placed < max_tasks ? state_.candidates.find(nomination.machine) : nullptr;
+    if (!is_usable(nomination, candidate, constraints)) {
       remaining.push_back(id);
       continue;
     }
@@ -45,29 +46,29 @@
     constraints.add(candidate->zone(), 1);
     ++placed;
   }
-  open_ = std::move(remaining);
+  active_ = std::move(remaining);
   return placed;
 }
 
-void JobNominations::keep_at_most(uint32_t most) {
-  while (open_.size() > most) {
-    clear_nomination(state_, open_.back());
-    open_.pop_back();
+void JobNominations::keep_at_most(uint32_t max_tasks) {
+  while (active_.size() > max_tasks) {
+    clear_nomination(state_, active_.back());
+    active_.pop_back();
   }
 }
 
-void JobNominations::promise(PlacementConstraints& constraints) {
-  std::vector<uint64_t> promised;
-  for (const uint64_t id : open_) {
+void JobNominations::add_to(PlacementConstraints& constraints) {
+  std::vector<uint64_t> allowed;
+  for (const uint64_t id : active_) {
     const std::string_view zone = zone_of_nomination(state_.inputs, id);
     if (zone.empty() || constraints.tasks_allowed(zone) == 0) {
       clear_nomination(state_, id);
       continue;
     }
     constraints.add(zone, 1);
-    promised.push_back(id);
+    allowed.push_back(id);
   }
-  open_ = std::move(promised);
+  active_ = std::move(allowed);
 }
 
 }  // namespace dunlinknot::scheduler
--- a/src/dunlinknot/scheduler/job_nominations.hpp
+++ b/src/dunlinknot/scheduler/job_nominations.hpp
@@ -20,27 +20,27 @@
   JobNominations(CycleState& state, const Job& job);
 
   // Oldest first.
-  const std::vector<uint64_t>& open() const { return open_; }
+  const std::vector<uint64_t>& active() const { return active_; }
 
   // Places up to `most` tasks in the room that is held for them, where the job's constraints still
   // allow that; returns how many. Comes before any other place: a preemptor tries its own room
   // first.
-  uint32_t place(uint32_t most, PlacementConstraints& constraints);
+  uint32_t place(uint32_t max_tasks, PlacementConstraints& constraints);
   // Clears the newest until at most `most` are open: tasks that found a place elsewhere need their
   // nominations no more.
-  void keep_at_most(uint32_t most);
+  void keep_at_most(uint32_t max_tasks);
   // Adds the remaining ones to the constraints, as promises; clears those that the constraints no
   // longer allow, since the job's other tasks may have gone elsewhere since the nomination.
-  void promise(PlacementConstraints& constraints);
+  void add_to(PlacementConstraints& constraints);
 
  private:
   // Whether the task that the nomination is for can be placed now.
-  bool usable(const preemption::Nomination& nomination, CandidateMachine* candidate,
-              const PlacementConstraints& constraints) const;
+  bool is_usable(const preemption::Nomination& nomination, CandidateMachine* candidate,
+                 const PlacementConstraints& constraints) const;
 
   CycleState& state_;
   const Job& job_;
-  std::vector<uint64_t> open_;
+  std::vector<uint64_t> active_;
 };
 
 }  // namespace dunlinknot::scheduler
--- a/src/dunlinknot/scheduler/job_queue.cpp
+++ b/src/dunlinknot/scheduler/job_queue.cpp
@@ -8,17 +8,17 @@
 namespace {
 
 // The bounds on waiting, whatever the order says.
-constexpr Seconds kMostWait{120};  // until the first task of a job starts
-constexpr Seconds kMostLate{240};  // beyond the job's due time
+constexpr Seconds kMaxWaitForFirstTask{120};  // until the first task of a job starts
+constexpr Seconds kMaxLateness{240};          // beyond the job's due time
 // What a job that has completed some tasks still takes, as a share of its estimate.
-constexpr double kRestOfRun = 0.5;
+constexpr double kRemainingRunShare = 0.5;
 
 struct DueTime {
-  double in = 0;  // seconds from now
+  double in_seconds = 0;  // seconds from now
   bool late = false;
 };
 
-double age_of(const CycleInputs& inputs, const Job& job) {
+double age_seconds(const CycleInputs& inputs, const Job& job) {
   return std::chrono::duration<double>(inputs.wall - job.submitted()).count();
 }
 
@@ -28,12 +28,13 @@
   if (!spec.deadline) {
     for (const auto& objective : inputs.platform.objectives) {
       if (objective.kind == "wait" && objective.job_class == spec.job_class)
-        return {objective.within.count() - waited(inputs, job), false};
+        return {objective.within.count() - waiting_seconds(inputs, job), false};
     }
-    return {kNoDeadline.count() - waited(inputs, job), false};
+    return {kDefaultDueTime.count() - waiting_seconds(inputs, job), false};
   }
-  const double age = age_of(inputs, job);
-  const double run = spec.estimate.count() * (job.done_count() > 0 ? kRestOfRun : 1.0);
+  const double age = age_seconds(inputs, job);
+  const double run_seconds =
+      spec.estimate.count() * (job.done_count() > 0 ? kRemainingRunShare : 1.0);
   std::vector<double> deadline_factors{1.0};
   for (const auto& objective : inputs.platform.objectives) {
     if (objective.kind == "deadline" && objective.job_class == spec.job_class)
@@ -41,8 +42,8 @@
   }
   std::sort(deadline_factors.begin(), deadline_factors.end());
   for (const double factor : deadline_factors) {
-    const double left = spec.deadline->count() * factor - age;
-    if (left >= run) return {left, false};
+    const double seconds_left = spec.deadline->count() * factor - age;
+    if (seconds_left >= run_seconds) return {seconds_left, false};
   }
   return {spec.deadline->count() - age, true};
 }
@@ -51,26 +52,26 @@
 // objective for the start of a class, where it leaves the time to make room, is used up by half at
 // most: what is to begin within it must come before all else well before it is missed. Shorter
 // objectives are met by the ordinary order.
-double most_wait(const CycleInputs& inputs, const JobSpec& spec) {
-  double most = kMostWait.count();
+double max_wait_seconds(const CycleInputs& inputs, const JobSpec& spec) {
+  double max_seconds = kMaxWaitForFirstTask.count();
   for (const auto& objective : inputs.platform.objectives) {
     if (objective.kind != "wait" || objective.job_class != spec.job_class ||
-        objective.within <= kTimeToMakeRoom)
+        objective.within <= kTimeToNewCapacity)
       continue;
-    most = std::min(most, objective.within.count() / 2);
+    max_seconds = std::min(max_seconds, objective.within.count() / 2);
   }
-  return most;
+  return max_seconds;
 }
 
 // A job that nothing was started of goes first after a while, and so does one that is late for
 // longer than the bound.
 bool is_overdue(const CycleInputs& inputs, const Job& job) {
-  const double age = waited(inputs, job);
+  const double age = waiting_seconds(inputs, job);
   if (job.done_count() == 0 && job.live_count() == job.queued_tasks)
-    return age > most_wait(inputs, job.spec());
+    return age > max_wait_seconds(inputs, job.spec());
   if (job.spec().service) return false;
-  const double due = job.spec().deadline ? job.spec().deadline->count() : kNoDeadline.count();
-  return age > due + kMostLate.count();
+  const double due = job.spec().deadline ? job.spec().deadline->count() : kDefaultDueTime.count();
+  return age > due + kMaxLateness.count();
 }
 
 }  // namespace
@@ -83,7 +84,7 @@
         job->pending() + job->queued_tasks > 0 || replicas_leaving(inputs.cluster, *job) > 0;
     if (!waits || inputs.now < job->not_before || job->team() < 0) continue;
     const DueTime due = due_time(inputs, *job);
-    queue.push_back({job.get(), state.guaranteed_jobs.contains(id), due.in, due.late,
+    queue.push_back({job.get(), state.guaranteed_jobs.contains(id), due.in_seconds, due.late,
                      is_overdue(inputs, *job)});
   }
   // Priority first, then what a guarantee covers, then what is due first. What is late whatever
@@ -105,11 +106,11 @@
   return position;
 }
 
-double waited(const CycleInputs& inputs, const Job& job) {
+double waiting_seconds(const CycleInputs& inputs, const Job& job) {
   // A service may have run for long when it loses a replica, which waits only since then.
   if (job.spec().service && inputs.now > job.waiting_since)
     return to_seconds(inputs.now - job.waiting_since).count();
-  return age_of(inputs, job);
+  return age_seconds(inputs, job);
 }
 
 uint32_t tasks_on(const Job& job, const Machine& machine) {
--- a/src/dunlinknot/scheduler/job_queue.hpp
+++ b/src/dunlinknot/scheduler/job_queue.hpp
@@ -30,7 +30,7 @@
 cluster::QueuePosition absolute_position(const QueueEntry& entry, Instant now);
 
 // Seconds that the job has waited: since its submission, or a service since it lost a replica.
-double waited(const CycleInputs& inputs, const Job& job);
+double waiting_seconds(const CycleInputs& inputs, const Job& job);
 
 // How many tasks of the job are allocated on the machine.
 uint32_t tasks_on(const Job& job, const Machine& machine);
--- a/src/dunlinknot/scheduler/machine_queueing.cpp
+++ b/src/dunlinknot/scheduler/machine_queueing.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr double kQueuedWriteShare = 0.5;     // of the key-value store's writes, for queued tasks
-constexpr double kMostQueueSpan = 20;         // seconds of work queued on a machine
-constexpr uint32_t kMostQueuedRuns = 4;       // at most so many times what fits there
-constexpr uint32_t kCountableTasks = 10'000;  // more of them on one machine are not counted
+constexpr double kQueuedWriteShare = 0.5;       // of the key-value store's writes, for queued tasks
+constexpr double kMaxQueueSpanSeconds = 20;     // seconds of work queued on a machine
+constexpr uint32_t kMaxQueuedTasksPerSlot = 4;  // at most so many times what fits there
+constexpr uint32_t kMaxSlotsPerMachine = 10'000;  // more of them on one machine are not counted
 
 // The shortest span for which the writes of records suffice; 0 if that is below one heartbeat.
 double queue_span(const CycleState& state) {
@@ -19,7 +19,7 @@
   const double write_rps = platform.lowest_store_write_rps();
   const double span =
       static_cast<double>(state.candidates.all().size()) / (write_rps * kQueuedWriteShare);
-  return span < platform.heartbeat_interval.count() ? 0 : std::min(span, kMostQueueSpan);
+  return span < platform.heartbeat_interval.count() ? 0 : std::min(span, kMaxQueueSpanSeconds);
 }
 
 double run_seconds(const JobSpec& spec) {
@@ -27,11 +27,12 @@
 }
 
 // How many tasks of the job may wait on one machine of the pool; 0: none fits there.
-uint32_t most_queued(const JobSpec& spec, const InstancePool& pool, double span) {
-  const uint32_t places = preemption::tasks_in(pool.type->size, spec.need, kCountableTasks);
-  if (places == 0) return 0;
-  return std::clamp(static_cast<uint32_t>(std::ceil(places * span / run_seconds(spec))), 1u,
-                    places * kMostQueuedRuns);
+uint32_t max_queued(const JobSpec& spec, const InstancePool& pool, double span) {
+  const uint32_t slots =
+      preemption::tasks_that_fit_in(pool.type->size, spec.need, kMaxSlotsPerMachine);
+  if (slots == 0) return 0;
+  return std::clamp(static_cast<uint32_t>(std::ceil(slots * span / run_seconds(spec))), 1u,
+                    slots * kMaxQueuedTasksPerSlot);
 }
 
 // How many tasks on the machine would start before one at this position: those queued in this
@@ -56,11 +57,11 @@
   const Resources& used = state_.quotas.used(job.team());
   const double running = std::max(spec.need.cpus > 0 ? used.cpus / spec.need.cpus : 0,
                                   spec.need.gpus > 0 ? used.gpus / spec.need.gpus : 0);
-  const auto most = static_cast<uint32_t>(std::ceil(running * span_ / run_seconds(spec)));
-  uint32_t& already = queued_at_limit_[job.team()];
-  already += job.queued_tasks;
-  tasks = std::min(tasks, most > already ? most - already : 0);
-  already += tasks;
+  const auto max_tasks = static_cast<uint32_t>(std::ceil(running * span_ / run_seconds(spec)));
+  uint32_t& queued_for_team = queued_at_limit_[job.team()];
+  queued_for_team += job.queued_tasks;
+  tasks = std::min(tasks, max_tasks > queued_for_team ? max_tasks - queued_for_team : 0);
+  queued_for_team += tasks;
   return tasks;
 }
 
@@ -75,18 +76,18 @@
   for (auto& [offer, pool] : state_.candidates.pools()) {
     if (tasks == 0) return;
     if (!pool.type || !offer_allowed(spec, offer)) continue;
-    const uint32_t most = most_queued(spec, pool, span_);
-    if (most == 0) continue;
+    const uint32_t max_tasks = max_queued(spec, pool, span_);
+    if (max_tasks == 0) continue;
     for (CandidateMachine* candidate : pool.ready) {
       if (tasks == 0) return;
-      if (candidate->reserved.taken() || candidate->queued_tasks >= most * 2 ||
+      if (candidate->reserved.has_owner() || candidate->queued_tasks >= max_tasks * 2 ||
           !candidate->machine->has_image(spec.image))
         continue;
       const uint32_t before = queued_before(*candidate, position);
       // Filled up when half is gone, not one by one.
-      if (before * 2 > most || !may_use(state_, job, *candidate)) continue;
-      const uint32_t queued =
-          std::min({tasks, most - before, record_allows(state_.cluster(), job, *candidate)});
+      if (before * 2 > max_tasks || !may_use(state_, job, *candidate)) continue;
+      const uint32_t queued = std::min(
+          {tasks, max_tasks - before, tasks_allowed_by_record(state_.cluster(), job, *candidate)});
       candidate->queued_tasks += queued;
       tasks -= queued;
       reserve_record_space(state_.cluster(), job, *candidate, queued);
--- a/src/dunlinknot/scheduler/placement.cpp
+++ b/src/dunlinknot/scheduler/placement.cpp
@@ -10,24 +10,25 @@
 namespace {
 
 // Borrowing::cheap allows a task to keep so many accelerators from use.
-constexpr double kMostStranded = 1;
+constexpr double kMaxCheapStrandedGpus = 1;
 // How much longer a fetch takes for each other that is under way: they share the rate.
-constexpr double kBusyFetches = 0.5;
+constexpr double kSlowdownPerFetch = 0.5;
 // Costs in seconds beyond the fetch. Accelerators are for the work that needs them; spot machines
 // are cheaper; filling up what is in use lets idle machines go.
-constexpr double kBorrowingCost = 20;
-constexpr double kBorrowingCostPerGpu = 10;
-constexpr double kOnDemandCost = 5;
-constexpr double kEmptyMachineCost = 6;
+constexpr double kBorrowingCostSeconds = 20;
+constexpr double kBorrowingCostSecondsPerGpu = 10;
+constexpr double kOnDemandCostSeconds = 5;
+constexpr double kEmptyMachineCostSeconds = 6;
 
 // How many accelerators of an empty machine one task of the job, which needs none, would keep from
 // use because the rest of the machine no longer suffices for them.
 double stranded_gpus(const Cluster& cluster, const JobSpec& spec, const MachineType& type) {
-  const Resources& beside = cluster.resources_per_gpu();
-  if (beside.cpus <= 0 || beside.memory_gb <= 0) return 0;
+  const Resources& needed_per_gpu = cluster.resources_per_gpu();
+  if (needed_per_gpu.cpus <= 0 || needed_per_gpu.memory_gb <= 0) return 0;
   const Resources rest = type.size - spec.need;
-  const double usable = std::min(std::floor(rest.cpus / beside.cpus + Resources::kSlack),
-                                 std::floor(rest.memory_gb / beside.memory_gb + Resources::kSlack));
+  const double usable =
+      std::min(std::floor(rest.cpus / needed_per_gpu.cpus + Resources::kSlack),
+               std::floor(rest.memory_gb / needed_per_gpu.memory_gb + Resources::kSlack));
   return type.size.gpus - std::clamp(usable, 0.0, type.size.gpus);
 }
 
@@ -35,27 +36,30 @@
   const MachineType* type = candidate.pool->type;
   const bool cached = candidate.machine && candidate.machine->has_image(spec.image);
   if (cached || !type || type->fetch_gb_per_s <= 0) return 0;
-  const bool under_way = std::find(candidate.fetching.begin(), candidate.fetching.end(),
-                                   spec.image) != candidate.fetching.end();
-  double fetch = fetch_seconds(spec, *type);
-  if (!under_way) fetch *= 1 + kBusyFetches * static_cast<double>(candidate.fetching.size());
-  return fetch;
+  const bool image_is_being_fetched =
+      std::find(candidate.fetching_images.begin(), candidate.fetching_images.end(), spec.image) !=
+      candidate.fetching_images.end();
+  double seconds = fetch_seconds(spec, *type);
+  if (!image_is_being_fetched)
+    seconds *= 1 + kSlowdownPerFetch * static_cast<double>(candidate.fetching_images.size());
+  return seconds;
 }
 
 double place_cost(const JobSpec& spec, const CandidateMachine& candidate) {
   double cost = fetch_cost(spec, candidate);
   const MachineType* type = candidate.pool->type;
   if (!type) return cost;
-  if (would_borrow(spec, type)) cost += kBorrowingCost + kBorrowingCostPerGpu * type->size.gpus;
-  if (spec.spot && !candidate.pool->offer.spot) cost += kOnDemandCost;
+  if (would_borrow(spec, type))
+    cost += kBorrowingCostSeconds + kBorrowingCostSecondsPerGpu * type->size.gpus;
+  if (spec.spot && !candidate.pool->offer.spot) cost += kOnDemandCostSeconds;
   if (type->size.cpus > 0)
-    cost += kEmptyMachineCost * candidate.capacity.free().cpus / type->size.cpus;
+    cost += kEmptyMachineCostSeconds * candidate.capacity.free().cpus / type->size.cpus;
   return cost;
 }
 
 // What the job must leave free on the machine beyond the holds of nominations; empty: nothing.
-std::optional<Resources> left_for_others(const Cluster& cluster, const JobSpec& spec,
-                                         const CandidateMachine& candidate) {
+std::optional<Resources> room_after_reservations(const Cluster& cluster, const JobSpec& spec,
+                                                 const CandidateMachine& candidate) {
   std::optional<Resources> rest;
   const Resources& free = candidate.capacity.free();
   const ReservedRoom& reserved = candidate.reserved;
@@ -65,7 +69,7 @@
   if (!spec.gang && spec.need.gpus <= 0 && free.gpus > 0 && reserved.owner != spec.job_class)
     rest = free - cluster.resources_per_gpu() * free.gpus;
   const bool reserved_for_other =
-      reserved.taken() && reserved.owner != spec.job_class && reserved.owner != spec.id;
+      reserved.has_owner() && reserved.owner != spec.job_class && reserved.owner != spec.id;
   if (reserved_for_other && spec.priority <= reserved.priority)
     rest = rest.value_or(free) - reserved.room;
   return rest;
@@ -82,7 +86,7 @@
   if (borrowing == Borrowing::any || !would_borrow(spec, type)) return true;
   return borrowing == Borrowing::cheap &&
          !(state.accelerators_wanted &&
-           stranded_gpus(state.cluster(), spec, *type) > kMostStranded);
+           stranded_gpus(state.cluster(), spec, *type) > kMaxCheapStrandedGpus);
 }
 
 bool may_use(const CycleState& state, const Job& job, CandidateMachine& candidate) {
@@ -94,14 +98,15 @@
     const size_t size = cluster.record_size(*candidate.machine);
     candidate.record_room = size < cluster.record_limit() ? cluster.record_limit() - size : 0;
   }
-  return record_allows(cluster, job, candidate) > 0;
+  return tasks_allowed_by_record(cluster, job, candidate) > 0;
 }
 
-bool may_go(const CycleState& state, const Job& job, CandidateMachine& candidate) {
+bool may_place(const CycleState& state, const Job& job, CandidateMachine& candidate) {
   return offer_allowed(job.spec(), candidate.pool->offer) && may_use(state, job, candidate);
 }
 
-uint32_t record_allows(const Cluster& cluster, const Job& job, const CandidateMachine& candidate) {
+uint32_t tasks_allowed_by_record(const Cluster& cluster, const Job& job,
+                                 const CandidateMachine& candidate) {
   if (!candidate.record_room) return std::numeric_limits<uint32_t>::max();
   const Cluster::RecordCost cost = cluster.record_cost(job);
   const size_t left = *candidate.record_room - std::min(*candidate.record_room, cost.group_bytes);
@@ -117,23 +122,24 @@
 }
 
 uint32_t tasks_that_fit(const CycleState& state, const Job& job, const CandidateMachine& candidate,
-                        uint32_t most) {
+                        uint32_t max_tasks) {
   const JobSpec& spec = job.spec();
-  most = std::min(most, record_allows(state.cluster(), job, candidate));
-  if (const auto rest = left_for_others(state.cluster(), spec, candidate)) {
+  max_tasks = std::min(max_tasks, tasks_allowed_by_record(state.cluster(), job, candidate));
+  if (const auto rest = room_after_reservations(state.cluster(), spec, candidate)) {
     // Unlike preemption::tasks_in, a kind of resource that the task does not need sets no limit,
     // even where less than nothing of it is left.
-    const auto limit = [&](double have, double need) {
+    const auto limit = [&](double available, double need) {
       if (need <= 0) return;
-      const double fitting = std::floor((have + Resources::kSlack) / need);
-      most = fitting <= 0 ? 0 : std::min(most, static_cast<uint32_t>(fitting));
+      const double fitting_tasks = std::floor((available + Resources::kSlack) / need);
+      max_tasks =
+          fitting_tasks <= 0 ? 0 : std::min(max_tasks, static_cast<uint32_t>(fitting_tasks));
     };
     limit(rest->cpus, spec.need.cpus);
     limit(rest->gpus, spec.need.gpus);
     limit(rest->memory_gb, spec.need.memory_gb);
-    if (most == 0) return 0;
+    if (max_tasks == 0) return 0;
   }
-  return candidate.capacity.count(spec.need, spec.priority, most);
+  return candidate.capacity.count(spec.need, spec.priority, max_tasks);
 }
 
 std::vector<RankedCandidate> ranked_candidates(CycleState& state, const Job& job,
@@ -159,7 +165,7 @@
                  std::vector<uint64_t> ends_nominations) {
   candidate.capacity.take(job.spec().need * tasks);
   state.quotas.charge(job, tasks);
-  candidate.fetching.push_back(job.spec().image);
+  candidate.fetching_images.push_back(job.spec().image);
   reserve_record_space(state.cluster(), job, candidate, tasks);
   state.plan.placements.push_back(
       {job.spec().id, candidate.machine->id, tasks, std::move(ends_nominations)});
@@ -169,11 +175,12 @@
   return type.fetch_gb_per_s > 0 ? spec.image_gb / type.fetch_gb_per_s : 0;
 }
 
-double uses_until_due(const QueueEntry& entry, const MachineType& type, double up_in) {
+double tasks_per_slot_until_due(const QueueEntry& entry, const MachineType& type,
+                                double ready_in_seconds) {
   const JobSpec& spec = entry.job->spec();
   if (spec.service) return 1;  // its tasks never leave their places
   const double run = std::max(1.0, spec.estimate.count());
-  const double span = std::max(run, entry.due - up_in - fetch_seconds(spec, type));
+  const double span = std::max(run, entry.due - ready_in_seconds - fetch_seconds(spec, type));
   return std::max(1.0, std::floor(span / run));
 }
 
--- a/src/dunlinknot/scheduler/placement.hpp
+++ b/src/dunlinknot/scheduler/placement.hpp
@@ -37,10 +37,11 @@
 // machine's record has room. Looks the record's room up at the first call for a machine.
 bool may_use(const CycleState& state, const Job& job, CandidateMachine& candidate);
 // The same for a machine of any pool.
-bool may_go(const CycleState& state, const Job& job, CandidateMachine& candidate);
+bool may_place(const CycleState& state, const Job& job, CandidateMachine& candidate);
 
 // How many more tasks of the job the machine's record has room for.
-uint32_t record_allows(const Cluster& cluster, const Job& job, const CandidateMachine& candidate);
+uint32_t tasks_allowed_by_record(const Cluster& cluster, const Job& job,
+                                 const CandidateMachine& candidate);
 // Takes the tasks out of the room that the machine's record has left.
 void reserve_record_space(const Cluster& cluster, const Job& job, CandidateMachine& candidate,
                           uint32_t tasks);
@@ -48,7 +49,7 @@
 // How many tasks of the job fit on the machine now, up to `most`: beside the holds of nominations,
 // what is reserved for others, and what the machine's free accelerators will need.
 uint32_t tasks_that_fit(const CycleState& state, const Job& job, const CandidateMachine& candidate,
-                        uint32_t most);
+                        uint32_t max_tasks);
 
 // The candidates that the job may use and that have room for one task, the cheapest first; among
 // equals in the order of the pools. The cost is the seconds until a task would run there, and what
@@ -67,6 +68,7 @@
 
 // How often a place on a machine of this type that is up in `up_in` seconds can be used before the
 // job is due; at least once.
-double uses_until_due(const QueueEntry& entry, const MachineType& type, double up_in);
+double tasks_per_slot_until_due(const QueueEntry& entry, const MachineType& type,
+                                double ready_in_seconds);
 
 }  // namespace dunlinknot::scheduler
--- a/src/dunlinknot/scheduler/preemption.cpp
+++ b/src/dunlinknot/scheduler/preemption.cpp
@@ -12,7 +12,7 @@
 // An accelerator counts as so many cores when the wait for a fetch is weighed.
 constexpr double kCoresPerGpu = 8;
 // The hold of a preemption that has no nomination yet: it gets one when the plan is applied.
-constexpr uint64_t kNominationToCome = std::numeric_limits<uint64_t>::max();
+constexpr uint64_t kUnassignedNomination = std::numeric_limits<uint64_t>::max();
 
 // The work lost with these victims, and while the preemptor waits for its fetch.
 double cost_of(const preemption::VictimSet& victims, const CandidateMachine& candidate,
@@ -20,7 +20,8 @@
   const MachineType* type = candidate.pool->type;
   const double fetch =
       candidate.machine->has_image(spec.image) || !type ? 0 : fetch_seconds(spec, *type);
-  return victims.lost_seconds + fetch * std::max(spec.need.cpus, spec.need.gpus * kCoresPerGpu);
+  return victims.lost_core_seconds +
+         fetch * std::max(spec.need.cpus, spec.need.gpus * kCoresPerGpu);
 }
 
 // KEP-5690 leaves the ranking of machines to us: the lowest highest victim, the least cost, the
@@ -40,32 +41,32 @@
 }
 
 void PreemptionStage::preempt(const QueueEntry& entry, const JobNominations& nominations,
-                              uint32_t open, PlacementConstraints& promised) {
+                              uint32_t unplaced, PlacementConstraints& constraints) {
   const Job& job = *entry.job;
   if (job.failing) return;  // safety 6
   // A nominated task is eligible again once no victim is allocated on its machine.
   std::vector<uint64_t> to_renew;
-  for (const uint64_t id : nominations.open()) {
-    const preemption::Nominations& all = state_.inputs.nominations;
-    if (!all.settling(all.all().at(id).machine)) to_renew.push_back(id);
+  for (const uint64_t id : nominations.active()) {
+    const preemption::Nominations& all_nominations = state_.inputs.nominations;
+    if (!all_nominations.has_victims(all_nominations.all().at(id).machine)) to_renew.push_back(id);
   }
-  if (open == 0 && to_renew.empty()) return;
+  if (unplaced == 0 && to_renew.empty()) return;
   // With machines to be launched, a task whose room was lost is launched for like any other: it
   // does not wait on a nomination that is neither used nor renewed.
-  const bool can_scale_out = scale_out_.possible(job.spec(), promised);
+  const bool can_scale_out = scale_out_.possible(job.spec(), constraints);
   for (const uint64_t id : to_renew) {
-    if (!can_scale_out && nominate(entry, id, promised)) continue;
+    if (!can_scale_out && nominate(entry, id, constraints)) continue;
     clear_nomination(state_, id);
-    promised.remove(zone_of_nomination(state_.inputs, id), 1);
+    constraints.remove(zone_of_nomination(state_.inputs, id), 1);
   }
   if (can_scale_out) return;
-  for (uint32_t tries = open; tries > 0 && !limit_reached(); --tries) {
-    if (!nominate(entry, 0, promised)) break;
+  for (uint32_t remaining = unplaced; remaining > 0 && !limit_reached(); --remaining) {
+    if (!nominate(entry, 0, constraints)) break;
   }
 }
 
 PreemptionStage::PreemptorShape PreemptionStage::shape_of(const QueueEntry& entry,
-                                                          const PlacementConstraints& promised) {
+                                                          const PlacementConstraints& constraints) {
   const JobSpec& spec = entry.job->spec();
   return {entry.job->team(),
           entry.guaranteed,
@@ -75,30 +76,30 @@
           spec.need.gpus,
           spec.need.memory_gb,
           spec.types,
-          promised.has_zone_constraint() ? spec.id : spec.zone.value_or("")};
+          constraints.has_zone_constraint() ? spec.id : spec.zone.value_or("")};
 }
 
 bool PreemptionStage::nominate(const QueueEntry& entry, uint64_t renews,
-                               PlacementConstraints& promised) {
+                               PlacementConstraints& constraints) {
   if (limit_reached()) return renews != 0;
   // A nomination that is renewed does not stand in the way of the one that replaces it.
-  PlacementConstraints beside = promised;
-  if (renews) beside.remove(zone_of_nomination(state_.inputs, renews), 1);
-  const PreemptorShape shape = shape_of(entry, promised);
-  if (renews == 0 && hopeless_.contains(shape)) return false;
-  const std::optional<Choice> choice = find_victims(entry, renews, beside);
+  PlacementConstraints updated_constraints = constraints;
+  if (renews) updated_constraints.remove(zone_of_nomination(state_.inputs, renews), 1);
+  const PreemptorShape shape = shape_of(entry, constraints);
+  if (renews == 0 && shapes_without_victims_.contains(shape)) return false;
+  const std::optional<Choice> choice = find_victims(entry, renews, updated_constraints);
   if (!choice) {
-    if (renews == 0) hopeless_.insert(shape);
+    if (renews == 0) shapes_without_victims_.insert(shape);
     return false;
   }
   record(*entry.job, renews, *choice);
-  beside.add(choice->candidate->zone(), 1);
-  promised = std::move(beside);
+  updated_constraints.add(choice->candidate->zone(), 1);
+  constraints = std::move(updated_constraints);
   return true;
 }
 
 std::optional<PreemptionStage::Choice> PreemptionStage::find_victims(
-    const QueueEntry& entry, uint64_t renews, const PlacementConstraints& promised) {
+    const QueueEntry& entry, uint64_t renews, const PlacementConstraints& constraints) {
   const Job& job = *entry.job;
   const JobSpec& spec = job.spec();
   preemption::Eligibility preemptor{spec.priority, job.team(), entry.guaranteed, nullptr,
@@ -110,9 +111,10 @@
   }
   std::optional<Choice> best;
   for (CandidateMachine& candidate : state_.candidates.all()) {
-    if (candidate.coming || !spec.need.fits_in(candidate.machine->size)) continue;
-    if (preempted_on_.contains(candidate.machine->id) || !may_go(state_, job, candidate)) continue;
-    if (promised.tasks_allowed(candidate.zone()) == 0) continue;
+    if (candidate.upcoming || !spec.need.fits_in(candidate.machine->size)) continue;
+    if (preempted_on_.contains(candidate.machine->id) || !may_place(state_, job, candidate))
+      continue;
+    if (constraints.tasks_allowed(candidate.zone()) == 0) continue;
     auto victims =
         preemption::simulate(candidate.capacity, state_.inputs.nominations, state_.cluster(),
                              spec.need, renews, preemptor, state_.inputs.now);
@@ -128,10 +130,11 @@
   CandidateMachine& chosen = *choice.candidate;
   preempted_on_.insert(chosen.machine->id);
   state_.plan.preemptions.push_back({spec.id, chosen.machine->id, spec.need, spec.priority,
-                                     choice.victims.victims, choice.victims.lost_seconds, renews});
+                                     choice.victims.victims, choice.victims.lost_core_seconds,
+                                     renews});
   if (renews) {
-    const std::string& before = state_.inputs.nominations.all().at(renews).machine;
-    if (CandidateMachine* candidate = state_.candidates.find(before))
+    const std::string& previous_machine = state_.inputs.nominations.all().at(renews).machine;
+    if (CandidateMachine* candidate = state_.candidates.find(previous_machine))
       candidate->capacity.end_hold(renews);
   }
   for (const size_t index : choice.victims.allocation_indices) {
@@ -139,9 +142,9 @@
     if (allocation.stopping()) continue;
     chosen.capacity.add_victims(allocation.need);
     // Its team's limit still counts the victim until it has ended (safety 4).
-    if (allocation.team >= 0) state_.quotas.give_up(allocation.team, allocation.need);
+    if (allocation.team >= 0) state_.quotas.count_victim(allocation.team, allocation.need);
   }
-  chosen.capacity.add_hold(kNominationToCome, spec.need, spec.priority);
+  chosen.capacity.add_hold(kUnassignedNomination, spec.need, spec.priority);
   state_.quotas.charge(job, 1);
 }
 
--- a/src/dunlinknot/scheduler/preemption.hpp
+++ b/src/dunlinknot/scheduler/preemption.hpp
@@ -21,8 +21,8 @@
   // Preempts for up to `open` tasks of the job, and renews or clears those of its nominations whose
   // victims have left without making room. `promised`: what the job holds and is promised; each
   // preemption is added.
-  void preempt(const QueueEntry& entry, const JobNominations& nominations, uint32_t open,
-               PlacementConstraints& promised);
+  void preempt(const QueueEntry& entry, const JobNominations& nominations, uint32_t unplaced,
+               PlacementConstraints& constraints);
 
  private:
   // All that the search for victims depends on besides the cycle's state. What nobody could be
@@ -45,20 +45,20 @@
     preemption::VictimSet victims;
   };
 
-  static PreemptorShape shape_of(const QueueEntry& entry, const PlacementConstraints& promised);
+  static PreemptorShape shape_of(const QueueEntry& entry, const PlacementConstraints& constraints);
   // Nominates one task of the job. `renews`: the nomination that this replaces, or 0. False when no
   // victims were found, or for a new nomination also when the cycle's preemptions are used up; a
   // nomination to be renewed then stays as it is.
-  bool nominate(const QueueEntry& entry, uint64_t renews, PlacementConstraints& promised);
+  bool nominate(const QueueEntry& entry, uint64_t renews, PlacementConstraints& constraints);
   std::optional<Choice> find_victims(const QueueEntry& entry, uint64_t renews,
-                                     const PlacementConstraints& promised);
+                                     const PlacementConstraints& constraints);
   void record(const Job& job, uint64_t renews, const Choice& choice);
   bool limit_reached() const;
 
   CycleState& state_;
   const ScaleOutRequests& scale_out_;
-  std::set<std::string> preempted_on_;  // machines, once each in a cycle
-  std::set<PreemptorShape> hopeless_;   // no victims were found in this cycle
+  std::set<std::string> preempted_on_;               // machines, once each in a cycle
+  std::set<PreemptorShape> shapes_without_victims_;  // no victims were found in this cycle
 };
 
 }  // namespace dunlinknot::scheduler
--- a/src/dunlinknot/scheduler/scale_out.cpp
+++ b/src/dunlinknot/scheduler/scale_out.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr uint32_t kMostRequested = 50;  // machines for one array in one cycle
-constexpr double kRounding = 1e-9;       // where 1 / share falls just short of a whole number
+constexpr uint32_t kMaxMachinesPerRequest = 50;  // machines for one array in one cycle
+constexpr double kRoundingTolerance = 1e-9;  // where 1 / share falls just short of a whole number
 
 struct RankedOffer {
   Offer offer;
@@ -41,7 +41,7 @@
   for (const MachineType& type : inputs.cluster.catalog()) {
     if (!cluster::type_allowed(spec, type.name) || !spec.need.fits_in(type.size)) continue;
     const double share = share_of(spec.need, type.size);
-    const uint32_t fitting = share > 0 ? static_cast<uint32_t>(1 / share + kRounding) : 1;
+    const uint32_t fitting = share > 0 ? static_cast<uint32_t>(1 / share + kRoundingTolerance) : 1;
     const uint32_t tasks_per_machine = std::max(1u, fitting);
     for (const auto& zone : type.zones) {
       if (constraints.tasks_allowed(zone) == 0) continue;
@@ -67,7 +67,7 @@
   std::map<std::string, uint32_t> by_zone;
   for (CandidateMachine& candidate : state.candidates.all()) {
     if (!may_borrow(state, spec, candidate.pool->type, borrowing)) continue;
-    if (spec.need.fits_in(candidate.capacity.free()) && may_go(state, job, candidate))
+    if (spec.need.fits_in(candidate.capacity.free()) && may_place(state, job, candidate))
       by_zone[candidate.zone()] += tasks_that_fit(state, job, candidate, spec.tasks);
   }
   return by_zone;
@@ -83,21 +83,21 @@
                               const std::vector<RankedOffer>& offers,
                               const PlacementConstraints& constraints,
                               std::map<std::string, uint32_t> room, Borrowing borrowing) {
-  uint32_t everywhere = 0;
+  uint32_t total_room = 0;
   for (auto& [zone, tasks] : room) {
     tasks = std::min(tasks, constraints.tasks_allowed(zone));
-    everywhere += tasks;
+    total_room += tasks;
   }
   GangRequest best;
   double lowest_cost = 0;
   for (const RankedOffer& ranked : offers) {
     if (!may_borrow(state, spec, ranked.type, borrowing)) continue;
-    const uint32_t free_there = room[ranked.offer.zone];
-    const uint32_t allowed_there = constraints.tasks_allowed(ranked.offer.zone);
-    if (free_there >= allowed_there) continue;  // more machines there would not help
-    const uint32_t have = spec.one_zone ? free_there : everywhere;
-    uint32_t missing = spec.tasks > have ? spec.tasks - have : 1;
-    missing = std::min(missing, allowed_there - free_there);
+    const uint32_t room_in_zone = room[ranked.offer.zone];
+    const uint32_t allowed_in_zone = constraints.tasks_allowed(ranked.offer.zone);
+    if (room_in_zone >= allowed_in_zone) continue;  // more machines there would not help
+    const uint32_t usable_room = spec.one_zone ? room_in_zone : total_room;
+    uint32_t missing = spec.tasks > usable_room ? spec.tasks - usable_room : 1;
+    missing = std::min(missing, allowed_in_zone - room_in_zone);
     const uint32_t machines = ranked.machines_for(missing);
     const double cost = machines * ranked.tasks_per_machine * ranked.price;
     if (best.offer && cost >= lowest_cost) continue;
@@ -133,7 +133,7 @@
   return *state_.candidates.add_pending(offer);
 }
 
-uint32_t ScaleOutRequests::request_for_array(const QueueEntry& entry, uint32_t open,
+uint32_t ScaleOutRequests::request_for_array(const QueueEntry& entry, uint32_t unplaced,
                                              const PlacementConstraints& expected) {
   const Job& job = *entry.job;
   const JobSpec& spec = job.spec();
@@ -142,20 +142,22 @@
   if (offers.empty() || machine_limit_reached()) return 0;
   const RankedOffer& cheapest = offers.front();
   // What the job may not have in one zone has to be launched elsewhere, in the cycles that follow.
-  const uint32_t most_there = expected.tasks_allowed(cheapest.offer.zone);
+  const uint32_t max_there = expected.tasks_allowed(cheapest.offer.zone);
   // As many machines as finish what is left in time, not one for every task at once.
-  const double uses = uses_until_due(entry, *cheapest.type, cheapest.type->boot.count());
-  uint32_t places = static_cast<uint32_t>(std::ceil(open / uses));
-  const bool all_there = places <= most_there;
-  places = std::min(places, most_there);
-  const uint32_t machines = std::clamp(cheapest.machines_for(places), 1u, kMostRequested);
+  const double tasks_per_slot =
+      tasks_per_slot_until_due(entry, *cheapest.type, cheapest.type->boot.count());
+  uint32_t slots = static_cast<uint32_t>(std::ceil(unplaced / tasks_per_slot));
+  const bool fits_in_zone = slots <= max_there;
+  slots = std::min(slots, max_there);
+  const uint32_t machines = std::clamp(cheapest.machines_for(slots), 1u, kMaxMachinesPerRequest);
   for (uint32_t i = 0; i < machines && !machine_limit_reached(); ++i) {
     CandidateMachine& candidate = request_machine(cheapest.offer, spec.id);
-    const uint32_t tasks = candidate.capacity.count(spec.need, spec.priority, places);
+    const uint32_t tasks = candidate.capacity.count(spec.need, spec.priority, slots);
     candidate.capacity.take(spec.need * tasks);
-    places -= tasks;
+    slots -= tasks;
   }
-  return all_there ? open : std::min(open, static_cast<uint32_t>(most_there * uses));
+  return fits_in_zone ? unplaced
+                      : std::min(unplaced, static_cast<uint32_t>(max_there * tasks_per_slot));
 }
 
 bool ScaleOutRequests::request_for_gang(const QueueEntry& entry, Borrowing borrowing) {
@@ -170,7 +172,7 @@
   if (!request.offer) return false;
   for (uint32_t i = 0; i < request.machines && !machine_limit_reached(); ++i)
     (void)request_machine(request.offer->offer, spec.id);
-  (void)expect_gang_placement(state_, job, borrowing);
+  (void)reserve_upcoming_for_gang(state_, job, borrowing);
   return true;
 }
 
--- a/src/dunlinknot/scheduler/scale_out.hpp
+++ b/src/dunlinknot/scheduler/scale_out.hpp
@@ -17,7 +17,7 @@
 
   // Requests machines for `open` tasks of an array; returns how many tasks that provides for.
   // `expected`: what the job has, is promised, or is counted on to get.
-  uint32_t request_for_array(const QueueEntry& entry, uint32_t open,
+  uint32_t request_for_array(const QueueEntry& entry, uint32_t unplaced,
                              const PlacementConstraints& expected);
 
   // Requests what the gang lacks, where that costs least, and takes the room for it. False when
--- a/src/dunlinknot/scheduler/scheduler.cpp
+++ b/src/dunlinknot/scheduler/scheduler.cpp
@@ -11,11 +11,11 @@
       return "its team's limit";
     case WaitCause::queued_on_machine:
       return "a task to end on the machine where it is allocated";
-    case WaitCause::machine_coming:
+    case WaitCause::machine_upcoming:
       return "a machine that is coming";
     case WaitCause::preemption:
       return "tasks that are being stopped for it";
-    case WaitCause::room_kept:
+    case WaitCause::room_reserved:
       return "tasks to end where room is kept for it";
     case WaitCause::no_room:
       return "room, and none can be launched";
--- a/src/dunlinknot/scheduler/scheduler.hpp
+++ b/src/dunlinknot/scheduler/scheduler.hpp
@@ -61,7 +61,7 @@
 // All tasks of a gang, to be allocated together or not at all.
 struct GangPlacement {
   std::string job;
-  std::vector<GangShare> on;
+  std::vector<GangShare> shares;
 };
 
 // Machines that should be launched.
@@ -78,17 +78,17 @@
   Resources room;  // to be held for the preemptor
   Priority priority = Priority::low;
   std::vector<preemption::Victim> victims;
-  double lost_seconds = 0;  // see preemption::VictimSet
-  uint64_t renews = 0;      // the nomination that this one replaces; 0: none
+  double lost_core_seconds = 0;  // see preemption::VictimSet
+  uint64_t renews = 0;           // the nomination that this one replaces; 0: none
 };
 
 // What a job that has not begun waits for.
 enum class WaitCause : uint8_t {
   team_limit,         // its team's limit is used up, or saved up for it
   queued_on_machine,  // a task to end on the machine where it is allocated
-  machine_coming,     // a machine that boots or was asked for
+  machine_upcoming,   // a machine that boots or was asked for
   preemption,         // tasks that are being stopped for it
-  room_kept,          // room is kept for it where tasks are to end
+  room_reserved,      // room is kept for it where tasks are to end
   no_room,            // no allowed machine has room, and none can be launched
 };
 // The cause as users are shown it, to follow "waits for".
@@ -106,10 +106,10 @@
   std::vector<GangPlacement> gangs;
   std::vector<QueuedPlacement> queued;
   std::map<std::string, Resources> reserved_room;  // by machine: room that queued tasks must leave
-  std::vector<Resources> saved;                    // by team: of its limit, for gangs
+  std::vector<Resources> reserved_quota;           // by team: of its limit, for gangs
   std::vector<CapacityRequest> capacity_requests;
   std::vector<Preemption> preemptions;
-  std::vector<uint64_t> cleared;  // nominations that are of no use any more
+  std::vector<uint64_t> cleared_nominations;  // nominations that are of no use any more
   std::vector<std::string>
       machines_to_keep;      // idle machines that waiting work will use: not to be returned
   size_t waiting_tasks = 0;  // before this cycle's placements
--- a/src/dunlinknot/scheduler/scheduling_cycle.cpp
+++ b/src/dunlinknot/scheduler/scheduling_cycle.cpp
@@ -16,29 +16,29 @@
 Plan SchedulingCycle::run() {
   reserve_headroom(state_);
   const std::vector<QueueEntry> queue = queue_of_jobs(state_);
-  gangs_.serve_overdue(queue);
+  gangs_.schedule_overdue(queue);
   for (const QueueEntry& entry : queue) schedule(entry);
-  note_held_room();
+  record_reserved_room();
   return std::move(state_.plan);
 }
 
 void SchedulingCycle::schedule(const QueueEntry& entry) {
   const Job& job = *entry.job;
-  if (gangs_.placed_before_turn(job)) return;
+  if (gangs_.placed_as_overdue(job)) return;
   state_.plan.waiting_tasks += job.pending();
   if (!job.spec().gang) {
     arrays_.schedule(entry);
   } else if (!job.any_live()) {
-    if (const auto cause = gangs_.schedule(entry)) state_.note_waiting(job, *cause);
+    if (const auto cause = gangs_.schedule(entry)) state_.add_waiting_job(job, *cause);
   }
 }
 
 // What tasks that are queued on a machine must leave to others when a task there ends.
-void SchedulingCycle::note_held_room() {
+void SchedulingCycle::record_reserved_room() {
   for (const CandidateMachine& candidate : state_.candidates.all()) {
     if (!candidate.machine) continue;
     Resources held = candidate.capacity.held();
-    if (candidate.reserved.taken()) held += candidate.reserved.room;
+    if (candidate.reserved.has_owner()) held += candidate.reserved.room;
     if (held.cpus > 0 || held.gpus > 0 || held.memory_gb > 0)
       state_.plan.reserved_room[candidate.machine->id] = held;
   }
--- a/src/dunlinknot/scheduler/scheduling_cycle.hpp
+++ b/src/dunlinknot/scheduler/scheduling_cycle.hpp
@@ -18,7 +18,7 @@
 
  private:
   void schedule(const QueueEntry& entry);
-  void note_held_room();
+  void record_reserved_room();
 
   CycleState state_;
   ScaleOutRequests scale_out_;
--- a/src/dunlinknot/scheduler/team_quotas.cpp
+++ b/src/dunlinknot/scheduler/team_quotas.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 // Usage is raised by this factor before a team counts as clear of its limit.
-constexpr double kNearLimit = 1.05;
+constexpr double kUsageMarginFactor = 1.05;
 
 uint32_t tasks_below_limit(const settings::Team& team, const Resources& used,
                            const Resources& need) {
   double tasks = std::numeric_limits<uint32_t>::max();
-  const auto limit = [&](double most, double in_use, double per_task) {
-    if (most <= 0 || per_task <= 0) return;  // 0: no limit
-    tasks = std::min(tasks, std::floor((most - in_use + Resources::kSlack) / per_task));
+  const auto limit = [&](double max, double in_use, double per_task) {
+    if (max <= 0 || per_task <= 0) return;  // 0: no limit
+    tasks = std::min(tasks, std::floor((max - in_use + Resources::kSlack) / per_task));
   };
   limit(team.cpus_max, used.cpus, need.cpus);
   limit(team.gpus_max, used.gpus, need.gpus);
@@ -26,7 +26,8 @@
 
 // Whether `job`, the last of the jobs that need `sum` in all, is covered by the guarantee: in each
 // kind of resource that it needs and that is guaranteed at all, of which there must be one.
-bool covered(const settings::Team& guarantee, const Resources& sum, const Resources& job) {
+bool covered_by_guarantee(const settings::Team& guarantee, const Resources& sum,
+                          const Resources& job) {
   bool uses_guarantee = false;
   const auto within = [&](double guaranteed, double total, double needed) {
     if (needed <= 0 || guaranteed <= 0) return true;
@@ -44,7 +45,7 @@
   for (size_t team = 0; team < cluster.teams().size(); ++team) {
     used_.push_back(cluster.usage(static_cast<int>(team)).used);
   }
-  given_up_.resize(used_.size());
+  victim_usage_.resize(used_.size());
 }
 
 uint32_t TeamQuotas::tasks_allowed(const Job& job) const {
@@ -52,16 +53,17 @@
   return tasks_below_limit(cluster_.teams()[team], used_[team], job.spec().need);
 }
 
-bool TeamQuotas::clear_of_limit(const Job& job) const {
+bool TeamQuotas::well_below_limit(const Job& job) const {
   const auto team = static_cast<size_t>(job.team());
-  return tasks_below_limit(cluster_.teams()[team], used_[team] * kNearLimit, job.spec().need) > 0;
+  return tasks_below_limit(cluster_.teams()[team], used_[team] * kUsageMarginFactor,
+                           job.spec().need) > 0;
 }
 
 std::vector<Resources> TeamQuotas::over_guarantee() const {
   std::vector<Resources> over_guarantee;
   for (size_t team = 0; team < used_.size(); ++team) {
     const settings::Team& guarantee = cluster_.teams()[team];
-    Resources over = used_[team] - given_up_[team];
+    Resources over = used_[team] - victim_usage_[team];
     over.cpus = std::max(0.0, over.cpus - guarantee.cpus);
     over.gpus = std::max(0.0, over.gpus - guarantee.gpus);
     over_guarantee.push_back(over);
@@ -85,7 +87,8 @@
     for (const Job* job : jobs) {
       const Resources needed = job->spec().need * job->unfinished();
       sum += needed;
-      if (covered(cluster.teams()[team], sum, needed)) guaranteed.insert(job->spec().id);
+      if (covered_by_guarantee(cluster.teams()[team], sum, needed))
+        guaranteed.insert(job->spec().id);
     }
   }
   return guaranteed;
--- a/src/dunlinknot/scheduler/team_quotas.hpp
+++ b/src/dunlinknot/scheduler/team_quotas.hpp
@@ -19,13 +19,15 @@
   uint32_t tasks_allowed(const Job& job) const;
   // Whether the team is clear of its limit, not just below it because some tasks ended a moment
   // ago.
-  bool clear_of_limit(const Job& job) const;
+  bool well_below_limit(const Job& job) const;
   // Counts further tasks of the job.
   void charge(const Job& job, uint32_t tasks) {
     used_[static_cast<size_t>(job.team())] += job.spec().need * tasks;
   }
   // Counts a victim of this cycle as given up, for over_guarantee() only.
-  void give_up(int team, const Resources& need) { given_up_[static_cast<size_t>(team)] += need; }
+  void count_victim(int team, const Resources& need) {
+    victim_usage_[static_cast<size_t>(team)] += need;
+  }
   // By team: what it uses beyond its guarantee, without what it gave up; never negative.
   std::vector<Resources> over_guarantee() const;
   size_t team_count() const { return used_.size(); }
@@ -33,7 +35,7 @@
  private:
   const Cluster& cluster_;
   std::vector<Resources> used_;
-  std::vector<Resources> given_up_;
+  std::vector<Resources> victim_usage_;
 };
 
 // The jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -64,7 +64,7 @@
   }
   // Carries the plan's preemptions out, as the leader does.
   void carry_out(const scheduler::Plan& plan) {
-    for (const uint64_t id : plan.cleared) nominations.end(id, NominationEnd::cleared);
+    for (const uint64_t id : plan.cleared_nominations) nominations.end(id, NominationEnd::cleared);
     for (const auto& e : plan.preemptions) {
       if (e.renews) nominations.end(e.renews, NominationEnd::renominated);
       for (const auto& v : e.victims) {
@@ -247,11 +247,11 @@
   carry_out(plan());
   nominations.end_all_of_job("run-000002");  // cancelled
   EXPECT_TRUE(nominations.all().empty());
-  EXPECT_TRUE(nominations.settling("vm-1"));
+  EXPECT_TRUE(nominations.has_victims("vm-1"));
   nominations.remove_ended_victims(c);
-  EXPECT_TRUE(nominations.settling("vm-1"));
+  EXPECT_TRUE(nominations.has_victims("vm-1"));
   victims_removed(machine);
-  EXPECT_FALSE(nominations.settling("vm-1"));
+  EXPECT_FALSE(nominations.has_victims("vm-1"));
 }
 
 TEST_F(PreemptionTest, AFailedStopCallEndsTheNominationAndFreesTheVictims) {
@@ -264,7 +264,7 @@
   EXPECT_EQ(nominations.all().size(), 1u) << "another machine's call";
   nominations.handle_stop_failure("vm-1", {victim});
   EXPECT_TRUE(nominations.all().empty());
-  EXPECT_FALSE(nominations.settling("vm-1"));
+  EXPECT_FALSE(nominations.has_victims("vm-1"));
 }
 
 TEST_F(PreemptionTest, RenominatesOnceTheVictimsAreGoneAndTheRoomIsLost) {
@@ -288,7 +288,7 @@
   cloud_capacity.refused_offers.clear();
   const auto result_plan = plan();
   EXPECT_TRUE(result_plan.preemptions.empty());
-  EXPECT_EQ(result_plan.cleared, std::vector<uint64_t>{first});
+  EXPECT_EQ(result_plan.cleared_nominations, std::vector<uint64_t>{first});
   carry_out(result_plan);
   EXPECT_FALSE(plan().capacity_requests.empty());
 }
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -283,7 +283,7 @@
     for (const auto& x : decided.placements) jobs.insert(x.job), machines.insert(x.machine);
     for (const auto& g : decided.gangs) {
       jobs.insert(g.job);
-      for (const auto& [machine, n] : g.on) machines.insert(machine);
+      for (const auto& [machine, n] : g.shares) machines.insert(machine);
     }
     for (const auto& x : decided.queued) jobs.insert(x.job);
     for (const auto& id : jobs) check_job(id);
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -76,7 +76,7 @@
     std::map<std::string, uint32_t> out;
     for (const Placement& placement : plan.placements) out[placement.machine] += placement.count;
     for (const GangPlacement& gang : plan.gangs) {
-      for (const auto& [machine, count] : gang.on) out[machine] += count;
+      for (const auto& [machine, count] : gang.shares) out[machine] += count;
     }
     return out;
   }
@@ -252,9 +252,9 @@
 TEST_F(SchedulerTest, AnAimForTheLastOfAClassBringsTheBoundOnWaitingForward) {
   // Found on a autoscaler: with 99% to begin within two minutes, two minutes were also the bound
   // after which a gang went before all else, too late for the aim.
-  const auto placed_after = [&](Seconds waited) {
+  const auto placed_after = [&](Seconds waiting_seconds) {
     const WallTime before = wall;
-    wall += std::chrono::duration_cast<Millis>(waited);
+    wall += std::chrono::duration_cast<Millis>(waiting_seconds);
     const Plan result_plan = plan();
     wall = before;
     return result_plan.placements.at(0).job;
@@ -549,7 +549,7 @@
 TEST_F(SchedulerTest, TellsThatAMachineIsComing) {
   cloud_capacity.refused_offers.clear();
   add(job("run-000001", 1));
-  EXPECT_EQ(wait_causes(plan()).at("run-000001"), WaitCause::machine_coming);
+  EXPECT_EQ(wait_causes(plan()).at("run-000001"), WaitCause::machine_upcoming);
 }
 
 TEST_F(SchedulerTest, TellsThatRoomIsKeptForAGang) {
@@ -558,7 +558,7 @@
   gang.gang = true;
   gang.need.cpus = 8;
   add(gang);
-  EXPECT_EQ(wait_causes(plan()).at("run-000002"), WaitCause::room_kept);
+  EXPECT_EQ(wait_causes(plan()).at("run-000002"), WaitCause::room_reserved);
 }
 
 TEST_F(SchedulerTest, TellsThatAJobIsQueuedOnly) {
--- a/tests/zone_constraints_test.cpp
+++ b/tests/zone_constraints_test.cpp
@@ -55,7 +55,7 @@
   fill(*cluster.find_machine("vm-2"));  // no room beside it
   const Plan result_plan = plan();
   EXPECT_EQ(placed_by_zone(result_plan), Zones{});
-  EXPECT_EQ(result_plan.cleared, std::vector<uint64_t>{nomination});
+  EXPECT_EQ(result_plan.cleared_nominations, std::vector<uint64_t>{nomination});
 }
 
 TEST_F(ZoneConstraints, ANominationIsNotUsedWhereHalfOfTheJobIsAlready) {
@@ -66,7 +66,7 @@
   const uint64_t nomination = nominate(job, add_machine("vm-2", "a"));
   const Plan result_plan = plan();
   EXPECT_EQ(placed_by_zone(result_plan), Zones{});
-  EXPECT_EQ(result_plan.cleared, std::vector<uint64_t>{nomination});
+  EXPECT_EQ(result_plan.cleared_nominations, std::vector<uint64_t>{nomination});
 }
 
 TEST_F(ZoneConstraints, NominationsInTwoZonesAreUsedInOneOnly) {
