--- a/src/dunlinknot/preemption/fit.cpp
+++ b/src/dunlinknot/preemption/fit.cpp
@@ -1,4 +1,4 @@
-// Capacity with holds and victims, and the simulation that chooses victims on one machine.
+// Computes capacity with holds and victims, and simulates which victims to stop on one machine.
 #include "dunlinknot/preemption/fit.hpp"
 
 #include <algorithm>
@@ -10,18 +10,18 @@
 
 using cluster::Allocation;
 
-// How long one replica of a service is missing while it moves: until another has started.
+// How long a replica of a service is down while it moves: until its replacement has started.
 constexpr Seconds kReplicaMoveDowntime{15};
-// An accelerator counts as so many cores when lost work is weighed.
+// The number of cores that one accelerator counts for in lost work.
 constexpr double kCoresPerGpu = 8;
-// Tasks that need (almost) no cores still lose something when they are stopped.
+// Minimum weight in cores, since stopping a task that needs (almost) no cores is not free either.
 constexpr double kMinCoreWeight = 0.1;
 
 // An allocation that may be stopped for the preemptor.
 struct Removable {
-  size_t index;              // into Machine::allocations
+  size_t index;              // in Machine::allocations
   bool is_victim;            // already on the machine's victim list
-  double lost_core_seconds;  // see lost_work
+  double lost_core_seconds;  // see lost_work()
 };
 
 bool on_list(const std::vector<Victim>* victims, const Allocation& allocation) {
@@ -30,16 +30,16 @@
          });
 }
 
-// Only what a team has beyond its guarantee may be taken back, and it must have some of the kind
-// of resource that the allocation uses.
+// Whether the team's usage beyond its guarantee includes the allocation, in at least one resource
+// that the allocation uses: only that part may be taken back.
 bool covers(const Resources& over_guarantee, const Resources& need) {
   return (need.cpus > 0 && over_guarantee.cpus + Resources::kSlack >= need.cpus) ||
          (need.gpus > 0 && over_guarantee.gpus + Resources::kSlack >= need.gpus);
 }
 
-// Takes the allocation out of what its team has beyond its guarantee; false when it may not go.
-// Jobs within their guarantee stay: else two teams, both with work within their guarantees, would
-// preempt one another for ever.
+// Subtracts the allocation from its team's usage beyond its guarantee; returns false when it must
+// not be stopped. Jobs within their guarantee are never stopped: otherwise two teams, both with
+// work within their guarantees, would preempt each other forever.
 bool try_reclaim(const Allocation& allocation, const Eligibility& preemptor,
                  std::vector<Resources>& over_guarantee) {
   if (!preemptor.within_guarantee || allocation.team < 0 || allocation.team == preemptor.team)
@@ -61,10 +61,10 @@
   if (preemptor.over_guarantee) over_guarantee = *preemptor.over_guarantee;
   for (size_t i = 0; i < machine.allocations.size(); ++i) {
     const Allocation& allocation = machine.allocations[i];
-    // Gangs are never victims, and what is queued on the machine takes no room.
+    // Gangs are never victims, and queued tasks take no room.
     if (allocation.gang || allocation.queued) continue;
     const bool is_victim = on_list(victims, allocation);
-    // Leaves for another reason and in its own time: not to be counted on.
+    // Stops for another reason, at a time that is not known: not counted on.
     if (allocation.stopping() && !is_victim) continue;
     const bool allowed = allocation.priority < preemptor.priority || is_victim ||
                          try_reclaim(allocation, preemptor, over_guarantee);
@@ -75,7 +75,7 @@
   return removable;
 }
 
-// Highest priority first, then the most work lost.
+// Sorts by priority, highest first, then by lost work, most first.
 void sort_most_costly_first(std::vector<Removable>& removable, const cluster::Machine& machine) {
   std::sort(removable.begin(), removable.end(), [&](const Removable& a, const Removable& b) {
     const Priority priority_a = machine.allocations[a.index].priority;
@@ -133,15 +133,15 @@
   if (!need.fits_in(free_after_removal)) return false;  // pass 2: without the holds
   const std::optional<Resources> held = held_against(priority, ignored_nomination);
   if (!held) return true;
-  // Pass 1: victims that are still allocated are subtracted (each once: those the simulation
-  // removed already are not subtracted again), the holds are added.
+  // Pass 1: subtracts victims that are still allocated and adds the holds. Victims that the
+  // simulation has removed already are not subtracted a second time.
   return need.fits_in(free_after_removal + (victims_ - removed_victims) - *held);
 }
 
 uint32_t MachineCapacity::count(const Resources& need, Priority priority,
                                 uint32_t max_tasks) const {
   max_tasks = tasks_that_fit_in(free_, need, max_tasks);  // pass 2
-  // No nomination has the id 0, so none is left out.
+  // 0 is not the id of any nomination, so no hold is ignored.
   const std::optional<Resources> held = held_against(priority, 0);
   return held ? tasks_that_fit_in(free_ + victims_ - *held, need, max_tasks) : max_tasks;
 }
@@ -162,7 +162,7 @@
 
 double lost_work(const Allocation& allocation, const cluster::Job* job, Instant now) {
   if (allocation.running_since == Instant{}) return 0;
-  // Of a replica only the time until it runs elsewhere is lost, however long it ran.
+  // A replica loses only the time until its replacement runs, no matter how long it has run.
   if (allocation.service)
     return kReplicaMoveDowntime.count() * std::max(allocation.need.cpus, kMinCoreWeight);
   const double ran = std::max(0.0, to_seconds(now - allocation.running_since).count());
@@ -190,8 +190,8 @@
     return capacity.fits(need, preemptor.priority, ignored_nomination, freed, removed_victims);
   };
   if (!fits_with(removed)) return std::nullopt;
-  // Take back what need not go, the most costly first. Tasks that are being stopped already cost
-  // nothing more and stay removed.
+  // Restore allocations that need not be stopped, the most costly first. Tasks that are being
+  // stopped already cost nothing more and stay removed.
   sort_most_costly_first(removable, machine);
   VictimSet chosen;
   for (const Removable& candidate : removable) {
--- a/src/dunlinknot/preemption/nominations.cpp
+++ b/src/dunlinknot/preemption/nominations.cpp
@@ -1,4 +1,4 @@
-// The book-keeping of nominations and of the victims on each machine.
+// Bookkeeping of nominations and of the victims on each machine.
 #include "dunlinknot/preemption/nominations.hpp"
 
 #include <spdlog/spdlog.h>
@@ -42,8 +42,8 @@
 void Nominations::end(uint64_t id, NominationEnd reason) {
   const auto it = nominations_.find(id);
   if (it == nominations_.end()) return;
-  spdlog::debug("nomination {} of {} on {} ends: {}", id, it->second.job, it->second.machine,
-                text(reason));
+  spdlog::debug("nomination {} of job {} on machine {} ended: {}", id, it->second.job,
+                it->second.machine, text(reason));
   ++ended_[static_cast<size_t>(reason)];
   const auto remove_from = [id](auto& index, const std::string& key) {
     const auto entry = index.find(key);
--- a/src/dunlinknot/scheduler/apply.cpp
+++ b/src/dunlinknot/scheduler/apply.cpp
@@ -1,4 +1,4 @@
-// What each part of a plan changes in the leader's state.
+// Applies each kind of decision in a plan to the leader's state.
 #include "dunlinknot/scheduler/apply.hpp"
 
 #include <spdlog/spdlog.h>
@@ -19,8 +19,8 @@
   }
   Job& job = *cluster.job(placement.job);
   Machine& machine = *cluster.find_machine(placement.machine);
-  spdlog::debug("placing {} tasks of {} on {} ({})", placement.count, placement.job, machine.id,
-                machine.type);
+  spdlog::debug("placing {} tasks of job {} on machine {} of type {}", placement.count,
+                placement.job, machine.id, machine.type);
   for (uint32_t i = 0; i < placement.count; ++i) {
     auto task_index = job.pop_pending();
     if (!task_index && cluster.withdraw_queued(placement.job, now)) task_index = job.pop_pending();
@@ -30,7 +30,8 @@
   }
 }
 
-// All of the gang's tasks are allocated, or none.
+// Allocates all of the gang's tasks, or none: if one allocation fails, those made before it are
+// withdrawn.
 void allocate_gang(const GangPlacement& gang, LeaderState& state, Instant now, Effects& effects) {
   cluster::Cluster& cluster = state.cluster;
   Job& job = *cluster.job(gang.job);
@@ -38,7 +39,8 @@
   job.gang_may_start = false;
   for (const auto& [id, count] : gang.shares) {
     Machine& machine = *cluster.find_machine(id);
-    spdlog::debug("placing {} tasks of gang {} on {} ({})", count, gang.job, id, machine.type);
+    spdlog::debug("placing {} tasks of gang {} on machine {} of type {}", count, gang.job, id,
+                  machine.type);
     for (uint32_t i = 0; i < count; ++i) {
       const auto task_index = job.pop_pending();
       if (!task_index || !cluster.allocate(machine, job, *task_index, attempt, now)) {
@@ -77,9 +79,10 @@
   }
   state.nominations.add(preemption.job, preemption.machine, preemption.room, preemption.priority,
                         preemption.victims);
-  spdlog::info("preempting on {} for {} (room {} cpus, {} gpus, {} GB):{}", preemption.machine,
-               preemption.job, preemption.room.cpus, preemption.room.gpus,
-               preemption.room.memory_gb, victim_names);
+  spdlog::info(
+      "preempting on machine {} for job {}, which needs {} cpus, {} gpus and {} GB; victims:{}",
+      preemption.machine, preemption.job, preemption.room.cpus, preemption.room.gpus,
+      preemption.room.memory_gb, victim_names);
 }
 
 }  // namespace
--- a/src/dunlinknot/scheduler/array_placement.cpp
+++ b/src/dunlinknot/scheduler/array_placement.cpp
@@ -1,4 +1,4 @@
-// Places for tasks of arrays, the cheapest first.
+// Places tasks of arrays and services on the cheapest machines first.
 #include "dunlinknot/scheduler/array_placement.hpp"
 
 #include <algorithm>
@@ -8,7 +8,8 @@
 
 namespace {
 
-// `most_on_machine`: of a service's replicas, on one machine, those there already included.
+// Places tasks in the order of cost. `max_on_machine` limits the replicas of a service on one
+// machine, those already there included.
 uint32_t place_ranked(CycleState& state, const Job& job, uint32_t max_tasks,
                       PlacementConstraints& constraints, double max_cost, uint32_t max_on_machine) {
   const JobSpec& spec = job.spec();
@@ -16,7 +17,8 @@
   uint32_t placed = 0;
   for (const auto& [cost, candidate] : ranked_candidates(state, job, Readiness::ready)) {
     if (placed == max_tasks || cost > max_cost) break;
-    // A second image would halve the rate at which the gang's comes.
+    // The machine's fetches share its rate: another image would halve the rate for the gang's
+    // image.
     if (candidate->gang_fetching && !candidate->machine->has_image(spec.image)) continue;
     uint32_t max_here = std::min(max_tasks - placed, constraints.tasks_allowed(candidate->zone()));
     if (spec.service) {
@@ -40,7 +42,8 @@
   const uint32_t tasks = job.spec().tasks;
   uint32_t placed = 0;
   if (job.spec().service) {
-    // The loss of one machine should leave some of it running.
+    // First with at most half of the replicas on one machine, so that the loss of one machine
+    // leaves some of the service running.
     const uint32_t half = (tasks + 1) / 2;
     placed = place_ranked(state, job, max_tasks, constraints, max_cost, half);
   }
--- a/src/dunlinknot/scheduler/arrays.cpp
+++ b/src/dunlinknot/scheduler/arrays.cpp
@@ -1,4 +1,4 @@
-// The order in which an array's tasks try their ways to a place.
+// The order in which the tasks of an array or service try the ways to get a machine.
 #include "dunlinknot/scheduler/arrays.hpp"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace {
 
-// An overdue job that nothing was started of begins with one in so many of its tasks.
+// An overdue job none of whose tasks has started begins with 1/16 of its tasks, and one more.
 constexpr uint32_t kInitialTaskDivisor = 16;
 
 }  // namespace
@@ -22,7 +22,8 @@
   }
   const uint32_t allowed = state_.quotas.tasks_allowed(job);
   uint32_t to_place = std::min(job.pending(), allowed);
-  // An overdue job is considered first only so that it begins: the rest keeps its ordinary place.
+  // An overdue job has precedence only so that it can begin: its other tasks keep their ordinary
+  // queue position.
   if (entry.overdue && job.done_count() == 0 && !job.spec().service)
     to_place = std::min(to_place, job.spec().tasks / kInitialTaskDivisor + 1);
   JobNominations nominations(state_, job);
@@ -36,7 +37,8 @@
   }
   if (placed == 0) state_.add_waiting_job(job, cause);
   if (placed == job.pending() && placed < allowed) {
-    // Room for what is queued on a machine elsewhere: it need not wait, if that is sooner.
+    // Place tasks that are queued on a busy machine elsewhere, if they can start there sooner than
+    // within the queue span.
     (void)place_array(state_, job, std::min(job.queued_tasks, allowed - placed), constraints,
                       machine_queueing_.span());
   } else if (nominations.active().empty()) {
@@ -49,8 +51,8 @@
                                             PlacementConstraints& constraints) {
   nominations.keep_at_most(unplaced);
   nominations.add_to(constraints);
-  // What has a nomination waits for its room; the rest may use machines that are coming, then
-  // launch.
+  // Tasks with a nomination wait for its room. The others use upcoming machines first, then request
+  // new ones.
   const uint32_t without_nomination = unplaced - static_cast<uint32_t>(nominations.active().size());
   uint32_t left = without_nomination;
   PlacementConstraints expected = constraints;
@@ -62,7 +64,8 @@
   return cause;
 }
 
-// Replicas that leave a zone make room there for others, so the job's zones are of no concern.
+// The spread over zones is not checked here: replicas that leave a zone make room for others of the
+// job in that zone.
 void ArrayScheduling::prepare_move(const QueueEntry& entry) {
   const Job& job = *entry.job;
   const JobSpec& spec = job.spec();
--- a/src/dunlinknot/scheduler/arrays.hpp
+++ b/src/dunlinknot/scheduler/arrays.hpp
@@ -1,5 +1,5 @@
-// The stage that schedules arrays and services: on machines with room, on those that are coming or
-// are requested, by preemption, and queued on busy machines.
+// The stage that schedules arrays and services: on machines with room, on upcoming or newly
+// requested machines, by preemption, and by queueing tasks on busy machines.
 #pragma once
 #include "dunlinknot/scheduler/job_nominations.hpp"
 #include "dunlinknot/scheduler/job_queue.hpp"
@@ -19,14 +19,15 @@
         preemption_(preemption),
         machine_queueing_(machine_queueing) {}
 
-  // Called in queue order. Adds the job to the plan's waiting jobs when nothing of it was placed.
+  // Schedules one job; called in queue order. Adds the job to the plan's waiting jobs when none of
+  // its tasks was placed.
   void schedule(const QueueEntry& entry);
 
  private:
-  // For `open` tasks that found no place: machines, or victims. Returns what the job waits for.
+  // Requests machines or preempts for `unplaced` tasks. Returns what the job waits for.
   WaitCause request_capacity(const QueueEntry& entry, uint32_t unplaced,
                              JobNominations& nominations, PlacementConstraints& constraints);
-  // Sees to it that the replicas on interrupted machines, which move late, will find room.
+  // Reserves or requests room for the replicas on interrupted machines before they move.
   void prepare_move(const QueueEntry& entry);
 
   CycleState& state_;
--- a/src/dunlinknot/scheduler/candidates.cpp
+++ b/src/dunlinknot/scheduler/candidates.cpp
@@ -1,4 +1,4 @@
-// Which machines can be given work, and which are expected to be up soon.
+// Selects the machines on which tasks can be placed, and those expected to be up soon.
 #include "dunlinknot/scheduler/candidates.hpp"
 
 #include <algorithm>
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Two heartbeats may be missed, and one be late by the second.
+// Whether the last heartbeat is less than two heartbeat intervals plus 1 s old: a missed heartbeat
+// followed by one that is up to 1 s late is tolerated.
 bool heartbeat_is_recent(const CycleInputs& inputs, const Machine& machine) {
   return inputs.now - machine.last_heartbeat <
          to_nanos(inputs.platform.heartbeat_interval * 2 + Seconds(1));
@@ -18,15 +19,15 @@
       machine.listed_failed || machine.interruption_at) {
     return false;
   }
-  // Only a heartbeat with our fencing token proves that the machine is alive under us: one without
-  // may be a late copy, even of a machine that was deleted long ago. And only a machine that our
-  // answers reach can be given anything.
+  // Only a heartbeat with this leader's fencing token proves that the machine is alive in this
+  // term: one without it may be a delayed copy, even from a machine deleted long ago. A machine
+  // that does not receive our responses cannot be given commands.
   if (!machine.fenced || machine.unreachable) return false;
   return heartbeat_is_recent(inputs, machine);
 }
 
-// Not up yet, or just up and about to bear our fencing token: counted on, so that nothing is
-// launched in its place for that moment.
+// Not up yet, or up but without this leader's fencing token in its heartbeats so far. Such machines
+// count as capacity, so that no machine is launched in their place until their next heartbeat.
 bool is_upcoming(const CycleInputs& inputs, const Machine& machine) {
   if (machine.draining || machine.terminating || machine.listed_failed) return false;
   return !machine.has_heartbeat || (!machine.fenced && !machine.lost && !machine.interruption_at &&
@@ -87,8 +88,8 @@
 }
 
 InstancePool& Candidates::pool_of(const Machine& machine) {
-  // Machines of one pool mostly follow one another, since they were launched together: the pool of
-  // the machine before is tried first.
+  // Machines of one pool are mostly adjacent, since they were launched together: the previous
+  // machine's pool is tried first.
   const auto matches = [&](const Offer& offer) {
     return offer.spot == machine.spot && offer.type == machine.type && offer.zone == machine.zone;
   };
--- a/src/dunlinknot/scheduler/candidates.hpp
+++ b/src/dunlinknot/scheduler/candidates.hpp
@@ -1,5 +1,5 @@
-// The machines that a scheduling cycle may use, as the stages before left them: those that are up,
-// those that are expected to be, and those that were asked for.
+// The machines that a scheduling cycle may use, with the capacity that earlier stages left:
+// machines that are up, that are expected to be up soon, and that were requested.
 #pragma once
 #include <deque>
 #include <map>
@@ -16,17 +16,17 @@
 
 struct CandidateMachine;
 
-// Whether a machine can be given tasks in this cycle.
+// Whether tasks can be placed on a machine in this cycle.
 enum class Readiness : uint8_t {
   ready,
-  upcoming,  // not up yet, or only asked for
+  upcoming,  // not up yet, or requested from the cloud
 };
 
-// Machines of one type in one zone. What a job allows is decided once for a pool, not for each of
-// its machines.
+// Machines of one type in one zone, spot or on-demand. Whether a job may use them is decided once
+// per pool, not once per machine.
 struct InstancePool {
   Offer offer;
-  const MachineType* type = nullptr;  // null: not in the catalog
+  const MachineType* type = nullptr;  // null if the catalog lacks the type
   std::vector<CandidateMachine*> ready;
   std::vector<CandidateMachine*> upcoming;
   std::vector<CandidateMachine*>& machines(Readiness readiness) {
@@ -34,15 +34,15 @@
   }
 };
 
-// Room set aside on a machine for a class of jobs or for one gang.
+// Room reserved on a machine for a class of jobs or for one gang.
 struct ReservedRoom {
   Resources room;
-  std::string_view owner;             // the class's name or the gang's id; empty: none
-  Priority priority = Priority::low;  // work of higher priority may use the room
+  std::string_view owner;  // name of the job class or id of the gang; empty: not reserved
+  Priority priority = Priority::low;  // jobs of higher priority may use the room
   bool has_owner() const { return !owner.empty(); }
 };
 
-// One machine in the course of the cycle.
+// A machine and the capacity that the cycle's decisions so far have left on it.
 struct CandidateMachine {
   CandidateMachine(const cluster::Machine* cluster_machine,
                    preemption::MachineCapacity machine_capacity, const InstancePool& instance_pool,
@@ -52,37 +52,36 @@
         pool(&instance_pool),
         upcoming(readiness == Readiness::upcoming) {}
 
-  const cluster::Machine* machine = nullptr;  // null: asked for
+  const cluster::Machine* machine = nullptr;  // null if only requested
   preemption::MachineCapacity capacity;
   const InstancePool* pool;
   bool upcoming = false;
-  std::vector<std::string_view> fetching_images;  // images that tasks there are waiting for
-  bool gang_fetching = false;  // a whole gang waits for the slowest of its fetches
+  std::vector<std::string_view> fetching_images;  // images that tasks on the machine wait for
+  bool gang_fetching = false;                     // a gang waits for one of the fetches
   ReservedRoom reserved;
-  std::optional<size_t> record_room;  // bytes left in its record; empty: not looked at yet
-  uint32_t queued_tasks = 0;          // queued on the machine, this cycle's included
+  std::optional<size_t> record_room;  // bytes left in its record; empty until computed
+  uint32_t queued_tasks = 0;          // on the machine, including those queued in this cycle
   const std::string& zone() const { return pool->offer.zone; }
 };
 
-// The candidate machines of one cycle. They stay where they are in memory.
+// The candidate machines of one cycle. Their addresses stay valid for the cycle.
 class Candidates {
  public:
-  // Collects the machines that can be given work, those that are expected to be up soon, and those
-  // that were asked for.
+  // Collects the machines that are ready, those expected to be up soon, and the pending launches.
   explicit Candidates(const CycleInputs& inputs);
   Candidates(const Candidates&) = delete;
   Candidates& operator=(const Candidates&) = delete;
 
-  // In the order of the cluster's machines, then those asked for.
+  // All candidates: the cluster's machines in its order, then the requested ones.
   std::deque<CandidateMachine>& all() { return machines_; }
   const std::deque<CandidateMachine>& all() const { return machines_; }
   std::map<Offer, InstancePool>& pools() { return pools_; }
 
-  // Null when the machine is no candidate. Walks all: only nominations are looked up, and they are
-  // too few for an index to pay.
+  // Null when the machine is no candidate. A linear search: it is called for nominations only,
+  // which are too few to justify an index.
   CandidateMachine* find(const std::string& machine);
 
-  // A machine that is asked for: coming, and empty. Null when the catalog lacks its type.
+  // Adds an upcoming, empty machine for a launch request. Null when the catalog lacks its type.
   CandidateMachine* add_pending(const Offer& offer);
 
  private:
@@ -94,8 +93,8 @@
   const CycleInputs& inputs_;
   std::map<Offer, InstancePool> pools_;
   std::deque<CandidateMachine> machines_;
-  InstancePool* last_pool_ = nullptr;  // of the machine looked at last
-  // What the capacities of machines that were only asked for refer to.
+  InstancePool* last_pool_ = nullptr;  // of the machine that was added last
+  // Empty machines that the capacities of requested machines refer to.
   std::vector<std::unique_ptr<cluster::Machine>> placeholders_;
 };
 
--- a/src/dunlinknot/scheduler/cycle_inputs.hpp
+++ b/src/dunlinknot/scheduler/cycle_inputs.hpp
@@ -1,4 +1,4 @@
-// The snapshot that one scheduling cycle decides on.
+// The snapshot on which one scheduling cycle decides.
 #pragma once
 #include "dunlinknot/scheduler/scheduler.hpp"
 
@@ -10,7 +10,7 @@
 using cluster::Machine;
 using cluster::PlacementConstraints;
 
-// All that a cycle reads. The caller of plan() keeps it unchanged until the cycle returns.
+// Everything that a cycle reads. The caller of plan() keeps it unchanged until plan() returns.
 struct CycleInputs {
   const Cluster& cluster;
   const preemption::Nominations& nominations;
--- a/src/dunlinknot/scheduler/cycle_state.cpp
+++ b/src/dunlinknot/scheduler/cycle_state.cpp
@@ -1,4 +1,4 @@
-// The state at the beginning of a cycle.
+// Initializes the state of a scheduling cycle.
 #include "dunlinknot/scheduler/cycle_state.hpp"
 
 #include <algorithm>
@@ -7,7 +7,8 @@
 
 namespace {
 
-// A job that waits for its team's limit rather than for a place wants no accelerators.
+// Whether a job waits for machines with accelerators. Jobs whose team is at its limit do not count:
+// they wait for the limit, not for a machine.
 bool accelerators_are_wanted(const Cluster& cluster, const TeamQuotas& quotas) {
   return std::any_of(cluster.jobs().begin(), cluster.jobs().end(), [&](const auto& entry) {
     const Job& job = *entry.second;
--- a/src/dunlinknot/scheduler/gang_placement.cpp
+++ b/src/dunlinknot/scheduler/gang_placement.cpp
@@ -1,4 +1,4 @@
-// The search for room for a whole gang, zone by zone where its tasks must be together.
+// Searches for room for a whole gang, zone by zone if all of its tasks must be in one zone.
 #include "dunlinknot/scheduler/gang_placement.hpp"
 
 #include <algorithm>
@@ -12,13 +12,14 @@
   uint32_t count = 0;
 };
 
-// Room for all of the gang's tasks.
+// Shares of machines with room for all of the gang's tasks.
 struct GangRoom {
-  double cost = 0;  // of the most expensive place: the slowest task sets the gang's start
+  double cost =
+      0;  // of the most expensive share, since the slowest task determines the gang's start
   std::vector<CandidateShare> shares;
 };
 
-// The zones to try, each on its own; the empty name stands for all of them together.
+// The zones to try one by one; a single empty name stands for all zones together.
 std::vector<std::string> zones_to_try(const JobSpec& spec,
                                       const std::vector<RankedCandidate>& ranked) {
   if (!spec.one_zone) return {std::string()};
@@ -61,7 +62,7 @@
   return best;
 }
 
-// Takes the room and returns the shares on machines that are ready.
+// Takes the room and returns the shares on ready machines.
 GangPlacement occupy(CycleState& state, const Job& job, const GangRoom& room) {
   const JobSpec& spec = job.spec();
   GangPlacement placement{spec.id, {}};
--- a/src/dunlinknot/scheduler/gang_placement.hpp
+++ b/src/dunlinknot/scheduler/gang_placement.hpp
@@ -1,15 +1,15 @@
-// Placement of gangs: all tasks or none, on the machines where the slowest of them starts soonest.
+// Placement of gangs: all tasks or none, on the machines where the slowest of them starts earliest.
 #pragma once
 #include "dunlinknot/scheduler/placement.hpp"
 
 namespace dunlinknot::scheduler {
 
-// Places the gang on machines that are ready. False, and nothing is changed, when there is no room
-// for all of its tasks. Its team's limit is the caller's concern.
+// Places the gang on ready machines. Returns false, and changes nothing, when there is no room for
+// all of its tasks. The caller checks the team's limit.
 bool place_gang(CycleState& state, const Job& job, Borrowing borrowing);
 
-// The same with machines that are coming: takes the room and charges the team, so that nothing is
-// launched or placed there in this cycle, but places nothing.
+// The same on ready and upcoming machines: takes the room and charges the team, so that nothing
+// else is placed or launched there in this cycle, but places no task.
 bool reserve_upcoming_for_gang(CycleState& state, const Job& job, Borrowing borrowing);
 
 }  // namespace dunlinknot::scheduler
--- a/src/dunlinknot/scheduler/gang_reservation.cpp
+++ b/src/dunlinknot/scheduler/gang_reservation.cpp
@@ -1,4 +1,5 @@
-// When places on each machine come free, and the soonest set of them that a gang can use.
+// Computes when slots on each machine become free, and the earliest set of slots that a gang can
+// use.
 #include "dunlinknot/scheduler/gang_reservation.hpp"
 
 #include <algorithm>
@@ -8,23 +9,24 @@
 
 namespace {
 
-// A task that has not started is taken to need its estimate and half as much for its fetch.
+// A task that has not started is assumed to take 1.5 times its estimate, the fetch included.
 constexpr double kNotStartedFactor = 1.5;
-// A task that runs over its estimate may end at any time: so much of the estimate is left, one in.
+// A task that runs longer than its estimate may end at any time: it is assumed to need another
+// quarter of its estimate.
 constexpr double kOverrunDivisor = 4;
 
-// Room for one of the gang's tasks.
+// Room on a machine for one of the gang's tasks.
 struct FreeSlot {
-  double in_seconds = 0;  // seconds until it is free, by the estimates
+  double in_seconds = 0;  // until the slot is free, by the estimates
   CandidateMachine* candidate = nullptr;
 };
 
 struct EndingTask {
-  double in_seconds = 0;  // seconds
+  double in_seconds = 0;  // until the task ends
   const Allocation* allocation = nullptr;
 };
 
-// Seconds until the task ends, by its owner's estimate.
+// Seconds until the task ends, by the estimate in its job.
 double seconds_until_end(const Allocation& allocation, Instant now) {
   if (allocation.service) return std::numeric_limits<double>::max();
   const double run = std::max(1.0, allocation.estimate.count());
@@ -33,7 +35,7 @@
   return ran < run ? run - ran : run / kOverrunDivisor;
 }
 
-// Tasks of arrays on the machine, the first to end first.
+// The array tasks on the machine in the order in which they are expected to end.
 std::vector<EndingTask> ending_tasks(const Machine& machine, Instant now) {
   std::vector<EndingTask> tasks;
   for (const Allocation& allocation : machine.allocations) {
@@ -59,7 +61,7 @@
   }
 }
 
-// The places in each zone that the gang may be in; all under one name if it may be in several.
+// The slots in each zone that the gang may use; under one empty name if it may be in several zones.
 std::map<std::string, std::vector<FreeSlot>> slots_by_zone(CycleState& state, const Job& job,
                                                            Borrowing borrowing) {
   const JobSpec& spec = job.spec();
@@ -78,8 +80,7 @@
   return by_zone;
 }
 
-// A place for each of the gang's tasks, the soonest that its constraints allow; none when there
-// are too few.
+// The earliest slots that the gang's constraints allow, one per task; empty when there are too few.
 std::vector<FreeSlot> earliest_slots(const Cluster& cluster, const Job& job,
                                      std::vector<FreeSlot> slots) {
   std::stable_sort(slots.begin(), slots.end(), [](const FreeSlot& a, const FreeSlot& b) {
@@ -114,7 +115,7 @@
     if (reserved.owner != spec.id) reserved.room = Resources{};
     reserved.room += spec.need;
     reserved.owner = spec.id;
-    reserved.priority = Priority::production;  // no ordinary work may take its room
+    reserved.priority = Priority::production;  // so that no other job may use the room
     state_.plan.machines_to_keep.push_back(slot.candidate->machine->id);
   }
   reserved_.insert(&job);
--- a/src/dunlinknot/scheduler/gang_reservation.hpp
+++ b/src/dunlinknot/scheduler/gang_reservation.hpp
@@ -1,6 +1,6 @@
-// Room reserved for gangs that wait while nothing can be launched for them. Gangs do not preempt:
-// the room that others leave is kept for them. Else single tasks take it piece by piece, and the
-// larger the gang the longer it waits.
+// Reservation of room for gangs that wait while no machine can be launched for them. Gangs do not
+// preempt; instead, room that other tasks leave is kept for them. Otherwise single tasks would take
+// that room piece by piece, and the larger a gang, the longer it would wait.
 #pragma once
 #include <limits>
 #include <set>
@@ -9,14 +9,15 @@
 
 namespace dunlinknot::scheduler {
 
-// The reservations for gangs of one cycle.
+// The gang reservations of one cycle.
 class GangReservations {
  public:
   explicit GangReservations(CycleState& state) : state_(state) {}
 
-  // Reserves room for all of the gang's tasks where there will be enough of it first, by the
-  // estimates of the tasks that run there. False, and nothing is reserved, when that takes longer
-  // than `most_seconds` or the allowed machines do not suffice. True if it has its room already.
+  // Reserves room for all of the gang's tasks on the machines that will have enough of it first, by
+  // the estimates of the tasks running there. Returns false, and reserves nothing, when that takes
+  // longer than `max_seconds` or the allowed machines do not suffice. Returns true if the gang
+  // already has a reservation.
   bool reserve(const Job& job, Borrowing borrowing,
                double max_seconds = std::numeric_limits<double>::max());
 
--- a/src/dunlinknot/scheduler/gangs.cpp
+++ b/src/dunlinknot/scheduler/gangs.cpp
@@ -1,4 +1,5 @@
-// How long a gang waits for cheap room before it takes or launches what costs more.
+// Decides how long a gang waits for machines without accelerators before it takes or launches more
+// expensive ones.
 #include "dunlinknot/scheduler/gangs.hpp"
 
 #include <algorithm>
@@ -10,14 +11,16 @@
 
 namespace {
 
-// Overdue gangs that room is reserved for at a time: more of them would leave none to others.
+// Maximum number of overdue gangs with a reservation at a time: more would leave no room for other
+// jobs.
 constexpr size_t kMaxOverdueReservations = 3;
-// The share of the time for its start that a gang waits for room without accelerators.
+// The share of its target wait that a gang waits for room on machines without accelerators.
 constexpr double kMaxReservationWaitShare = 0.25;
-// What is left of that time counts as at least so many seconds.
+// Lower bound in seconds for the remaining target wait.
 constexpr double kMinSecondsLeft = 0.1;
 
-// The shortest time in which the job is expected to start, in seconds from its submission.
+// The shortest wait, in seconds after submission, within which an objective expects the job to
+// start; at most a tenth of the default due time.
 double target_wait_seconds(const CycleInputs& inputs, const QueueEntry& entry) {
   double target_wait = kDefaultDueTime.count() / 10;
   for (const auto& objective : inputs.platform.objectives) {
@@ -29,7 +32,7 @@
   return target_wait;
 }
 
-// Seconds until a machine of a type that the job may use is up, were it launched now.
+// Seconds until a machine of a type that the job may use would be up if it were launched now.
 double shortest_boot_seconds(const CycleState& state, const JobSpec& spec, Borrowing borrowing) {
   double shortest = std::numeric_limits<double>::max();
   for (const MachineType& type : state.cluster().catalog()) {
@@ -63,17 +66,18 @@
   const Job& job = *entry.job;
   const JobSpec& spec = job.spec();
   if (state_.quotas.tasks_allowed(job) < spec.tasks) {
-    // Its team's limit is used up by work behind it in the queue: what that leaves is saved up
-    // for the gang, else smaller tasks take it piece by piece and the gang never starts.
+    // The team's limit is used up by jobs behind this gang in the queue. The remaining quota is
+    // reserved for the gang: otherwise smaller tasks would take it piece by piece and the gang
+    // would never start.
     state_.quotas.charge(job, spec.tasks);
     state_.plan.reserved_quota[static_cast<size_t>(job.team())] += spec.need * spec.tasks;
     return WaitCause::team_limit;
   }
-  // Machines with accelerators are borrowed last: a gang's task there strands accelerators for
-  // as long as it runs. While other work waits for them, it first waits a moment for the room
-  // that short work leaves elsewhere, and for expensive ones until there is no other room.
-  // It waits for a machine to come up only where that is in time for its start, or too late in
-  // any case.
+  // Machines with accelerators are borrowed last: a gang's task there strands accelerators for as
+  // long as it runs. While other tasks wait for them, the gang first waits a short time for room on
+  // other machines, and it uses expensive accelerator machines only when there is no other room. It
+  // waits for a machine to boot only if that machine is up within the target wait, or if the target
+  // wait has passed already.
   const double target_wait = target_wait_seconds(state_.inputs, entry);
   const double seconds_left = target_wait - waiting_seconds(state_.inputs, job);
   for (const Borrowing borrowing : {Borrowing::none, Borrowing::cheap, Borrowing::any}) {
@@ -92,7 +96,7 @@
          waiting_seconds(state_.inputs, job) < target_wait * kMaxReservationWaitShare);
     const double max_seconds =
         last ? std::numeric_limits<double>::max() : std::max(seconds_left, 0.0);
-    // Machines where its tasks strand several accelerators are not what it waits for longer.
+    // Do not reserve machines where the gang's tasks would strand several accelerators.
     if (may_wait && reservations_.reserve(job, last ? Borrowing::cheap : borrowing, max_seconds))
       return WaitCause::room_reserved;
   }
--- a/src/dunlinknot/scheduler/gangs.hpp
+++ b/src/dunlinknot/scheduler/gangs.hpp
@@ -1,5 +1,5 @@
-// The stage that schedules gangs: placement at once, machines to wait for or to launch, or room
-// reserved where work is to end.
+// The stage that schedules gangs: placement at once, on upcoming or newly requested machines, or a
+// reservation of room where running tasks are expected to end.
 #pragma once
 #include <optional>
 #include <set>
@@ -16,19 +16,20 @@
   GangScheduling(CycleState& state, ScaleOutRequests& scale_out)
       : state_(state), scale_out_(scale_out), reservations_(state) {}
 
-  // Before anything else is placed: places the gangs that wait for longer than any order may ask
-  // of them, or reserves their room and what their teams' limits lack. Work ahead of them in the
-  // queue, and single tasks that always are, would else take each place as it comes free.
+  // Called before the other jobs are scheduled. Places overdue gangs (see QueueEntry::overdue), or
+  // reserves room and quota for them. Otherwise jobs ahead of them in the queue, and single tasks,
+  // would take each slot that becomes free.
   void schedule_overdue(const std::vector<QueueEntry>& queue);
 
-  // Called in queue order. Returns what it waits for, or nothing when it was placed.
+  // Schedules one gang; called in queue order. Returns what it waits for, or nothing when it was
+  // placed.
   std::optional<WaitCause> schedule(const QueueEntry& entry);
 
-  // Whether serve_overdue() placed the job.
+  // Whether schedule_overdue() placed the job.
   bool placed_as_overdue(const Job& job) const { return placed_overdue_.contains(&job); }
 
  private:
-  // Whether room was reserved.
+  // Returns whether room was reserved; false also when the gang was placed.
   bool place_or_reserve(const Job& job);
 
   CycleState& state_;
--- a/src/dunlinknot/scheduler/headroom.cpp
+++ b/src/dunlinknot/scheduler/headroom.cpp
@@ -1,4 +1,4 @@
-// How much headroom a class needs, and on which machines it is reserved.
+// Computes how much headroom a class needs and on which machines it is reserved.
 #include "dunlinknot/scheduler/headroom.hpp"
 
 #include <algorithm>
@@ -10,23 +10,24 @@
 
 namespace {
 
-constexpr Millis kArrivalWindow = std::chrono::seconds(200);  // of arrivals that are counted
+constexpr Millis kArrivalWindow = std::chrono::seconds(200);  // arrivals before it are ignored
 constexpr Millis kRecentArrivalWindow = std::chrono::seconds(60);
-constexpr double kMinArrivalWindowSeconds = 60;    // seconds: a single arrival makes no rate
-constexpr double kAcceleratorHeadroomShare = 0.6;  // of the mean, on machines with accelerators
-constexpr double kStandardDeviations = 1.0;        // beyond the mean, in standard deviations
+constexpr double kMinArrivalWindowSeconds = 60;  // a single arrival gives no rate
+// Share of the mean that is reserved on machines with accelerators.
+constexpr double kAcceleratorHeadroomShare = 0.6;
+constexpr double kStandardDeviations = 1.0;  // reserved in addition to the mean
 
-// The order of machines for headroom: lower first.
+// Weights for ranking machines for headroom; a lower sum ranks first.
 constexpr double kUpcomingMachinePenalty = 30;
 constexpr double kNoFreeRoomPenalty = 20;
 constexpr double kPenaltyPerGpu = 25;
 constexpr double kPenaltyPerMissingImage = 10;
 
-// How many tasks of a class may come before new room could be made for them.
+// Expected number of tasks of a class that arrive before new capacity could be ready for them.
 struct ExpectedTasks {
-  uint32_t upper_estimate = 0;  // with the spread of what may come
-  uint32_t mean = 0;            // what comes on average
-  uint32_t sustained_mean = 0;  // the same, by the last minute where that saw less
+  uint32_t upper_estimate = 0;  // mean plus the allowance for variation
+  uint32_t mean = 0;            // share of the mean for machines with accelerators
+  uint32_t sustained_mean = 0;  // the same by the last 60 s, if that is less
 };
 
 ExpectedTasks expected_tasks(const cluster::DemandForecast& forecast, WallTime wall) {
@@ -45,8 +46,7 @@
   const double window_seconds =
       std::max(kMinArrivalWindowSeconds, std::chrono::duration<double>(wall - first).count());
   const double mean_tasks = tasks / window_seconds * kTimeToNewCapacity.count();
-  // What came all at once some time ago, such as a day's first jobs, is no sign of what comes
-  // next.
+  // A burst that is over, such as the first jobs of a day, does not predict further arrivals.
   recent_tasks *= kTimeToNewCapacity.count() / to_seconds(kRecentArrivalWindow).count();
   const double standard_deviation =
       std::sqrt(sum_of_squares / window_seconds * kTimeToNewCapacity.count());
@@ -61,8 +61,8 @@
   return type && offer_allowed(spec, candidate.pool->offer) && spec.need.fits_in(type->size);
 }
 
-// What is free now first; machines with accelerators last, since each task strands what is left of
-// them; those with the class's images before others.
+// Prefers machines with free room, machines without accelerators (each task would strand the rest
+// of the accelerators there), and machines that have the images of the class.
 double headroom_rank(const cluster::DemandForecast& forecast, const CandidateMachine& candidate) {
   const JobSpec& spec = forecast.sample;
   const MachineType* type = candidate.pool->type;
@@ -90,7 +90,8 @@
   return ranked;
 }
 
-// Tasks of gangs without accelerators on those machines that the class would borrow.
+// Counts gang tasks that need no accelerators on the machines with accelerators that the class
+// would borrow.
 uint32_t borrowing_tasks(const JobSpec& spec, const std::vector<RankedCandidate>& ranked) {
   uint32_t tasks = 0;
   for (const auto& [rank, candidate] : ranked) {
@@ -101,8 +102,8 @@
   return tasks;
 }
 
-// What the machine may hold of the class once shorter work there is done: all but what gangs,
-// services and higher priorities hold.
+// The room for the class on the machine once shorter tasks there have ended: its size less what
+// gangs, services and jobs of higher priority hold.
 Resources capacity_for_class(const JobSpec& spec, const CandidateMachine& candidate) {
   Resources room = candidate.pool->type->size;
   if (!candidate.machine) return room;
@@ -115,19 +116,20 @@
 
 void reserve_for_class(CycleState& state, const std::string& job_class,
                        const cluster::DemandForecast& forecast) {
-  // A class that has the time to wait for new machines needs no idle ones.
+  // A class whose target wait allows for new machines to boot needs no headroom.
   if (forecast.target_wait > kTimeToNewCapacity) return;
   const ExpectedTasks expected = expected_tasks(forecast, state.inputs.wall);
   uint32_t unreserved = expected.upper_estimate;
   if (unreserved == 0) return;
   const JobSpec& spec = forecast.sample;
   const std::vector<RankedCandidate> ranked = ranked_for_headroom(forecast, state.candidates);
-  uint32_t counted = borrowing_tasks(spec, ranked);  // against the bound for borrowed machines
+  uint32_t counted = borrowing_tasks(spec, ranked);  // towards the limit for borrowed machines
   for (const auto& [rank, candidate] : ranked) {
     if (unreserved == 0) break;
     if (candidate->reserved.has_owner()) continue;
-    // Machines with accelerators are expensive to keep idle: no more of them than the mean needs,
-    // and where a task would strand several, not for a burst of arrivals that is over.
+    // Machines with accelerators are expensive to keep idle: reserve no more of them than the mean
+    // requires, and where a task would strand several accelerators, do not reserve for a burst that
+    // is over.
     if (const MachineType* type = candidate->pool->type; would_borrow(spec, type)) {
       const bool is_cheap = may_borrow(state, spec, type, Borrowing::cheap);
       const uint32_t max_tasks = is_cheap ? expected.mean : expected.sustained_mean;
--- a/src/dunlinknot/scheduler/headroom.hpp
+++ b/src/dunlinknot/scheduler/headroom.hpp
@@ -1,13 +1,13 @@
-// Headroom: room kept free for classes of jobs that are expected to start soon after they arrive.
+// Headroom: room kept free for classes of jobs whose objective is to start soon after submission.
 #pragma once
 #include "dunlinknot/scheduler/cycle_state.hpp"
 
 namespace dunlinknot::scheduler {
 
-// For each class whose objective for the start leaves no time to make room: reserves room on
-// machines for the tasks that are expected, by the demand forecast. Other work of no higher
-// priority leaves that room alone, and the machines are not returned while they are idle. The first
-// stage of a cycle: candidates must not have been changed yet.
+// Reserves headroom on machines for each class whose target wait is too short to add capacity,
+// sized by the demand forecast. Other jobs of the same or lower priority may not use that room, and
+// the machines are not terminated while idle. The first stage of a cycle: no other stage may have
+// changed the candidates.
 void reserve_headroom(CycleState& state);
 
 }  // namespace dunlinknot::scheduler
--- a/src/dunlinknot/scheduler/job_nominations.cpp
+++ b/src/dunlinknot/scheduler/job_nominations.cpp
@@ -1,4 +1,4 @@
-// Placement of preemptors in the room that is held for them.
+// Places preemptors in the room held for them.
 #include "dunlinknot/scheduler/job_nominations.hpp"
 
 #include <algorithm>
--- a/src/dunlinknot/scheduler/job_nominations.hpp
+++ b/src/dunlinknot/scheduler/job_nominations.hpp
@@ -1,4 +1,4 @@
-// The nominations of one job as a scheduling cycle uses them, lets go of them or waits on them.
+// The nominations of one job in a scheduling cycle: they are used, cleared or kept.
 #pragma once
 #include <string_view>
 #include <vector>
@@ -7,13 +7,13 @@
 
 namespace dunlinknot::scheduler {
 
-// The zone of the machine that a nomination names; empty when that machine was removed.
+// The zone of the nominated machine; empty when that machine was removed.
 std::string_view zone_of_nomination(const CycleInputs& inputs, uint64_t nomination);
 
-// Ends a nomination that is of no use any more: its room is free for others in this cycle too.
+// Clears a nomination that is no longer needed; its room is available to other jobs in this cycle.
 void clear_nomination(CycleState& state, uint64_t nomination);
 
-// The job's nominations that are still open. Each placement and each promise is added to the
+// The job's active nominations. Each placement and each remaining nomination is added to the
 // constraints that the caller passes.
 class JobNominations {
  public:
@@ -22,19 +22,19 @@
   // Oldest first.
   const std::vector<uint64_t>& active() const { return active_; }
 
-  // Places up to `most` tasks in the room that is held for them, where the job's constraints still
-  // allow that; returns how many. Comes before any other place: a preemptor tries its own room
-  // first.
+  // Places up to `max_tasks` tasks in the room held for them, where the job's constraints still
+  // allow it; returns the number placed. To be called before any other placement, since a preemptor
+  // uses its own room first.
   uint32_t place(uint32_t max_tasks, PlacementConstraints& constraints);
-  // Clears the newest until at most `most` are open: tasks that found a place elsewhere need their
-  // nominations no more.
+  // Clears the newest nominations until at most `max_tasks` remain, since tasks that were placed
+  // elsewhere no longer need theirs.
   void keep_at_most(uint32_t max_tasks);
-  // Adds the remaining ones to the constraints, as promises; clears those that the constraints no
-  // longer allow, since the job's other tasks may have gone elsewhere since the nomination.
+  // Adds the remaining nominations to the constraints. Clears those that the constraints no longer
+  // allow, because the job's other tasks were placed elsewhere since the nomination.
   void add_to(PlacementConstraints& constraints);
 
  private:
-  // Whether the task that the nomination is for can be placed now.
+  // Whether a task of the job can be placed now in the room of the nomination.
   bool is_usable(const preemption::Nomination& nomination, CandidateMachine* candidate,
                  const PlacementConstraints& constraints) const;
 
--- a/src/dunlinknot/scheduler/job_queue.cpp
+++ b/src/dunlinknot/scheduler/job_queue.cpp
@@ -1,4 +1,4 @@
-// Due times, the bound on waiting, and the order that follows from them.
+// Due times of jobs, the bounds on waiting, and the resulting queue order.
 #include "dunlinknot/scheduler/job_queue.hpp"
 
 #include <algorithm>
@@ -7,10 +7,10 @@
 
 namespace {
 
-// The bounds on waiting, whatever the order says.
+// Bounds on waiting that hold for every queue position.
 constexpr Seconds kMaxWaitForFirstTask{120};  // until the first task of a job starts
-constexpr Seconds kMaxLateness{240};          // beyond the job's due time
-// What a job that has completed some tasks still takes, as a share of its estimate.
+constexpr Seconds kMaxLateness{240};          // after the job's due time
+// Assumed remaining run time of a job with completed tasks, as a share of its estimate.
 constexpr double kRemainingRunShare = 0.5;
 
 struct DueTime {
@@ -22,7 +22,7 @@
   return std::chrono::duration<double>(inputs.wall - job.submitted()).count();
 }
 
-// By the nearest of its class's objectives that the job can still meet.
+// The due time by the nearest objective of the job's class that it can still meet.
 DueTime due_time(const CycleInputs& inputs, const Job& job) {
   const JobSpec& spec = job.spec();
   if (!spec.deadline) {
@@ -48,10 +48,10 @@
   return {spec.deadline->count() - age, true};
 }
 
-// Seconds after which a job that nothing was started of is overdue. An
-// objective for the start of a class, where it leaves the time to make room, is used up by half at
-// most: what is to begin within it must come before all else well before it is missed. Shorter
-// objectives are met by the ordinary order.
+// Seconds after which a job none of whose tasks has started is overdue. An objective for the start
+// of the job's class lowers the bound to half of that objective, so that the job gets precedence
+// well before the objective is missed. Objectives too short to add capacity do not lower it: the
+// ordinary order meets them.
 double max_wait_seconds(const CycleInputs& inputs, const JobSpec& spec) {
   double max_seconds = kMaxWaitForFirstTask.count();
   for (const auto& objective : inputs.platform.objectives) {
@@ -63,8 +63,8 @@
   return max_seconds;
 }
 
-// A job that nothing was started of goes first after a while, and so does one that is late for
-// longer than the bound.
+// A job is overdue when none of its tasks has started within the bound, or when it is late by more
+// than the maximum lateness.
 bool is_overdue(const CycleInputs& inputs, const Job& job) {
   const double age = waiting_seconds(inputs, job);
   if (job.done_count() == 0 && job.live_count() == job.queued_tasks)
@@ -87,10 +87,9 @@
     queue.push_back({job.get(), state.guaranteed_jobs.contains(id), due.in_seconds, due.late,
                      is_overdue(inputs, *job)});
   }
-  // Priority first, then what a guarantee covers, then what is due first. What is late whatever
-  // happens waits behind what can still be in time: else, when more comes than can be done, every
-  // job is brought to its end a little too late. But no job waits for ever: what is overdue goes
-  // before all else.
+  // Order: priority, then jobs covered by a guarantee, then the earliest due time. A job that can
+  // no longer be on time waits behind those that can; otherwise, under overload, every job would
+  // end slightly too late. Overdue jobs come first, so that no job waits forever.
   std::sort(queue.begin(), queue.end(), [](const QueueEntry& a, const QueueEntry& b) {
     const cluster::QueuePosition position_a = a.queue_position(), position_b = b.queue_position();
     if (position_a.before(position_b) || position_b.before(position_a))
@@ -107,7 +106,7 @@
 }
 
 double waiting_seconds(const CycleInputs& inputs, const Job& job) {
-  // A service may have run for long when it loses a replica, which waits only since then.
+  // A service may have run for a long time before it loses a replica; it waits only since then.
   if (job.spec().service && inputs.now > job.waiting_since)
     return to_seconds(inputs.now - job.waiting_since).count();
   return age_seconds(inputs, job);
--- a/src/dunlinknot/scheduler/machine_queueing.cpp
+++ b/src/dunlinknot/scheduler/machine_queueing.cpp
@@ -1,4 +1,4 @@
-// How much work may wait on a machine, and which tasks join it.
+// Decides how much work is queued on a machine and which tasks are queued there.
 #include "dunlinknot/scheduler/machine_queueing.hpp"
 
 #include <algorithm>
@@ -8,12 +8,13 @@
 
 namespace {
 
-constexpr double kQueuedWriteShare = 0.5;       // of the key-value store's writes, for queued tasks
-constexpr double kMaxQueueSpanSeconds = 20;     // seconds of work queued on a machine
-constexpr uint32_t kMaxQueuedTasksPerSlot = 4;  // at most so many times what fits there
-constexpr uint32_t kMaxSlotsPerMachine = 10'000;  // more of them on one machine are not counted
+constexpr double kQueuedWriteShare = 0.5;  // of the key-value store's write limit, for queued tasks
+constexpr double kMaxQueueSpanSeconds = 20;       // work queued on one machine
+constexpr uint32_t kMaxQueuedTasksPerSlot = 4;    // queued tasks per task that fits there at once
+constexpr uint32_t kMaxSlotsPerMachine = 10'000;  // higher counts are not distinguished
 
-// The shortest span for which the writes of records suffice; 0 if that is below one heartbeat.
+// The shortest span, in seconds, for which the limit on record writes suffices; 0 if that is less
+// than one heartbeat interval.
 double queue_span(const CycleState& state) {
   const settings::Platform& platform = state.inputs.platform;
   const double write_rps = platform.lowest_store_write_rps();
@@ -26,7 +27,7 @@
   return std::max(1.0, spec.estimate.count());
 }
 
-// How many tasks of the job may wait on one machine of the pool; 0: none fits there.
+// The maximum number of the job's tasks queued on one machine of the pool; 0: none fits there.
 uint32_t max_queued(const JobSpec& spec, const InstancePool& pool, double span) {
   const uint32_t slots =
       preemption::tasks_that_fit_in(pool.type->size, spec.need, kMaxSlotsPerMachine);
@@ -35,8 +36,8 @@
                     slots * kMaxQueuedTasksPerSlot);
 }
 
-// How many tasks on the machine would start before one at this position: those queued in this
-// cycle, and earlier ones that come before it.
+// The number of tasks queued on the machine that would start before one at this position: those
+// queued in this cycle, and earlier ones with a better position.
 uint32_t queued_before(const CandidateMachine& candidate, const cluster::QueuePosition& position) {
   uint32_t before = candidate.queued_tasks - candidate.machine->queued_tasks;
   if (candidate.machine->queued_tasks == 0) return before;
@@ -50,8 +51,8 @@
 
 MachineQueueing::MachineQueueing(CycleState& state) : state_(state), span_(queue_span(state)) {}
 
-// For a team at its limit only what ends of its own makes room: no more may wait than that lets
-// start within the span.
+// A team at its limit can start a task only when one of its own ends: limits the queued tasks to
+// those that can start within the span.
 uint32_t MachineQueueing::limit_by_turnover(const Job& job, uint32_t tasks) {
   const JobSpec& spec = job.spec();
   const Resources& used = state_.quotas.used(job.team());
@@ -69,7 +70,8 @@
   const Job& job = *entry.job;
   const JobSpec& spec = job.spec();
   if (tasks == 0 || span_ <= 0 || job.failing || spec.service) return;
-  // Where a task that waits on a machine would be in the way of the others, or they in its way.
+  // A queued task of a job with a zone constraint could block the job's other tasks, or be blocked
+  // by them.
   if (PlacementConstraints(spec).has_zone_constraint()) return;
   const cluster::QueuePosition position = absolute_position(entry, state_.inputs.now);
   if (state_.quotas.tasks_allowed(job) == 0) tasks = limit_by_turnover(job, tasks);
@@ -84,7 +86,7 @@
           !candidate->machine->has_image(spec.image))
         continue;
       const uint32_t before = queued_before(*candidate, position);
-      // Filled up when half is gone, not one by one.
+      // The queue is refilled when it is half empty, not task by task.
       if (before * 2 > max_tasks || !may_use(state_, job, *candidate)) continue;
       const uint32_t queued = std::min(
           {tasks, max_tasks - before, tasks_allowed_by_record(state_.cluster(), job, *candidate)});
--- a/src/dunlinknot/scheduler/machine_queueing.hpp
+++ b/src/dunlinknot/scheduler/machine_queueing.hpp
@@ -1,6 +1,6 @@
-// The stage that queues tasks of arrays on busy machines. Some seconds of work wait on each: enough
-// that one write of a machine's record covers many allocations, and that a task that ends is
-// followed by the next at once.
+// The stage that queues tasks of arrays on busy machines. The queue on each machine holds some
+// seconds of work: enough that one write of the machine's record covers many allocations, and that
+// the next task starts as soon as one ends.
 #pragma once
 #include <map>
 
@@ -9,14 +9,14 @@
 
 namespace dunlinknot::scheduler {
 
-// The queueing of one cycle. To be made before any stage requests machines, since the seconds of
-// work that may wait depend on how many machines there are.
+// The queueing of one cycle. To be constructed before any stage requests machines, since the queue
+// span depends on the number of machines.
 class MachineQueueing {
  public:
   explicit MachineQueueing(CycleState& state);
 
-  // Seconds of work that may wait on a machine; 0: the key-value store's writes suffice for one
-  // task at a time, and every freed place goes to whatever is due first.
+  // Seconds of work that may be queued on a machine. 0: the key-value store's write limit allows
+  // one write per task, so nothing is queued and each free slot goes to the job that is due first.
   double span() const { return span_; }
 
   // Queues up to `tasks` tasks of the job on machines that have its image.
--- a/src/dunlinknot/scheduler/placement.cpp
+++ b/src/dunlinknot/scheduler/placement.cpp
@@ -1,4 +1,4 @@
-// The rules on where tasks may go, and the cost by which places are chosen.
+// The rules on where tasks may be placed, and the cost by which machines are chosen.
 #include "dunlinknot/scheduler/placement.hpp"
 
 #include <algorithm>
@@ -9,19 +9,19 @@
 
 namespace {
 
-// Borrowing::cheap allows a task to keep so many accelerators from use.
+// The number of accelerators that one task may strand under Borrowing::cheap.
 constexpr double kMaxCheapStrandedGpus = 1;
-// How much longer a fetch takes for each other that is under way: they share the rate.
+// Relative slowdown of a fetch for each other fetch in progress: they share the machine's rate.
 constexpr double kSlowdownPerFetch = 0.5;
-// Costs in seconds beyond the fetch. Accelerators are for the work that needs them; spot machines
-// are cheaper; filling up what is in use lets idle machines go.
+// Penalties in seconds, in addition to the fetch. Accelerators are kept for tasks that need them,
+// spot machines are cheaper, and filling machines in use lets idle machines be terminated.
 constexpr double kBorrowingCostSeconds = 20;
 constexpr double kBorrowingCostSecondsPerGpu = 10;
 constexpr double kOnDemandCostSeconds = 5;
 constexpr double kEmptyMachineCostSeconds = 6;
 
-// How many accelerators of an empty machine one task of the job, which needs none, would keep from
-// use because the rest of the machine no longer suffices for them.
+// How many accelerators of an empty machine one task of the job, which needs none, would strand:
+// the remaining cpus and memory no longer suffice to use them.
 double stranded_gpus(const Cluster& cluster, const JobSpec& spec, const MachineType& type) {
   const Resources& needed_per_gpu = cluster.resources_per_gpu();
   if (needed_per_gpu.cpus <= 0 || needed_per_gpu.memory_gb <= 0) return 0;
@@ -57,15 +57,16 @@
   return cost;
 }
 
-// What the job must leave free on the machine beyond the holds of nominations; empty: nothing.
+// The room on the machine that the job may use after reservations, regardless of the holds of
+// nominations; empty: no restriction.
 std::optional<Resources> room_after_reservations(const Cluster& cluster, const JobSpec& spec,
                                                  const CandidateMachine& candidate) {
   std::optional<Resources> rest;
   const Resources& free = candidate.capacity.free();
   const ReservedRoom& reserved = candidate.reserved;
-  // Single tasks without accelerators leave to each free accelerator what its next task will need
-  // besides. Else machines launched for their accelerators fill up with work that could run
-  // anywhere, and that is preempted for a guarantee soon after.
+  // For each free accelerator, single tasks that need none leave the cpus and memory that its next
+  // task will need. Otherwise machines launched for their accelerators would fill up with tasks
+  // that can run anywhere and are soon preempted for a guarantee.
   if (!spec.gang && spec.need.gpus <= 0 && free.gpus > 0 && reserved.owner != spec.job_class)
     rest = free - cluster.resources_per_gpu() * free.gpus;
   const bool reserved_for_other =
@@ -126,8 +127,8 @@
   const JobSpec& spec = job.spec();
   max_tasks = std::min(max_tasks, tasks_allowed_by_record(state.cluster(), job, candidate));
   if (const auto rest = room_after_reservations(state.cluster(), spec, candidate)) {
-    // Unlike preemption::tasks_in, a kind of resource that the task does not need sets no limit,
-    // even where less than nothing of it is left.
+    // Unlike in preemption::tasks_that_fit_in, a resource that the task does not need sets no
+    // limit, even where a negative amount of it is left.
     const auto limit = [&](double available, double need) {
       if (need <= 0) return;
       const double fitting_tasks = std::floor((available + Resources::kSlack) / need);
@@ -178,7 +179,7 @@
 double tasks_per_slot_until_due(const QueueEntry& entry, const MachineType& type,
                                 double ready_in_seconds) {
   const JobSpec& spec = entry.job->spec();
-  if (spec.service) return 1;  // its tasks never leave their places
+  if (spec.service) return 1;  // its replicas do not end
   const double run = std::max(1.0, spec.estimate.count());
   const double span = std::max(run, entry.due - ready_in_seconds - fetch_seconds(spec, type));
   return std::max(1.0, std::floor(span / run));
--- a/src/dunlinknot/scheduler/preemption.cpp
+++ b/src/dunlinknot/scheduler/preemption.cpp
@@ -1,4 +1,4 @@
-// The search for victims over all machines, and what each choice changes for the rest of the cycle.
+// Searches all machines for victims and applies each choice to the state of the cycle.
 #include "dunlinknot/scheduler/preemption.hpp"
 
 #include <algorithm>
@@ -9,12 +9,14 @@
 namespace {
 
 constexpr size_t kMaxPreemptionsPerCycle = 6;
-// An accelerator counts as so many cores when the wait for a fetch is weighed.
+// The number of cores that one accelerator counts for in the cost of waiting for a fetch.
 constexpr double kCoresPerGpu = 8;
-// The hold of a preemption that has no nomination yet: it gets one when the plan is applied.
+// Placeholder id for the hold of a new preemption: its nomination gets an id when the plan is
+// applied.
 constexpr uint64_t kUnassignedNomination = std::numeric_limits<uint64_t>::max();
 
-// The work lost with these victims, and while the preemptor waits for its fetch.
+// The work lost by stopping the victims, plus the work lost while the preemptor fetches its image,
+// in core-seconds.
 double cost_of(const preemption::VictimSet& victims, const CandidateMachine& candidate,
                const JobSpec& spec) {
   const MachineType* type = candidate.pool->type;
@@ -24,8 +26,8 @@
          fetch * std::max(spec.need.cpus, spec.need.gpus * kCoresPerGpu);
 }
 
-// KEP-5690 leaves the ranking of machines to us: the lowest highest victim, the least cost, the
-// fewest victims.
+// KEP-5690 leaves the ranking of machines open. This scheduler prefers the lowest priority of the
+// highest victim, then the lowest cost, then the fewest victims.
 bool is_better(const preemption::VictimSet& a, const CandidateMachine& on_a,
                const preemption::VictimSet& b, const CandidateMachine& on_b, const JobSpec& spec) {
   if (a.highest_priority != b.highest_priority) return a.highest_priority < b.highest_priority;
@@ -43,16 +45,16 @@
 void PreemptionStage::preempt(const QueueEntry& entry, const JobNominations& nominations,
                               uint32_t unplaced, PlacementConstraints& constraints) {
   const Job& job = *entry.job;
-  if (job.failing) return;  // safety 6
-  // A nominated task is eligible again once no victim is allocated on its machine.
+  if (job.failing) return;  // safety 6: a failing job does not preempt
+  // A nominated task may preempt again once no victim is allocated on its machine.
   std::vector<uint64_t> to_renew;
   for (const uint64_t id : nominations.active()) {
     const preemption::Nominations& all_nominations = state_.inputs.nominations;
     if (!all_nominations.has_victims(all_nominations.all().at(id).machine)) to_renew.push_back(id);
   }
   if (unplaced == 0 && to_renew.empty()) return;
-  // With machines to be launched, a task whose room was lost is launched for like any other: it
-  // does not wait on a nomination that is neither used nor renewed.
+  // If machines can be launched, a task whose room was lost gets a machine like any other task. Its
+  // nomination is cleared, since it would be neither used nor renewed.
   const bool can_scale_out = scale_out_.possible(job.spec(), constraints);
   for (const uint64_t id : to_renew) {
     if (!can_scale_out && nominate(entry, id, constraints)) continue;
@@ -82,7 +84,7 @@
 bool PreemptionStage::nominate(const QueueEntry& entry, uint64_t renews,
                                PlacementConstraints& constraints) {
   if (limit_reached()) return renews != 0;
-  // A nomination that is renewed does not stand in the way of the one that replaces it.
+  // The nomination to be renewed does not count against its replacement.
   PlacementConstraints updated_constraints = constraints;
   if (renews) updated_constraints.remove(zone_of_nomination(state_.inputs, renews), 1);
   const PreemptorShape shape = shape_of(entry, constraints);
@@ -141,7 +143,8 @@
     const Allocation& allocation = chosen.machine->allocations[index];
     if (allocation.stopping()) continue;
     chosen.capacity.add_victims(allocation.need);
-    // Its team's limit still counts the victim until it has ended (safety 4).
+    // The team's limit counts the victim until it has ended (safety 4: allocations never exceed a
+    // team's limit).
     if (allocation.team >= 0) state_.quotas.count_victim(allocation.team, allocation.need);
   }
   chosen.capacity.add_hold(kUnassignedNomination, spec.need, spec.priority);
--- a/src/dunlinknot/scheduler/preemption.hpp
+++ b/src/dunlinknot/scheduler/preemption.hpp
@@ -1,5 +1,5 @@
-// The stage that chooses victims: only when nothing can be launched, on one machine at a time, and
-// never by or of gangs (KEP-5690).
+// The stage that chooses victims: only when no machine can be launched, on one machine at a time,
+// and gangs neither preempt nor become victims (KEP-5690).
 #pragma once
 #include <compare>
 #include <set>
@@ -18,15 +18,15 @@
   PreemptionStage(CycleState& state, const ScaleOutRequests& scale_out)
       : state_(state), scale_out_(scale_out) {}
 
-  // Preempts for up to `open` tasks of the job, and renews or clears those of its nominations whose
-  // victims have left without making room. `promised`: what the job holds and is promised; each
-  // preemption is added.
+  // Preempts for up to `unplaced` tasks of the job, and renews or clears those of its nominations
+  // whose victims have left without making room. `constraints` include the job's tasks and
+  // nominations; each new nomination is added.
   void preempt(const QueueEntry& entry, const JobNominations& nominations, uint32_t unplaced,
                PlacementConstraints& constraints);
 
  private:
-  // All that the search for victims depends on besides the cycle's state. What nobody could be
-  // preempted for a moment ago, nobody can be preempted for now: jobs of one shape are alike.
+  // Everything that the search for victims depends on besides the cycle's state. If the search
+  // failed for one job in this cycle, it fails for other jobs of the same shape too.
   struct PreemptorShape {
     int team = -1;
     bool guaranteed = false;
@@ -36,7 +36,7 @@
     double gpus = 0;
     double memory_gb = 0;
     std::vector<std::string> types;
-    // The zone it must be in; the job's id where that depends on its other tasks.
+    // The required zone; the job's id if the zone depends on the job's other tasks.
     std::string zone_or_job;
     auto operator<=>(const PreemptorShape&) const = default;
   };
@@ -46,9 +46,9 @@
   };
 
   static PreemptorShape shape_of(const QueueEntry& entry, const PlacementConstraints& constraints);
-  // Nominates one task of the job. `renews`: the nomination that this replaces, or 0. False when no
-  // victims were found, or for a new nomination also when the cycle's preemptions are used up; a
-  // nomination to be renewed then stays as it is.
+  // Nominates one task of the job. `renews`: the nomination to replace, or 0. Returns false when no
+  // victims were found, and for a new nomination also when the cycle's limit on preemptions is
+  // reached. A nomination to be renewed is kept unchanged when that limit is reached.
   bool nominate(const QueueEntry& entry, uint64_t renews, PlacementConstraints& constraints);
   std::optional<Choice> find_victims(const QueueEntry& entry, uint64_t renews,
                                      const PlacementConstraints& constraints);
@@ -57,8 +57,8 @@
 
   CycleState& state_;
   const ScaleOutRequests& scale_out_;
-  std::set<std::string> preempted_on_;               // machines, once each in a cycle
-  std::set<PreemptorShape> shapes_without_victims_;  // no victims were found in this cycle
+  std::set<std::string> preempted_on_;               // machines; each is used once per cycle
+  std::set<PreemptorShape> shapes_without_victims_;  // the search failed in this cycle
 };
 
 }  // namespace dunlinknot::scheduler
--- a/src/dunlinknot/scheduler/scale_out.cpp
+++ b/src/dunlinknot/scheduler/scale_out.cpp
@@ -1,4 +1,4 @@
-// The choice of offers, by price per task, and the number of machines to request.
+// Chooses offers by price per task, and the number of machines to request.
 #include "dunlinknot/scheduler/scale_out.hpp"
 
 #include <algorithm>
@@ -10,21 +10,23 @@
 
 namespace {
 
-constexpr uint32_t kMaxMachinesPerRequest = 50;  // machines for one array in one cycle
-constexpr double kRoundingTolerance = 1e-9;  // where 1 / share falls just short of a whole number
+// The maximum number of machines requested for one array in one cycle; further machines are
+// requested in later cycles.
+constexpr uint32_t kMaxMachinesPerRequest = 50;
+constexpr double kRoundingTolerance = 1e-9;  // 1 / share may fall just short of a whole number
 
 struct RankedOffer {
   Offer offer;
   uint32_t tasks_per_machine = 0;
   double price = 0;  // per task and hour
   const MachineType* type = nullptr;
-  // The machines that so many tasks need.
+  // The number of machines needed for `tasks` tasks.
   uint32_t machines_for(uint32_t tasks) const {
     return (tasks + tasks_per_machine - 1) / tasks_per_machine;
   }
 };
 
-// What the task takes of an empty machine: the largest of its shares.
+// The share of an empty machine that a task takes: the largest over its resources.
 double share_of(const Resources& need, const Resources& size) {
   double share = 0;
   if (size.cpus > 0) share = std::max(share, need.cpus / size.cpus);
@@ -33,8 +35,8 @@
   return share;
 }
 
-// The offers that may be launched for a job, in zones where it may have further tasks; the lowest
-// price per task first.
+// The offers that may be launched for a job, in zones where it may have further tasks; sorted by
+// price per task.
 std::vector<RankedOffer> ranked_offers(const CycleInputs& inputs, const JobSpec& spec,
                                        const PlacementConstraints& constraints) {
   std::vector<RankedOffer> ranked;
@@ -59,8 +61,8 @@
   return ranked;
 }
 
-// How many of the gang's tasks have room now, by zone, on machines that are ready or coming. May
-// be more than the gang may have there.
+// How many of the gang's tasks have room now, by zone, on ready and upcoming machines. The number
+// is not limited by the gang's constraints.
 std::map<std::string, uint32_t> room_by_zone(CycleState& state, const Job& job,
                                              Borrowing borrowing) {
   const JobSpec& spec = job.spec();
@@ -74,11 +76,11 @@
 }
 
 struct GangRequest {
-  const RankedOffer* offer = nullptr;  // null: nothing to launch
+  const RankedOffer* offer = nullptr;  // null: no machine can be launched
   uint32_t machines = 0;
 };
 
-// The offer with which what the gang lacks costs least.
+// The offer that provides the room the gang lacks at the lowest cost.
 GangRequest cheapest_for_gang(const CycleState& state, const JobSpec& spec,
                               const std::vector<RankedOffer>& offers,
                               const PlacementConstraints& constraints,
@@ -94,7 +96,7 @@
     if (!may_borrow(state, spec, ranked.type, borrowing)) continue;
     const uint32_t room_in_zone = room[ranked.offer.zone];
     const uint32_t allowed_in_zone = constraints.tasks_allowed(ranked.offer.zone);
-    if (room_in_zone >= allowed_in_zone) continue;  // more machines there would not help
+    if (room_in_zone >= allowed_in_zone) continue;  // further machines there cannot be used
     const uint32_t usable_room = spec.one_zone ? room_in_zone : total_room;
     uint32_t missing = spec.tasks > usable_room ? spec.tasks - usable_room : 1;
     missing = std::min(missing, allowed_in_zone - room_in_zone);
@@ -141,9 +143,9 @@
   const auto offers = ranked_offers(state_.inputs, spec, expected);
   if (offers.empty() || machine_limit_reached()) return 0;
   const RankedOffer& cheapest = offers.front();
-  // What the job may not have in one zone has to be launched elsewhere, in the cycles that follow.
+  // Tasks that the job may not have in this zone get machines elsewhere in later cycles.
   const uint32_t max_there = expected.tasks_allowed(cheapest.offer.zone);
-  // As many machines as finish what is left in time, not one for every task at once.
+  // Request as many machines as finish the remaining tasks by the due time, not one slot per task.
   const double tasks_per_slot =
       tasks_per_slot_until_due(entry, *cheapest.type, cheapest.type->boot.count());
   uint32_t slots = static_cast<uint32_t>(std::ceil(unplaced / tasks_per_slot));
--- a/src/dunlinknot/scheduler/scale_out.hpp
+++ b/src/dunlinknot/scheduler/scale_out.hpp
@@ -1,4 +1,4 @@
-// The stage that asks for machines: the cheapest offers for what has no room.
+// The stage that requests machines: the cheapest offers for tasks that have no room.
 #pragma once
 #include <string>
 
@@ -6,8 +6,8 @@
 
 namespace dunlinknot::scheduler {
 
-// The requests of one cycle. Each requested machine is a candidate from then on, so that later jobs
-// use what it has left.
+// The machine requests of one cycle. Each requested machine becomes a candidate, so that later jobs
+// can use its remaining room.
 class ScaleOutRequests {
  public:
   explicit ScaleOutRequests(CycleState& state) : state_(state) {}
@@ -15,13 +15,14 @@
   // Whether any machine may be launched for the job, in zones where it may have further tasks.
   bool possible(const JobSpec& spec, const PlacementConstraints& constraints) const;
 
-  // Requests machines for `open` tasks of an array; returns how many tasks that provides for.
-  // `expected`: what the job has, is promised, or is counted on to get.
+  // Requests machines for `unplaced` tasks of an array or service; returns how many tasks that
+  // provides for. `expected` counts the job's tasks, nominations and reserved slots on upcoming
+  // machines.
   uint32_t request_for_array(const QueueEntry& entry, uint32_t unplaced,
                              const PlacementConstraints& expected);
 
-  // Requests what the gang lacks, where that costs least, and takes the room for it. False when
-  // there is nothing to launch.
+  // Requests the machines that the gang lacks, from the cheapest offer, and takes the room for the
+  // gang. Returns false when no machine can be launched.
   bool request_for_gang(const QueueEntry& entry, Borrowing borrowing);
 
  private:
@@ -29,7 +30,7 @@
   CandidateMachine& request_machine(const Offer& offer, const std::string& job);
 
   CycleState& state_;
-  size_t requested_ = 0;  // machines, in this cycle
+  size_t requested_ = 0;  // machines requested in this cycle
 };
 
 }  // namespace dunlinknot::scheduler
--- a/src/dunlinknot/scheduler/scheduler.cpp
+++ b/src/dunlinknot/scheduler/scheduler.cpp
@@ -1,4 +1,4 @@
-// Entry of the scheduler, and the texts of what jobs wait for.
+// Entry point of the scheduler, and the texts of wait causes.
 #include "dunlinknot/scheduler/scheduler.hpp"
 
 #include "dunlinknot/scheduler/scheduling_cycle.hpp"
@@ -8,17 +8,17 @@
 std::string_view text(WaitCause cause) {
   switch (cause) {
     case WaitCause::team_limit:
-      return "its team's limit";
+      return "its team's limit is used up";
     case WaitCause::queued_on_machine:
-      return "a task to end on the machine where it is allocated";
+      return "queued on a machine until a task there ends";
     case WaitCause::machine_upcoming:
-      return "a machine that is coming";
+      return "a machine to be launched or to boot";
     case WaitCause::preemption:
-      return "tasks that are being stopped for it";
+      return "victims that are being stopped for it";
     case WaitCause::room_reserved:
-      return "tasks to end where room is kept for it";
+      return "tasks to end on machines where room is reserved for it";
     case WaitCause::no_room:
-      return "room, and none can be launched";
+      return "no allowed machine has room and none can be launched";
   }
   return "";
 }
--- a/src/dunlinknot/scheduler/scheduler.hpp
+++ b/src/dunlinknot/scheduler/scheduler.hpp
@@ -1,8 +1,8 @@
-// What should run where: a pure function of a snapshot of the cluster, the nominations, the cloud's
-// capacity and the time. It returns a plan and changes nothing; apply() carries the plan out, and
-// the autoscaler launches what it asks for.
+// Decides which tasks run on which machines: a pure function of a snapshot of the cluster, the
+// nominations, the cloud's capacity and the time. plan() changes nothing; apply() applies the
+// returned plan, and the autoscaler launches the machines that it requests.
 //
-// The stages of a cycle are in this directory, a file each; scheduling_cycle.cpp runs them.
+// Each stage of a cycle has its own file in this directory; scheduling_cycle.cpp runs them.
 #pragma once
 #include <map>
 #include <set>
@@ -15,7 +15,7 @@
 
 namespace dunlinknot::scheduler {
 
-// One kind of machine that may be launched in one place.
+// A machine type in one zone, spot or on-demand, that can be launched.
 struct Offer {
   std::string type;
   std::string zone;
@@ -23,17 +23,17 @@
   auto operator<=>(const Offer&) const = default;
 };
 
-// Machines that were asked for and that the cloud has not confirmed yet.
+// Machines that were requested and that the cloud has not confirmed yet.
 struct PendingLaunch {
   Offer offer;
   uint32_t count = 0;
 };
 
-// What is known of the cloud, from the autoscaler.
+// The autoscaler's view of the cloud's capacity.
 struct CloudCapacity {
   std::vector<PendingLaunch> pending_launches;
-  std::set<Offer> refused_offers;  // of late: not asked for again for a while
-  size_t machine_count = 0;        // that we have, counted against Operator::max_machines
+  std::set<Offer> refused_offers;  // refused recently; not requested again during the backoff
+  size_t machine_count = 0;        // machines in the cluster, limited by Operator::max_machines
 };
 
 // Tasks of an array or a service to be allocated on a machine with room for them.
@@ -41,10 +41,10 @@
   std::string job;
   std::string machine;
   uint32_t count = 0;
-  std::vector<uint64_t> ends_nominations;  // that the tasks used up
+  std::vector<uint64_t> ends_nominations;  // nominations that the tasks use
 };
 
-// Tasks allocated on a machine that is full: each starts when a task there ends.
+// Tasks to be queued on a busy machine: each starts when a task there ends.
 struct QueuedPlacement {
   std::string job;
   std::string machine;
@@ -52,7 +52,7 @@
   cluster::QueuePosition queue_position;
 };
 
-// So many tasks of a gang on one machine.
+// The number of a gang's tasks on one machine.
 struct GangShare {
   std::string machine;
   uint32_t count = 0;
@@ -64,60 +64,61 @@
   std::vector<GangShare> shares;
 };
 
-// Machines that should be launched.
+// A request to launch machines of one offer.
 struct CapacityRequest {
   Offer offer;
   uint32_t count = 0;
-  std::string job;  // that asked for the offer first; others may share the request
+  std::string job;  // the first job that needed the offer; others may share the request
 };
 
 // Victims to be stopped on one machine so that one task of the job fits there.
 struct Preemption {
-  std::string job;  // the preemptor's
+  std::string job;  // of the preemptor
   std::string machine;
   Resources room;  // to be held for the preemptor
   Priority priority = Priority::low;
   std::vector<preemption::Victim> victims;
   double lost_core_seconds = 0;  // see preemption::VictimSet
-  uint64_t renews = 0;           // the nomination that this one replaces; 0: none
+  uint64_t renews = 0;           // the nomination to replace; 0: none
 };
 
-// What a job that has not begun waits for.
+// What a job without started tasks waits for.
 enum class WaitCause : uint8_t {
-  team_limit,         // its team's limit is used up, or saved up for it
-  queued_on_machine,  // a task to end on the machine where it is allocated
-  machine_upcoming,   // a machine that boots or was asked for
-  preemption,         // tasks that are being stopped for it
-  room_reserved,      // room is kept for it where tasks are to end
+  team_limit,         // the team's limit is used up or reserved for this job
+  queued_on_machine,  // the end of a task on the machine where it is queued
+  machine_upcoming,   // a machine that boots or was requested
+  preemption,         // victims that are being stopped
+  room_reserved,      // the end of tasks on machines where room is reserved for it
   no_room,            // no allowed machine has room, and none can be launched
 };
-// The cause as users are shown it, to follow "waits for".
+// The cause as text for log lines.
 std::string_view text(WaitCause cause);
 
-// A job none of whose tasks has begun, and why.
+// A job without started tasks, and what it waits for.
 struct WaitingJob {
   std::string job;
   WaitCause cause;
 };
 
-// The decisions of one cycle, each list in the order in which it was decided.
+// The decisions of one cycle, each list in the order of the decisions.
 struct Plan {
   std::vector<Placement> placements;
   std::vector<GangPlacement> gangs;
   std::vector<QueuedPlacement> queued;
-  std::map<std::string, Resources> reserved_room;  // by machine: room that queued tasks must leave
-  std::vector<Resources> reserved_quota;           // by team: of its limit, for gangs
+  std::map<std::string, Resources> reserved_room;  // by machine; queued tasks must not take it
+  std::vector<Resources> reserved_quota;           // by team; kept for waiting gangs
   std::vector<CapacityRequest> capacity_requests;
   std::vector<Preemption> preemptions;
-  std::vector<uint64_t> cleared_nominations;  // nominations that are of no use any more
+  std::vector<uint64_t> cleared_nominations;  // that are no longer needed
   std::vector<std::string>
-      machines_to_keep;      // idle machines that waiting work will use: not to be returned
+      // Idle machines that waiting tasks will use; they must not be terminated.
+      machines_to_keep;
   size_t waiting_tasks = 0;  // before this cycle's placements
   std::vector<WaitingJob> waiting_jobs;
 };
 
-// Runs one scheduling cycle. Called by the leader under the lock that guards its state. `wall` is
-// for the ages of jobs, which outlive this process; `now` is for all else.
+// Runs one scheduling cycle. The leader calls it under the lock that guards its state. `wall` is
+// used for the ages of jobs, which outlive this process, and `now` for everything else.
 Plan plan(const cluster::Cluster& cluster, const preemption::Nominations& nominations,
           const CloudCapacity& cloud_capacity, const settings::Platform& platform,
           const settings::Operator& operator_settings, WallTime wall, Instant now);
--- a/src/dunlinknot/scheduler/scheduling_cycle.cpp
+++ b/src/dunlinknot/scheduler/scheduling_cycle.cpp
@@ -1,4 +1,4 @@
-// The order of the stages.
+// Runs the stages of a scheduling cycle in order.
 #include "dunlinknot/scheduler/scheduling_cycle.hpp"
 
 #include "dunlinknot/scheduler/headroom.hpp"
@@ -33,7 +33,7 @@
   }
 }
 
-// What tasks that are queued on a machine must leave to others when a task there ends.
+// Records the room that tasks queued on a machine must not take when a task there ends.
 void SchedulingCycle::record_reserved_room() {
   for (const CandidateMachine& candidate : state_.candidates.all()) {
     if (!candidate.machine) continue;
--- a/src/dunlinknot/scheduler/scheduling_cycle.hpp
+++ b/src/dunlinknot/scheduler/scheduling_cycle.hpp
@@ -1,19 +1,19 @@
-// One scheduling cycle: the stages, in their order. Internal to the scheduler; plan() runs one.
+// One scheduling cycle, which runs the stages in order. Internal to the scheduler; plan() runs one.
 #pragma once
 #include "dunlinknot/scheduler/arrays.hpp"
 #include "dunlinknot/scheduler/gangs.hpp"
 
 namespace dunlinknot::scheduler {
 
-// Each stage works on the candidates as the stages before it left them and adds to the plan;
-// nothing here changes the cluster. Lives for one call of run().
+// Each stage uses the candidates as earlier stages left them and adds to the plan; the cluster is
+// not changed. One instance serves a single call of run().
 class SchedulingCycle {
  public:
   explicit SchedulingCycle(const CycleInputs& inputs);
   SchedulingCycle(const SchedulingCycle&) = delete;
   SchedulingCycle& operator=(const SchedulingCycle&) = delete;
 
-  // To be called once.
+  // Runs all stages and returns the plan. Must be called only once.
   Plan run();
 
  private:
--- a/src/dunlinknot/scheduler/team_quotas.cpp
+++ b/src/dunlinknot/scheduler/team_quotas.cpp
@@ -1,4 +1,4 @@
-// Limits and guarantees of teams, counted in tasks and in resources.
+// Computes usage against the teams' limits and guarantees, in tasks and in resources.
 #include "dunlinknot/scheduler/team_quotas.hpp"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Usage is raised by this factor before a team counts as clear of its limit.
+// Usage is multiplied by this factor before a team counts as well below its limit.
 constexpr double kUsageMarginFactor = 1.05;
 
 uint32_t tasks_below_limit(const settings::Team& team, const Resources& used,
@@ -24,8 +24,9 @@
   return tasks <= 0 ? 0 : static_cast<uint32_t>(tasks);
 }
 
-// Whether `job`, the last of the jobs that need `sum` in all, is covered by the guarantee: in each
-// kind of resource that it needs and that is guaranteed at all, of which there must be one.
+// Whether the guarantee covers `job`, the last of the jobs that need `sum` in total: `sum` must be
+// within the guarantee for each resource that the job needs and that is guaranteed, and there must
+// be at least one such resource.
 bool covered_by_guarantee(const settings::Team& guarantee, const Resources& sum,
                           const Resources& job) {
   bool uses_guarantee = false;
