--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -1,7 +1,7 @@
-// Random clusters, several cycles in a row with the plans carried out: whatever is planned and
-// whatever starts keeps to the jobs' constraints, the teams' limits and the machines' room. The
-// judges are independent of the scheduler: the checker of rules.hpp for what starts, and counts of
-// their own over the allocations for what is planned.
+// Property test on random clusters: over several scheduling cycles whose plans are applied,
+// everything planned and everything started respects the jobs' constraints, the teams' limits and
+// the machines' capacity. The checks are independent of the scheduler: the rule checker of
+// rules.hpp for what starts, and separate counts over the allocations for what is planned.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -19,18 +19,18 @@
 using preemption::NominationEnd;
 using std::chrono::seconds;
 
-// What a set of clusters brought about, to show that they were no idle ones.
-struct Tally {
+// Totals over a set of clusters, to show that the scenarios exercise the scheduler.
+struct Totals {
   uint64_t preemptions = 0;
-  uint64_t used = 0;     // nominations
-  uint64_t cleared = 0;  // nominations
+  uint64_t used_nominations = 0;
+  uint64_t cleared_nominations = 0;
   uint64_t zone_bound_starts = 0;
   uint64_t terms = 0;
 };
 
-// One machine with its worker: what it was told to run, and when each task exits.
+// A simulated machine and its worker: the tasks it was commanded to run, and when each exits.
 struct SimulatedMachine {
-  test::RuleChecker::Machine place;
+  test::RuleChecker::Machine description;
   struct Running {
     uint64_t attempt = 0;
     Instant ends{};
@@ -41,13 +41,13 @@
   std::optional<wire::MachineRecord> stored;
   uint64_t sequence = 0;
   uint64_t fencing_token = 0;
-  Instant lease_counted_from{};
+  Instant no_heartbeat_until{};
   bool removed = false;
 };
 
 class RandomCluster {
  public:
-  RandomCluster(uint32_t seed, Tally& tally) : random_(seed), tally_(tally) {
+  RandomCluster(uint32_t seed, Totals& totals) : random_(seed), totals_(totals) {
     platform_.zones = {"a", "b", "c"};
     platform_.teams = {{"red", 12, 40, 4, 8}, {"blue", 0, 24, 0, 6}, {"tiny", 4, 6, 0, 2}};
     MachineType box;
@@ -65,27 +65,28 @@
     for (size_t n = 4 + pick(9); n > 0; --n) add_machine();
   }
 
-  void play(int rounds) {
-    for (int k = 0; k < rounds && !failed_; ++k) {
+  void run_rounds(int rounds) {
+    for (int round = 0; round < rounds && !failed_; ++round) {
       clock_.set(clock_.now() + Millis(200 + 300 * pick(8)));
       if (chance(0.5)) submit();
-      if (chance(0.1)) close_some_job();
-      if (chance(0.05)) lose_machine();
+      if (chance(0.1)) cancel_random_job();
+      if (chance(0.05)) lose_random_machine();
       if (chance(0.08)) add_machine();
       if (chance(0.04)) begin_term();
-      if (chance(0.1)) fail_a_stop_call();
+      if (chance(0.1)) fail_stop_call();
       end_tasks();
-      heartbeat_all();
+      send_heartbeats();
       (void)state_.cluster.expire_leases(clock_.now());
       (void)state_.cluster.tick(clock_.now());
-      cycle();
-      store_some();
-      heartbeat_all();
+      run_cycle();
+      store_some_records();
+      send_heartbeats();
     }
-    tally_.used += state_.nominations.ended_count(NominationEnd::placed);
-    tally_.cleared += state_.nominations.ended_count(NominationEnd::cleared);
-    for (const auto& broken : rules_.violations()) ADD_FAILURE() << broken;
-    EXPECT_EQ(state_.cluster.refused_allocations(), 0u) << "a plan broke its job's constraints";
+    totals_.used_nominations += state_.nominations.ended_count(NominationEnd::placed);
+    totals_.cleared_nominations += state_.nominations.ended_count(NominationEnd::cleared);
+    for (const auto& violation : rules_.violations()) ADD_FAILURE() << violation;
+    EXPECT_EQ(state_.cluster.refused_allocations(), 0u)
+        << "a plan violated the constraints of a job";
   }
   bool failed() const { return failed_ || !rules_.violations().empty(); }
 
@@ -94,32 +95,34 @@
   bool chance(double p) { return std::uniform_real_distribution<double>(0, 1)(random_) < p; }
 
   void begin_term() {
-    ++tally_.terms;
+    ++totals_.terms;
     state_.cluster.begin_term(++epoch_, clock_.now());
     state_.cluster.set_catalog(types_);
     state_.nominations.clear();
-    for (const auto& [id, spec] : open_) {
+    for (const auto& [id, spec] : open_jobs_) {
       state_.cluster.load_job({spec, wall(id)}, 10, clock_.now());
-      for (const uint32_t index : done_[id]) state_.cluster.job(id)->mark_done(index);
+      for (const uint32_t index : done_tasks_[id]) state_.cluster.job(id)->mark_done(index);
     }
-    for (auto& [id, m] : machines_) {
-      if (!m.removed && m.stored) state_.cluster.load_machine(id, *m.stored, 5, clock_.now());
+    for (auto& [id, simulated] : machines_) {
+      if (!simulated.removed && simulated.stored)
+        state_.cluster.load_machine(id, *simulated.stored, 5, clock_.now());
     }
   }
 
-  WallTime wall(const std::string& id) const { return submitted_.at(id); }
+  WallTime wall(const std::string& id) const { return submit_times_.at(id); }
 
   void add_machine() {
     const std::string id = "vm-" + std::to_string(100 + machines_.size());
-    SimulatedMachine& m = machines_[id];
-    // Uneven zones: most of the machines are in the first.
+    SimulatedMachine& simulated = machines_[id];
+    // Uneven zones: half of the machines on average are in the first.
     const std::vector<std::string> zones{"a", "a", "b", "c"};
-    m.place = {id, chance(0.7) ? "box" : "rig", zones[pick(zones.size())], chance(0.25)};
-    m.fencing_token = epoch_;  // it has heard this leader
+    simulated.description = {id, chance(0.7) ? "box" : "rig", zones[pick(zones.size())],
+                             chance(0.25)};
+    simulated.fencing_token = epoch_;  // it has received a response of this leader
   }
 
   void submit() {
-    const std::string id = "run-" + std::to_string(100000 + submitted_.size());
+    const std::string id = "run-" + std::to_string(100000 + submit_times_.size());
     JobSpec spec = test::job(id, chance(0.1) ? 40 : 1 + pick(9));
     spec.team = std::vector<std::string>{"red", "blue", "tiny"}[pick(3)];
     spec.need = {static_cast<double>(1 + pick(4)), 0, 2};
@@ -141,40 +144,41 @@
       spec.service = true;
       spec.estimate = Seconds(0);
     }
-    submitted_[id] = clock_.wall();
-    open_[id] = spec;
+    submit_times_[id] = clock_.wall();
+    open_jobs_[id] = spec;
     rules_.submitted(spec);
     state_.cluster.load_job({spec, wall(id)}, 10, clock_.now());
   }
 
-  void close_some_job() {
-    if (open_.empty()) return;
-    const auto it = std::next(open_.begin(), static_cast<ptrdiff_t>(pick(open_.size())));
+  void cancel_random_job() {
+    if (open_jobs_.empty()) return;
+    const auto it = std::next(open_jobs_.begin(), static_cast<ptrdiff_t>(pick(open_jobs_.size())));
     close(it->first, true);
   }
 
   void close(const std::string& id, bool cancelled) {
     (void)state_.cluster.close_job(id, cancelled, clock_.now());
     state_.nominations.end_all_of_job(id);
-    open_.erase(id);
+    open_jobs_.erase(id);
   }
 
-  void lose_machine() {
+  void lose_random_machine() {
     if (machines_.empty()) return;
     const auto it = std::next(machines_.begin(), static_cast<ptrdiff_t>(pick(machines_.size())));
-    SimulatedMachine& m = it->second;
-    if (m.removed) return;
-    if (chance(0.5)) {  // not heard of for a while, and back within its lease
-      m.lease_counted_from = clock_.now() + seconds(2 + pick(8));
+    SimulatedMachine& simulated = it->second;
+    if (simulated.removed) return;
+    if (chance(0.5)) {  // sends no heartbeat for a while, but again within its lease
+      simulated.no_heartbeat_until = clock_.now() + seconds(2 + pick(8));
       return;
     }
-    m.removed = true;
-    for (const auto& [task, r] : m.tasks) rules_.ended(it->first, task, r.attempt, false);
-    m.tasks.clear();
+    simulated.removed = true;
+    for (const auto& [task, running] : simulated.tasks)
+      rules_.ended(it->first, task, running.attempt, false);
+    simulated.tasks.clear();
     if (chance(0.5)) (void)state_.cluster.remove_machine(it->first, clock_.now());
   }
 
-  void fail_a_stop_call() {
+  void fail_stop_call() {
     for (const auto& [id, machine] : state_.cluster.machines()) {
       const auto* victims = state_.nominations.victims_on(id);
       if (!victims) continue;
@@ -184,8 +188,8 @@
   }
 
   void end_tasks() {
-    for (auto& [id, m] : machines_) {
-      for (auto it = m.tasks.begin(); it != m.tasks.end();) {
+    for (auto& [id, simulated] : machines_) {
+      for (auto it = simulated.tasks.begin(); it != simulated.tasks.end();) {
         if (it->second.ends > clock_.now()) {
           ++it;
           continue;
@@ -194,133 +198,140 @@
         const ExitCause cause = stopped        ? ExitCause::stopped
                                 : chance(0.03) ? ExitCause::error
                                                : ExitCause::done;
-        exit(id, m, it->first, it->second.attempt, cause);
-        it = m.tasks.erase(it);
+        exit(id, simulated, it->first, it->second.attempt, cause);
+        it = simulated.tasks.erase(it);
       }
     }
   }
 
-  void exit(const std::string& id, SimulatedMachine& m, const TaskRef& task, uint64_t attempt,
-            ExitCause cause) {
+  void exit(const std::string& id, SimulatedMachine& simulated, const TaskRef& task,
+            uint64_t attempt, ExitCause cause) {
     rules_.ended(id, task, attempt, cause == ExitCause::done);
-    m.exited.push_back({task, attempt, TaskState::exited, cause, false});
-    if (cause != ExitCause::done || !open_.contains(task.job)) return;
-    const JobSpec& spec = open_.at(task.job);
-    auto& done = done_[task.job];
+    simulated.exited.push_back({task, attempt, TaskState::exited, cause, false});
+    if (cause != ExitCause::done || !open_jobs_.contains(task.job)) return;
+    const JobSpec& spec = open_jobs_.at(task.job);
+    auto& done = done_tasks_[task.job];
     for (uint32_t i = 0; i < spec.tasks; ++i) {
       if (spec.gang || i == task.index) done.insert(i);
     }
   }
 
-  void heartbeat_all() {
-    for (auto& [id, m] : machines_) {
-      if (!m.removed && clock_.now() >= m.lease_counted_from) heartbeat(id, m);
+  void send_heartbeats() {
+    for (auto& [id, simulated] : machines_) {
+      if (!simulated.removed && clock_.now() >= simulated.no_heartbeat_until)
+        heartbeat(id, simulated);
     }
-    std::vector<std::string> over;
-    for (const auto& [id, spec] : open_) {
+    std::vector<std::string> completed;
+    for (const auto& [id, spec] : open_jobs_) {
       const Job* job = state_.cluster.job(id);
-      if (job && job->all_done()) over.push_back(id);
+      if (job && job->all_done()) completed.push_back(id);
     }
-    for (const auto& id : over) close(id, false);
+    for (const auto& id : completed) close(id, false);
   }
 
-  void heartbeat(const std::string& id, SimulatedMachine& m) {
+  void heartbeat(const std::string& id, SimulatedMachine& simulated) {
     Heartbeat heartbeat;
     heartbeat.machine = id;
     heartbeat.address = "10.0.0.1:9000";
-    heartbeat.type = m.place.type;
-    heartbeat.zone = m.place.zone;
-    heartbeat.spot = m.place.spot;
+    heartbeat.type = simulated.description.type;
+    heartbeat.zone = simulated.description.zone;
+    heartbeat.spot = simulated.description.spot;
     heartbeat.incarnation = 1;
-    heartbeat.sequence = ++m.sequence;
-    heartbeat.fencing_token = m.fencing_token;
-    heartbeat.tasks = m.exited;
-    for (const auto& [task, running] : m.tasks) {
+    heartbeat.sequence = ++simulated.sequence;
+    heartbeat.fencing_token = simulated.fencing_token;
+    heartbeat.tasks = simulated.exited;
+    for (const auto& [task, running] : simulated.tasks) {
       heartbeat.tasks.push_back(
           {task, running.attempt, TaskState::running, ExitCause::none, false});
     }
-    m.exited.clear();
+    simulated.exited.clear();
     Effects effects;
-    const auto answer = state_.cluster.handle_heartbeat(heartbeat, clock_.now(), true, effects);
-    if (answer.kind != cluster::HeartbeatResponse::Kind::accept) return;
-    m.fencing_token = epoch_;
-    for (const Command& command : answer.commands) obey(m, command);
+    const auto response = state_.cluster.handle_heartbeat(heartbeat, clock_.now(), true, effects);
+    if (response.kind != cluster::HeartbeatResponse::Kind::accept) return;
+    simulated.fencing_token = epoch_;
+    for (const Command& command : response.commands) execute(simulated, command);
   }
 
-  void obey(SimulatedMachine& m, const Command& command) {
+  void execute(SimulatedMachine& simulated, const Command& command) {
     if (command.op == Command::Op::stop) {
-      const auto it = m.tasks.find(command.task);
-      if (it == m.tasks.end() || it->second.attempt != command.attempt) return;
+      const auto it = simulated.tasks.find(command.task);
+      if (it == simulated.tasks.end() || it->second.attempt != command.attempt) return;
       it->second.stopped = true;
-      // Some take their time, and other tasks of the job move on meanwhile.
+      // Some tasks take time to stop, and other tasks of the job move on meanwhile.
       it->second.ends = std::min(it->second.ends, clock_.now() + Millis(700 * pick(6)));
-    } else if (command.op == Command::Op::start && !m.tasks.contains(command.task)) {
-      if (chance(0.05)) return;  // the answer was lost: it is said again
-      m.tasks[command.task] = {command.attempt, clock_.now() + seconds(1 + pick(25)), false};
-      rules_.started(m.place, command.task, command.attempt);
-      const auto spec = open_.find(command.task.job);
-      if (spec != open_.end() && (spec->second.one_zone || spec->second.spread)) {
-        ++tally_.zone_bound_starts;
+    } else if (command.op == Command::Op::start && !simulated.tasks.contains(command.task)) {
+      if (chance(0.05)) return;  // the response was lost; the command is sent again
+      simulated.tasks[command.task] = {command.attempt, clock_.now() + seconds(1 + pick(25)),
+                                       false};
+      rules_.started(simulated.description, command.task, command.attempt);
+      const auto spec = open_jobs_.find(command.task.job);
+      if (spec != open_jobs_.end() && (spec->second.one_zone || spec->second.spread)) {
+        ++totals_.zone_bound_starts;
       }
     }
   }
 
-  void cycle() {
+  void run_cycle() {
     CloudCapacity cloud_capacity;
-    for (const auto& t : types_) {
-      for (const auto& zone : t.zones) {
+    for (const auto& type : types_) {
+      for (const auto& zone : type.zones) {
         for (const bool spot : {false, true}) {
-          if (chance(0.95)) cloud_capacity.refused_offers.insert({t.name, zone, spot});
+          if (chance(0.95)) cloud_capacity.refused_offers.insert({type.name, zone, spot});
         }
       }
     }
     state_.nominations.remove_ended_victims(state_.cluster);
-    const Plan decided = plan(state_.cluster, state_.nominations, cloud_capacity, platform_, op_,
-                              clock_.wall(), clock_.now());
-    tally_.preemptions += decided.preemptions.size();
+    const Plan decided = plan(state_.cluster, state_.nominations, cloud_capacity, platform_,
+                              operator_settings_, clock_.wall(), clock_.now());
+    totals_.preemptions += decided.preemptions.size();
     (void)apply(decided, state_, clock_.now());
     std::set<std::string> jobs, machines;
-    for (const auto& x : decided.placements) jobs.insert(x.job), machines.insert(x.machine);
-    for (const auto& g : decided.gangs) {
-      jobs.insert(g.job);
-      for (const auto& [machine, n] : g.shares) machines.insert(machine);
+    for (const auto& placement : decided.placements)
+      jobs.insert(placement.job), machines.insert(placement.machine);
+    for (const auto& gang : decided.gangs) {
+      jobs.insert(gang.job);
+      for (const auto& [machine, count] : gang.shares) machines.insert(machine);
     }
-    for (const auto& x : decided.queued) jobs.insert(x.job);
+    for (const auto& placement : decided.queued) jobs.insert(placement.job);
     for (const auto& id : jobs) check_job(id);
     for (const auto& id : machines) check_machine(id);
-    check_promises(decided);
+    check_preemptions(decided);
   }
 
-  // Every allocation of a job that got one in this cycle.
+  // Checks all allocations of a job that got one in this cycle.
   void check_job(const std::string& id) {
-    const JobSpec& spec = open_.at(id);
+    const JobSpec& spec = open_jobs_.at(id);
     std::map<std::string, uint32_t> zones;
     std::set<uint32_t> indices;
-    Resources team;
+    Resources team_usage;
     for (const auto& [name, machine] : state_.cluster.machines()) {
       for (const Allocation& allocation : machine->allocations) {
-        if (allocation.team_name == spec.team && !allocation.queued) team += allocation.need;
+        if (allocation.team_name == spec.team && !allocation.queued) team_usage += allocation.need;
         if (allocation.task.job != id) continue;
         ++zones[machine->zone];
         expect(indices.insert(allocation.task.index).second,
-               "allocated twice: " + allocation.task.text());
-        expect(!spec.zone || *spec.zone == machine->zone, "zone of " + allocation.task.text());
-        expect(spec.spot || !machine->spot, "spot machine for " + allocation.task.text());
+               "task allocated twice: " + allocation.task.text());
+        expect(!spec.zone || *spec.zone == machine->zone,
+               "wrong zone for task " + allocation.task.text());
+        expect(spec.spot || !machine->spot,
+               "spot machine not allowed for task " + allocation.task.text());
         expect(spec.types.empty() || spec.types[0] == machine->type,
-               "type for " + allocation.task.text());
+               "machine type not allowed for task " + allocation.task.text());
       }
     }
-    expect(!spec.one_zone || zones.size() <= 1, id + " is in several zones");
-    for (const auto& [zone, n] : zones) {
-      expect(!spec.spread || 2 * n <= spec.tasks + 1, "too many tasks of a job in " + zone);
+    expect(!spec.one_zone || zones.size() <= 1, id + " has tasks in several zones");
+    for (const auto& [zone, count] : zones) {
+      expect(!spec.spread || 2 * count <= spec.tasks + 1,
+             "too many tasks of a job in zone " + zone);
     }
-    for (const auto& t : platform_.teams) {
-      if (t.name != spec.team) continue;
-      // Allocations that a former leader made ahead count too, so a team may be beyond its limit in
-      // what the job does not use.
-      expect(team.cpus <= t.cpus_max + 1e-6, "cpus of team " + t.name + " with " + id);
-      expect(spec.need.gpus <= 0 || team.gpus <= t.gpus_max + 1e-6,
-             "gpus of team " + t.name + " with " + id);
+    for (const auto& limits : platform_.teams) {
+      if (limits.name != spec.team) continue;
+      // Allocations that a previous leader planned ahead count too, so a team may exceed its limit
+      // in a resource that the job does not use.
+      expect(team_usage.cpus <= limits.cpus_max + 1e-6,
+             "cpus above the limit of team " + limits.name + " after a placement of " + id);
+      expect(spec.need.gpus <= 0 || team_usage.gpus <= limits.gpus_max + 1e-6,
+             "gpus above the limit of team " + limits.name + " after a placement of " + id);
     }
   }
 
@@ -330,57 +341,60 @@
     for (const Allocation& allocation : machine.allocations) {
       if (!allocation.queued) used += allocation.need;
     }
-    expect(used.fits_in(machine.size), "machine " + id + " is overbooked");
-    expect(state_.cluster.record_size(machine) <= state_.cluster.record_limit(), "record of " + id);
+    expect(used.fits_in(machine.size), "machine " + id + " has more allocated than its size");
+    expect(state_.cluster.record_size(machine) <= state_.cluster.record_limit(),
+           "record above the size limit for machine " + id);
   }
 
-  // Room that is being made for a job in this cycle is where all of it may go.
-  void check_promises(const Plan& decided) {
+  // Checks that all room made for a job in this cycle satisfies the job's constraints.
+  void check_preemptions(const Plan& decided) {
     std::map<std::string, std::map<std::string, uint32_t>> zones;
-    for (const auto& e : decided.preemptions) {
-      const Machine& machine = *state_.cluster.find_machine(e.machine);
-      const JobSpec& spec = open_.at(e.job);
-      ++zones[e.job][machine.zone];
-      expect(spec.spot || !machine.spot, "room on a spot machine for " + e.job);
+    for (const auto& preemption : decided.preemptions) {
+      const Machine& machine = *state_.cluster.find_machine(preemption.machine);
+      const JobSpec& spec = open_jobs_.at(preemption.job);
+      ++zones[preemption.job][machine.zone];
+      expect(spec.spot || !machine.spot, "preemption on a spot machine for job " + preemption.job);
     }
     for (const auto& [id, by_zone] : zones) {
-      const JobSpec& spec = open_.at(id);
-      expect(!spec.one_zone || by_zone.size() == 1, "room in several zones for " + id);
-      for (const auto& [zone, n] : by_zone) {
-        expect(!spec.spread || 2 * n <= spec.tasks + 1, "too much room for a job in " + zone);
+      const JobSpec& spec = open_jobs_.at(id);
+      expect(!spec.one_zone || by_zone.size() == 1, "preemption in several zones for job " + id);
+      for (const auto& [zone, count] : by_zone) {
+        expect(!spec.spread || 2 * count <= spec.tasks + 1,
+               "too many preemptions for a job in zone " + zone);
       }
     }
   }
 
-  void expect(bool holds, const std::string& what) {
-    if (holds || failed_) return;
+  void expect(bool condition, const std::string& what) {
+    if (condition || failed_) return;
     failed_ = true;
     ADD_FAILURE() << what;
   }
 
-  void store_some() {
+  void store_some_records() {
     for (const auto& [id, machine] : state_.cluster.machines()) {
       if (!machine->dirty && !machine->shrunk) continue;
-      if (chance(0.4)) continue;  // writes lag
+      if (chance(0.4)) continue;  // the write is delayed
       Effects effects;
       wire::MachineRecord record = state_.cluster.record_of(*machine);
-      if (const auto m = machines_.find(id); m != machines_.end()) m->second.stored = record;
+      if (const auto simulated = machines_.find(id); simulated != machines_.end())
+        simulated->second.stored = record;
       state_.cluster.machine_stored(*machine, record, ++mod_revision_, effects);
     }
   }
 
   std::mt19937 random_;
-  Tally& tally_;
+  Totals& totals_;
   test::FakeClock clock_;
   settings::Platform platform_ = test::Site::platform(0, 1);
-  settings::Operator op_;
+  settings::Operator operator_settings_;
   test::RuleChecker rules_{clock_, platform_};
-  cluster::LeaderState state_{platform_, op_};
+  cluster::LeaderState state_{platform_, operator_settings_};
   std::vector<MachineType> types_;
   std::map<std::string, SimulatedMachine> machines_;
-  std::map<std::string, JobSpec> open_;
-  std::map<std::string, WallTime> submitted_;
-  std::map<std::string, std::set<uint32_t>> done_;
+  std::map<std::string, JobSpec> open_jobs_;
+  std::map<std::string, WallTime> submit_times_;
+  std::map<std::string, std::set<uint32_t>> done_tasks_;
   uint64_t epoch_ = 0;
   uint64_t mod_revision_ = 10;
   bool failed_ = false;
@@ -388,22 +402,22 @@
 
 class SchedulerProperties : public testing::TestWithParam<uint32_t> {};
 
-TEST_P(SchedulerProperties, NothingIsPlannedOrStartedAgainstAConstraint) {
-  constexpr uint32_t kClusters = 100;
+TEST_P(SchedulerProperties, PlansAndStartsRespectAllConstraints) {
+  constexpr uint32_t kClusterCount = 100;
   constexpr int kRounds = 60;
-  Tally tally;
-  for (uint32_t k = 0; k < kClusters; ++k) {
-    const uint32_t seed = GetParam() * kClusters + k;
+  Totals totals;
+  for (uint32_t k = 0; k < kClusterCount; ++k) {
+    const uint32_t seed = GetParam() * kClusterCount + k;
     SCOPED_TRACE("seed " + std::to_string(seed));
-    RandomCluster cluster(seed, tally);
-    cluster.play(kRounds);
+    RandomCluster cluster(seed, totals);
+    cluster.run_rounds(kRounds);
     if (cluster.failed()) return;
   }
-  EXPECT_GT(tally.preemptions, kClusters) << "clusters in which nobody is evicted show little";
-  EXPECT_GT(tally.used, kClusters / 2);
-  EXPECT_GT(tally.cleared, kClusters / 10);
-  EXPECT_GT(tally.zone_bound_starts, kClusters * 10);
-  EXPECT_GT(tally.terms, kClusters * 2);
+  EXPECT_GT(totals.preemptions, kClusterCount) << "too few preemptions to test them";
+  EXPECT_GT(totals.used_nominations, kClusterCount / 2);
+  EXPECT_GT(totals.cleared_nominations, kClusterCount / 10);
+  EXPECT_GT(totals.zone_bound_starts, kClusterCount * 10);
+  EXPECT_GT(totals.terms, kClusterCount * 2);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, SchedulerProperties, testing::Range(1u, 21u));
--- a/tests/zone_constraints_test.cpp
+++ b/tests/zone_constraints_test.cpp
@@ -1,6 +1,6 @@
-// Jobs whose tasks belong into one zone, or at most half of them into each: every way in which the
-// scheduler places a task keeps to that, given what the job holds, is given in the cycle and is
-// promised by nominations.
+// Tests of zone constraints in the scheduler, for jobs whose tasks must be in one zone or at most
+// half of them in each zone. Every stage that places tasks must respect them, including tasks that
+// are allocated, placed earlier in the cycle, or nominated.
 #include "dunlinknot/scheduler/apply.hpp"
 #include "zoned_cluster.hpp"
 
@@ -13,7 +13,7 @@
 using test::job;
 
 struct ZoneConstraints : test::ZonedCluster {
-  // A job of high priority whose tasks take half of a machine each.
+  // Adds a job of high priority whose tasks need half of a machine each.
   Job& add_preemptor(uint32_t tasks, bool one_zone, bool spread) {
     JobSpec spec = job("run-000002", tasks);
     spec.priority = Priority::high;
@@ -24,41 +24,43 @@
   }
   // Fills the machine with one task of low priority.
   void fill(Machine& machine) {
-    JobSpec spec = job("run-0001" + std::to_string(10 + fillers++));
+    JobSpec spec = job("run-0001" + std::to_string(10 + filler_count++));
     spec.priority = Priority::low;
     spec.need = {8, 0, 4};
     run(add(spec), machine);
   }
-  // Room that was made for a task of the job, with no victim left there.
+  // Nominates the machine for a task of the job, with no victim left there.
   uint64_t nominate(const Job& job, const Machine& machine) {
     return nominations.add(job.spec().id, machine.id, job.spec().need, job.spec().priority, {});
   }
-  // How many tasks the plan places in each zone.
+  // The number of tasks that the plan places in each zone.
   std::map<std::string, uint32_t> placed_by_zone(const Plan& plan) {
     std::map<std::string, uint32_t> zones;
-    for (const auto& x : plan.placements) zones[cluster.find_machine(x.machine)->zone] += x.count;
+    for (const auto& placement : plan.placements)
+      zones[cluster.find_machine(placement.machine)->zone] += placement.count;
     return zones;
   }
-  std::map<std::string, uint32_t> evicted_by_zone(const Plan& plan) {
+  std::map<std::string, uint32_t> preemptions_by_zone(const Plan& plan) {
     std::map<std::string, uint32_t> zones;
-    for (const auto& e : plan.preemptions) ++zones[cluster.find_machine(e.machine)->zone];
+    for (const auto& preemption : plan.preemptions)
+      ++zones[cluster.find_machine(preemption.machine)->zone];
     return zones;
   }
 
-  int fillers = 0;
+  int filler_count = 0;
 };
 
-TEST_F(ZoneConstraints, ANominationIsNotUsedInAnotherZoneThanTheJobsTasks) {
+TEST_F(ZoneConstraints, NominationInAnotherZoneThanTheJobIsCleared) {
   Job& job = add_preemptor(2, true, false);
   const uint64_t nomination = nominate(job, add_machine("vm-1", "a"));
   run(job, add_machine("vm-2", "b"));
-  fill(*cluster.find_machine("vm-2"));  // no room beside it
+  fill(*cluster.find_machine("vm-2"));  // no further room there
   const Plan result_plan = plan();
   EXPECT_EQ(placed_by_zone(result_plan), Zones{});
   EXPECT_EQ(result_plan.cleared_nominations, std::vector<uint64_t>{nomination});
 }
 
-TEST_F(ZoneConstraints, ANominationIsNotUsedWhereHalfOfTheJobIsAlready) {
+TEST_F(ZoneConstraints, NominationInZoneWithHalfOfTheJobIsCleared) {
   Job& job = add_preemptor(3, false, true);
   Machine& machine = add_machine("vm-1", "a");
   run(job, machine);
@@ -69,14 +71,14 @@
   EXPECT_EQ(result_plan.cleared_nominations, std::vector<uint64_t>{nomination});
 }
 
-TEST_F(ZoneConstraints, NominationsInTwoZonesAreUsedInOneOnly) {
+TEST_F(ZoneConstraints, NominationsInTwoZonesAreUsedInOneZoneOnly) {
   Job& job = add_preemptor(2, true, false);
   nominate(job, add_machine("vm-1", "a"));
   nominate(job, add_machine("vm-2", "b"));
   EXPECT_EQ(placed_by_zone(plan()).size(), 1u);
 }
 
-TEST_F(ZoneConstraints, WhatANominationPlacesCountsForTheRestOfTheCycle) {
+TEST_F(ZoneConstraints, PlacementByNominationBindsTheZoneForTheCycle) {
   Machine& machine = add_machine("vm-1", "a");
   JobSpec half = job("run-000001");
   half.priority = Priority::production;
@@ -87,27 +89,27 @@
   EXPECT_EQ(placed_by_zone(plan()), (Zones{{"a", 1}}));
 }
 
-TEST_F(ZoneConstraints, WhatANominationPlacesCountsTowardsHalfOfTheJob) {
+TEST_F(ZoneConstraints, PlacementByNominationCountsTowardsSpreadLimit) {
   Job& job = add_preemptor(3, false, true);
   nominate(job, add_machine("vm-1", "a"));
   add_machine("vm-2", "a");
   EXPECT_EQ(placed_by_zone(plan()), (Zones{{"a", 2}}));
 }
 
-TEST_F(ZoneConstraints, RoomIsMadeInOneZoneOnly) {
+TEST_F(ZoneConstraints, OneZoneJobPreemptsInOneZoneOnly) {
   add_preemptor(2, true, false);
   fill(add_machine("vm-1", "a"));
   fill(add_machine("vm-2", "b"));
-  EXPECT_EQ(evicted_by_zone(plan()).size(), 1u);
+  EXPECT_EQ(preemptions_by_zone(plan()).size(), 1u);
 }
 
-TEST_F(ZoneConstraints, RoomIsMadeForHalfOfTheJobInAZone) {
+TEST_F(ZoneConstraints, SpreadJobPreemptsForHalfOfItsTasksPerZone) {
   add_preemptor(3, false, true);
   for (const char* id : {"vm-1", "vm-2", "vm-3"}) fill(add_machine(id, "a"));
-  EXPECT_EQ(evicted_by_zone(plan()), (Zones{{"a", 2}}));
+  EXPECT_EQ(preemptions_by_zone(plan()), (Zones{{"a", 2}}));
 }
 
-TEST_F(ZoneConstraints, RoomIsMadeOnlyWhereTheJobsNominationsAre) {
+TEST_F(ZoneConstraints, OneZoneJobPreemptsOnlyInZoneOfItsNominations) {
   Job& job = add_preemptor(3, true, false);
   Machine& machine = add_machine("vm-1", "a");
   fill(machine);
@@ -117,16 +119,16 @@
                     {{victim.task, victim.attempt}});
   }
   fill(add_machine("vm-2", "b"));
-  EXPECT_EQ(evicted_by_zone(plan()), Zones{});
+  EXPECT_EQ(preemptions_by_zone(plan()), Zones{});
   fill(add_machine("vm-3", "a"));
-  EXPECT_EQ(evicted_by_zone(plan()), (Zones{{"a", 1}}));
+  EXPECT_EQ(preemptions_by_zone(plan()), (Zones{{"a", 1}}));
 }
 
-TEST_F(ZoneConstraints, MachinesAreLaunchedWhereTheJobMayHaveMoreTasks) {
+TEST_F(ZoneConstraints, MachinesAreRequestedInZonesWithAllowedTasks) {
   for (const bool spread : {false, true}) {
-    const std::string held = spread ? "a" : "b";  // the offers of zone a come first
+    const std::string zone = spread ? "a" : "b";  // the offers of zone a come first
     Job& job = add_preemptor(4, !spread, spread);
-    Machine& machine = add_machine("vm-" + held, held);
+    Machine& machine = add_machine("vm-" + zone, zone);
     run(job, machine);
     run(job, machine);
     cloud_capacity.refused_offers.clear();
@@ -134,11 +136,11 @@
     ASSERT_EQ(result_plan.capacity_requests.size(), 1u);
     EXPECT_EQ(result_plan.capacity_requests[0].offer.zone, "b");
     cluster.close_job("run-000002", false, now);
-    cluster.remove_machine("vm-" + held, now);
+    cluster.remove_machine("vm-" + zone, now);
   }
 }
 
-TEST_F(ZoneConstraints, MachinesForASpreadGangAreLaunchedInSeveralZones) {
+TEST_F(ZoneConstraints, MachinesForSpreadGangAreRequestedInSeveralZones) {
   JobSpec gang = job("run-000002", 4);
   gang.gang = true;
   gang.need = {8, 0, 4};
@@ -156,7 +158,7 @@
   EXPECT_EQ(result_plan.capacity_requests[0].count, 2u);
 }
 
-TEST_F(ZoneConstraints, RoomIsKeptForASpreadGangInSeveralZones) {
+TEST_F(ZoneConstraints, RoomForSpreadGangIsReservedInSeveralZones) {
   for (const char* id : {"vm-1", "vm-2"}) fill(add_machine(id, "a"));
   fill(add_machine("vm-3", "b"));
   JobSpec gang = job("run-000002", 2);
@@ -169,9 +171,9 @@
   EXPECT_TRUE(result_plan.reserved_room.contains("vm-3"));
 }
 
-// Found while looking for decisions that miss what the cycle itself has placed: a record longer
-// than the key-value store takes is never written, and nothing on its machine starts any more.
-TEST_F(ZoneConstraints, ACyclePlacesNoMoreThanAMachinesRecordTakes) {
+// A record longer than the key-value store's limit is never written, so nothing on that machine
+// would start any more. The record must fit after all placements of one cycle.
+TEST_F(ZoneConstraints, PlacementsFitIntoMachineRecord) {
   Machine& machine = add_machine("vm-1", "a");
   JobSpec many = job("run-000001", 5'000);
   many.need = {0.001, 0, 0.001};
@@ -180,7 +182,7 @@
   gang.id = "run-000002";
   gang.gang = true;
   add(gang);
-  platform.store_limits.write_rps = 0.1;  // work is queued on the machine
+  platform.store_limits.write_rps = 0.1;  // so that tasks are queued on the machine
   const Plan result_plan = plan();
   EXPECT_FALSE(result_plan.placements.empty());
   EXPECT_TRUE(result_plan.gangs.empty());
--- a/tests/zoned_cluster.hpp
+++ b/tests/zoned_cluster.hpp
@@ -1,5 +1,5 @@
-// A cluster of equal machines in two zones, none of them to be launched, for tests of where the
-// tasks of a job may go.
+// Fixture with a cluster of equal machines in two zones, where no machine can be launched, for
+// tests of placement constraints.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -28,15 +28,15 @@
     }
   }
   Heartbeat heartbeat(const std::string& id, const std::string& zone) {
-    Heartbeat out;
-    out.machine = id;
-    out.address = "10.0.0.1:9000";
-    out.type = "box";
-    out.zone = zone;
-    out.incarnation = 1;
-    out.sequence = ++sequence;
-    out.fencing_token = 1;
-    return out;
+    Heartbeat result;
+    result.machine = id;
+    result.address = "10.0.0.1:9000";
+    result.type = "box";
+    result.zone = zone;
+    result.incarnation = 1;
+    result.sequence = ++sequence;
+    result.fencing_token = 1;
+    return result;
   }
   std::vector<Command> send(const Heartbeat& heartbeat) {
     cluster::Effects effects;
@@ -51,7 +51,7 @@
     cluster.load_job({std::move(spec), wall}, 10, now);
     return *cluster.job(id);
   }
-  // Allocates a task of the job there and writes the allocation down.
+  // Allocates a task of the job on the machine and stores the allocation.
   cluster::Allocation& allocate(cluster::Job& job, cluster::Machine& machine,
                                 uint64_t attempt = 0) {
     cluster::Allocation* allocation = cluster.allocate(
@@ -67,13 +67,13 @@
     allocation.running_since = now;
   }
   scheduler::Plan plan() {
-    return scheduler::plan(cluster, nominations, cloud_capacity, platform, op, wall + Millis(100),
-                           now);
+    return scheduler::plan(cluster, nominations, cloud_capacity, platform, operator_settings,
+                           wall + Millis(100), now);
   }
 
   settings::Platform platform = Site::platform(0, 1);
-  settings::Operator op;
-  cluster::LeaderState state{platform, op};
+  settings::Operator operator_settings;
+  cluster::LeaderState state{platform, operator_settings};
   cluster::Cluster& cluster = state.cluster;
   preemption::Nominations& nominations = state.nominations;
   scheduler::CloudCapacity cloud_capacity;
