--- a/src/dunlinknot/preemption/nominations.hpp
+++ b/src/dunlinknot/preemption/nominations.hpp
@@ -51,7 +51,7 @@
   uint64_t add(std::string job, std::string machine, Resources room, Priority priority,
                const std::vector<Victim>& victims);
   // Ends a nomination and counts the reason; one that has ended already is ignored.
-  void end(uint64_t id, NominationEnd why);
+  void end(uint64_t id, NominationEnd reason);
   // Ends all nominations of a job that was cancelled or has completed.
   void end_all_of_job(const std::string& job);
   // Handles a failed stop call for these victims: clears the nominations on that machine and
@@ -75,7 +75,7 @@
   // The numbers of nominations that were created, and that ended for this reason, since the process
   // started.
   uint64_t created_count() const { return next_id_ - 1; }
-  uint64_t ended_count(NominationEnd why) const { return ended_[static_cast<size_t>(why)]; }
+  uint64_t ended_count(NominationEnd reason) const { return ended_[static_cast<size_t>(reason)]; }
 
  private:
   uint64_t next_id_ = 1;
--- a/src/dunlinknot/scheduler/scheduler.hpp
+++ b/src/dunlinknot/scheduler/scheduler.hpp
@@ -110,9 +110,8 @@
   std::vector<CapacityRequest> capacity_requests;
   std::vector<Preemption> preemptions;
   std::vector<uint64_t> cleared_nominations;  // that are no longer needed
-  std::vector<std::string>
-      // Idle machines that waiting tasks will use; they must not be terminated.
-      machines_to_keep;
+  // Idle machines that waiting tasks will use; they must not be terminated.
+  std::vector<std::string> machines_to_keep;
   size_t waiting_tasks = 0;  // before this cycle's placements
   std::vector<WaitingJob> waiting_jobs;
 };
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -337,8 +337,8 @@
   // Two teams, each with jobs within its guarantee and more beyond, used to preempt each other's
   // tasks ten times a second.
   machine("vm-2");
-  Job& within_guarantee =
-      add("run-000001", Priority::normal, 4, 2, "blue");  // 8 cpus of 8 guaranteed
+  // Uses 8 cpus of 8 guaranteed.
+  Job& within_guarantee = add("run-000001", Priority::normal, 4, 2, "blue");
   Job& beyond_guarantee = add("run-000002", Priority::normal, 4, 2, "blue");
   run(within_guarantee, *cluster.find_machine("vm-1"));
   run(within_guarantee, *cluster.find_machine("vm-1"));
