--- a/src/dunlinknot/scheduler/candidates.cpp
+++ b/src/dunlinknot/scheduler/candidates.cpp
@@ -1,4 +1,4 @@
-// Which machines can be given work, and which are expected to be up soon.
+// Selects the machines on which tasks can be placed, and those expected to be up soon.
 #include "dunlinknot/scheduler/candidates.hpp"
 
 #include <algorithm>
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Two heartbeats may be missed, and one be late by the second.
+// Whether the last heartbeat is less than two heartbeat intervals plus 1 s old: a missed heartbeat
+// followed by one that is up to 1 s late is tolerated.
 bool heartbeat_is_recent(const CycleInputs& inputs, const Machine& machine) {
   return inputs.now - machine.last_heartbeat <
          to_nanos(inputs.platform.heartbeat_interval * 2 + Seconds(1));
@@ -18,27 +19,27 @@
       machine.listed_failed || machine.interruption_at) {
     return false;
   }
-  // Only a heartbeat with our fencing token proves that the machine is alive under us: one without
-  // may be a late copy, even of a machine that was deleted long ago. And only a machine that our
-  // answers reach can be given anything.
+  // Only a heartbeat with this leader's fencing token proves that the machine is alive in this
+  // term: one without it may be a delayed copy, even from a machine deleted long ago. A machine
+  // that does not receive our responses cannot be given commands.
   if (!machine.fenced || machine.unreachable) return false;
   return heartbeat_is_recent(inputs, machine);
 }
 
-// Not up yet, or just up and about to bear our fencing token: counted on, so that nothing is
-// launched in its place for that moment.
-bool is_coming(const CycleInputs& inputs, const Machine& machine) {
+// Not up yet, or up but without this leader's fencing token in its heartbeats so far. Such machines
+// count as capacity, so that no machine is launched in their place until their next heartbeat.
+bool is_upcoming(const CycleInputs& inputs, const Machine& machine) {
   if (machine.draining || machine.terminating || machine.listed_failed) return false;
   return !machine.has_heartbeat || (!machine.fenced && !machine.lost && !machine.interruption_at &&
                                     heartbeat_is_recent(inputs, machine));
 }
 
-void note_fetches(CandidateMachine& candidate) {
+void collect_fetches(CandidateMachine& candidate) {
   for (const Allocation& allocation : candidate.machine->allocations) {
     if (allocation.queued || allocation.state != TaskState::fetching || allocation.image.empty())
       continue;
-    candidate.fetching.push_back(allocation.image);
-    candidate.gang_fetches |= allocation.gang;
+    candidate.fetching_images.push_back(allocation.image);
+    candidate.gang_fetching |= allocation.gang;
   }
 }
 
@@ -47,12 +48,12 @@
 Candidates::Candidates(const CycleInputs& inputs) : inputs_(inputs) {
   for (const auto& [id, machine] : inputs.cluster.machines()) {
     const bool ready = is_ready(inputs, *machine);
-    const bool coming = is_coming(inputs, *machine);
-    if ((!ready && !coming) || machine->size.cpus <= 0) continue;
+    const bool upcoming = is_upcoming(inputs, *machine);
+    if ((!ready && !upcoming) || machine->size.cpus <= 0) continue;
     CandidateMachine& candidate = add(machine.get(), *machine, pool_of(*machine),
-                                      coming ? Readiness::coming : Readiness::ready);
+                                      upcoming ? Readiness::upcoming : Readiness::ready);
     candidate.queued_tasks = machine->queued_tasks;
-    note_fetches(candidate);
+    collect_fetches(candidate);
   }
   for (const PendingLaunch& launch : inputs.cloud_capacity.pending_launches) {
     for (uint32_t i = 0; i < launch.count; ++i) add_pending(launch.offer);
@@ -72,7 +73,7 @@
   if (!type) return nullptr;
   auto placeholder = std::make_unique<Machine>();
   placeholder->size = type->size;
-  CandidateMachine& candidate = add(nullptr, *placeholder, pool_of(offer), Readiness::coming);
+  CandidateMachine& candidate = add(nullptr, *placeholder, pool_of(offer), Readiness::upcoming);
   placeholders_.push_back(std::move(placeholder));
   return &candidate;
 }
@@ -87,8 +88,8 @@
 }
 
 InstancePool& Candidates::pool_of(const Machine& machine) {
-  // Machines of one pool mostly follow one another, since they were launched together: the pool of
-  // the machine before is tried first.
+  // Machines of one pool are mostly adjacent, since they were launched together: the previous
+  // machine's pool is tried first.
   const auto matches = [&](const Offer& offer) {
     return offer.spot == machine.spot && offer.type == machine.type && offer.zone == machine.zone;
   };
--- a/src/dunlinknot/scheduler/gang_placement.cpp
+++ b/src/dunlinknot/scheduler/gang_placement.cpp
@@ -1,4 +1,4 @@
-// The search for room for a whole gang, zone by zone where its tasks must be together.
+// Searches for room for a whole gang, zone by zone if all of its tasks must be in one zone.
 #include "dunlinknot/scheduler/gang_placement.hpp"
 
 #include <algorithm>
@@ -12,13 +12,14 @@
   uint32_t count = 0;
 };
 
-// Room for all of the gang's tasks.
+// Shares of machines with room for all of the gang's tasks.
 struct GangRoom {
-  double cost = 0;  // of the most expensive place: the slowest task sets the gang's start
+  double cost =
+      0;  // of the most expensive share, since the slowest task determines the gang's start
   std::vector<CandidateShare> shares;
 };
 
-// The zones to try, each on its own; the empty name stands for all of them together.
+// The zones to try one by one; a single empty name stands for all zones together.
 std::vector<std::string> zones_to_try(const JobSpec& spec,
                                       const std::vector<RankedCandidate>& ranked) {
   if (!spec.one_zone) return {std::string()};
@@ -38,8 +39,8 @@
   for (const auto& [cost, candidate] : ranked) {
     if (left == 0) break;
     if (!zone.empty() && candidate->zone() != zone) continue;
-    const uint32_t most_here = std::min(left, constraints.tasks_allowed(candidate->zone()));
-    const uint32_t count = most_here > 0 ? tasks_that_fit(state, job, *candidate, most_here) : 0;
+    const uint32_t max_here = std::min(left, constraints.tasks_allowed(candidate->zone()));
+    const uint32_t count = max_here > 0 ? tasks_that_fit(state, job, *candidate, max_here) : 0;
     if (count == 0) continue;
     constraints.add(candidate->zone(), count);
     room.shares.push_back({candidate, count});
@@ -61,17 +62,17 @@
   return best;
 }
 
-// Takes the room and returns the shares on machines that are ready.
+// Takes the room and returns the shares on ready machines.
 GangPlacement occupy(CycleState& state, const Job& job, const GangRoom& room) {
   const JobSpec& spec = job.spec();
   GangPlacement placement{spec.id, {}};
   for (const auto& [candidate, count] : room.shares) {
     candidate->capacity.take(spec.need * count);
-    if (!candidate->machine || candidate->coming) continue;
-    candidate->fetching.push_back(spec.image);
-    candidate->gang_fetches = true;
+    if (!candidate->machine || candidate->upcoming) continue;
+    candidate->fetching_images.push_back(spec.image);
+    candidate->gang_fetching = true;
     reserve_record_space(state.cluster(), job, *candidate, count);
-    placement.on.push_back({candidate->machine->id, count});
+    placement.shares.push_back({candidate->machine->id, count});
     state.plan.machines_to_keep.push_back(candidate->machine->id);
   }
   state.quotas.charge(job, spec.tasks);
@@ -88,11 +89,11 @@
   return true;
 }
 
-bool expect_gang_placement(CycleState& state, const Job& job, Borrowing borrowing) {
+bool reserve_upcoming_for_gang(CycleState& state, const Job& job, Borrowing borrowing) {
   std::vector<RankedCandidate> ranked = ranked_candidates(state, job, Readiness::ready, borrowing);
-  const std::vector<RankedCandidate> coming =
-      ranked_candidates(state, job, Readiness::coming, borrowing);
-  ranked.insert(ranked.end(), coming.begin(), coming.end());
+  const std::vector<RankedCandidate> upcoming =
+      ranked_candidates(state, job, Readiness::upcoming, borrowing);
+  ranked.insert(ranked.end(), upcoming.begin(), upcoming.end());
   const auto room = cheapest_room(state, job, ranked);
   if (!room) return false;
   (void)occupy(state, job, *room);
--- a/src/dunlinknot/scheduler/headroom.cpp
+++ b/src/dunlinknot/scheduler/headroom.cpp
@@ -1,4 +1,4 @@
-// How much headroom a class needs, and on which machines it is reserved.
+// Computes how much headroom a class needs and on which machines it is reserved.
 #include "dunlinknot/scheduler/headroom.hpp"
 
 #include <algorithm>
@@ -10,47 +10,50 @@
 
 namespace {
 
-constexpr Millis kHeadroomMemory = std::chrono::seconds(200);  // of arrivals that are counted
-constexpr Millis kRecentArrivals = std::chrono::seconds(60);
-constexpr double kShortestSpan = 60;     // seconds: a single arrival makes no rate
-constexpr double kMeanShare = 0.6;       // of the mean, on machines with accelerators
-constexpr double kHeadroomSpread = 1.0;  // beyond the mean, in standard deviations
+constexpr Millis kArrivalWindow = std::chrono::seconds(200);  // arrivals before it are ignored
+constexpr Millis kRecentArrivalWindow = std::chrono::seconds(60);
+constexpr double kMinArrivalWindowSeconds = 60;  // a single arrival gives no rate
+// Share of the mean that is reserved on machines with accelerators.
+constexpr double kAcceleratorHeadroomShare = 0.6;
+constexpr double kStandardDeviations = 1.0;  // reserved in addition to the mean
 
-// The order of machines for headroom: lower first.
-constexpr double kRankComing = 30;
-constexpr double kRankNoRoomNow = 20;
-constexpr double kRankPerGpu = 25;
-constexpr double kRankPerMissingImage = 10;
+// Weights for ranking machines for headroom; a lower sum ranks first.
+constexpr double kUpcomingMachinePenalty = 30;
+constexpr double kNoFreeRoomPenalty = 20;
+constexpr double kPenaltyPerGpu = 25;
+constexpr double kPenaltyPerMissingImage = 10;
 
-// How many tasks of a class may come before new room could be made for them.
+// Expected number of tasks of a class that arrive before new capacity could be ready for them.
 struct ExpectedTasks {
-  uint32_t wanted = 0;  // with the spread of what may come
-  uint32_t mean = 0;    // what comes on average
-  uint32_t steady = 0;  // the same, by the last minute where that saw less
+  uint32_t upper_estimate = 0;  // mean plus the allowance for variation
+  uint32_t mean = 0;            // share of the mean for machines with accelerators
+  uint32_t sustained_mean = 0;  // the same by the last 60 s, if that is less
 };
 
 ExpectedTasks expected_tasks(const cluster::DemandForecast& forecast, WallTime wall) {
   double tasks = 0;
-  double of_late = 0;
-  double squares = 0;  // a few large jobs vary more than many small ones
+  double recent_tasks = 0;
+  double sum_of_squares = 0;  // a few large jobs vary more than many small ones
   WallTime first = wall;
   for (const auto& [at, arrived] : forecast.arrivals) {
-    if (wall - at > kHeadroomMemory) continue;
+    if (wall - at > kArrivalWindow) continue;
     tasks += arrived;
-    if (wall - at <= kRecentArrivals) of_late += arrived;
-    squares += static_cast<double>(arrived) * arrived;
+    if (wall - at <= kRecentArrivalWindow) recent_tasks += arrived;
+    sum_of_squares += static_cast<double>(arrived) * arrived;
     first = std::min(first, at);
   }
   if (tasks <= 0) return {};
-  const double span = std::max(kShortestSpan, std::chrono::duration<double>(wall - first).count());
-  const double coming = tasks / span * kTimeToMakeRoom.count();
-  // What came all at once some time ago, such as a day's first jobs, is no sign of what comes
-  // next.
-  of_late *= kTimeToMakeRoom.count() / to_seconds(kRecentArrivals).count();
-  const double spread = std::sqrt(squares / span * kTimeToMakeRoom.count());
-  return {static_cast<uint32_t>(std::ceil(coming + spread * kHeadroomSpread)),
-          static_cast<uint32_t>(std::ceil(coming * kMeanShare)),
-          static_cast<uint32_t>(std::ceil(std::min(coming, of_late) * kMeanShare))};
+  const double window_seconds =
+      std::max(kMinArrivalWindowSeconds, std::chrono::duration<double>(wall - first).count());
+  const double mean_tasks = tasks / window_seconds * kTimeToNewCapacity.count();
+  // A burst that is over, such as the first jobs of a day, does not predict further arrivals.
+  recent_tasks *= kTimeToNewCapacity.count() / to_seconds(kRecentArrivalWindow).count();
+  const double standard_deviation =
+      std::sqrt(sum_of_squares / window_seconds * kTimeToNewCapacity.count());
+  return {static_cast<uint32_t>(std::ceil(mean_tasks + standard_deviation * kStandardDeviations)),
+          static_cast<uint32_t>(std::ceil(mean_tasks * kAcceleratorHeadroomShare)),
+          static_cast<uint32_t>(
+              std::ceil(std::min(mean_tasks, recent_tasks) * kAcceleratorHeadroomShare))};
 }
 
 bool could_hold(const JobSpec& spec, const CandidateMachine& candidate) {
@@ -58,17 +61,18 @@
   return type && offer_allowed(spec, candidate.pool->offer) && spec.need.fits_in(type->size);
 }
 
-// What is free now first; machines with accelerators last, since each task strands what is left of
-// them; those with the class's images before others.
+// Prefers machines with free room, machines without accelerators (each task would strand the rest
+// of the accelerators there), and machines that have the images of the class.
 double headroom_rank(const cluster::DemandForecast& forecast, const CandidateMachine& candidate) {
   const JobSpec& spec = forecast.sample;
   const MachineType* type = candidate.pool->type;
   double rank = 0;
-  if (candidate.coming) rank += kRankComing;
-  if (!spec.need.fits_in(candidate.capacity.free())) rank += kRankNoRoomNow;
-  if (would_borrow(spec, type)) rank += kRankPerGpu * type->size.gpus;
+  if (candidate.upcoming) rank += kUpcomingMachinePenalty;
+  if (!spec.need.fits_in(candidate.capacity.free())) rank += kNoFreeRoomPenalty;
+  if (would_borrow(spec, type)) rank += kPenaltyPerGpu * type->size.gpus;
   for (const auto& [image, at] : forecast.images) {
-    if (!(candidate.machine && candidate.machine->has_image(image))) rank += kRankPerMissingImage;
+    if (!(candidate.machine && candidate.machine->has_image(image)))
+      rank += kPenaltyPerMissingImage;
   }
   return rank;
 }
@@ -86,7 +90,8 @@
   return ranked;
 }
 
-// Tasks of gangs without accelerators on those machines that the class would borrow.
+// Counts gang tasks that need no accelerators on the machines with accelerators that the class
+// would borrow.
 uint32_t borrowing_tasks(const JobSpec& spec, const std::vector<RankedCandidate>& ranked) {
   uint32_t tasks = 0;
   for (const auto& [rank, candidate] : ranked) {
@@ -97,9 +102,9 @@
   return tasks;
 }
 
-// What the machine may hold of the class once shorter work there is done: all but what gangs,
-// services and higher priorities hold.
-Resources room_in_time(const JobSpec& spec, const CandidateMachine& candidate) {
+// The room for the class on the machine once shorter tasks there have ended: its size less what
+// gangs, services and jobs of higher priority hold.
+Resources capacity_for_class(const JobSpec& spec, const CandidateMachine& candidate) {
   Resources room = candidate.pool->type->size;
   if (!candidate.machine) return room;
   for (const Allocation& allocation : candidate.machine->allocations) {
@@ -111,28 +116,30 @@
 
 void reserve_for_class(CycleState& state, const std::string& job_class,
                        const cluster::DemandForecast& forecast) {
-  // A class that has the time to wait for new machines needs no idle ones.
-  if (forecast.target_wait > kTimeToMakeRoom) return;
+  // A class whose target wait allows for new machines to boot needs no headroom.
+  if (forecast.target_wait > kTimeToNewCapacity) return;
   const ExpectedTasks expected = expected_tasks(forecast, state.inputs.wall);
-  uint32_t left = expected.wanted;
-  if (left == 0) return;
+  uint32_t unreserved = expected.upper_estimate;
+  if (unreserved == 0) return;
   const JobSpec& spec = forecast.sample;
   const std::vector<RankedCandidate> ranked = ranked_for_headroom(forecast, state.candidates);
-  uint32_t counted = borrowing_tasks(spec, ranked);  // against the bound for borrowed machines
+  uint32_t counted = borrowing_tasks(spec, ranked);  // towards the limit for borrowed machines
   for (const auto& [rank, candidate] : ranked) {
-    if (left == 0) break;
-    if (candidate->reserved.taken()) continue;
-    // Machines with accelerators are expensive to keep idle: no more of them than the mean needs,
-    // and where a task would strand several, not for a burst of arrivals that is over.
+    if (unreserved == 0) break;
+    if (candidate->reserved.has_owner()) continue;
+    // Machines with accelerators are expensive to keep idle: reserve no more of them than the mean
+    // requires, and where a task would strand several accelerators, do not reserve for a burst that
+    // is over.
     if (const MachineType* type = candidate->pool->type; would_borrow(spec, type)) {
       const bool is_cheap = may_borrow(state, spec, type, Borrowing::cheap);
-      const uint32_t most = is_cheap ? expected.mean : expected.steady;
-      left = std::min(left, most > counted ? most - counted : 0);
+      const uint32_t max_tasks = is_cheap ? expected.mean : expected.sustained_mean;
+      unreserved = std::min(unreserved, max_tasks > counted ? max_tasks - counted : 0);
     }
-    const uint32_t tasks = preemption::tasks_in(room_in_time(spec, *candidate), spec.need, left);
+    const uint32_t tasks =
+        preemption::tasks_that_fit_in(capacity_for_class(spec, *candidate), spec.need, unreserved);
     if (tasks == 0) continue;
     candidate->reserved = {spec.need * tasks, job_class, spec.priority};
-    left -= tasks;
+    unreserved -= tasks;
     counted += tasks;
     if (candidate->machine) state.plan.machines_to_keep.push_back(candidate->machine->id);
   }
