--- a/src/dunlinknot/cluster/allocation_store.cpp
+++ b/src/dunlinknot/cluster/allocation_store.cpp
@@ -1,11 +1,12 @@
-// The leader's records in the key-value store: the parts together.
+// Loading the leader's records, and the loop that writes and cleans up the records of machines.
 #include "dunlinknot/cluster/allocation_store.hpp"
 
 namespace dunlinknot::cluster {
 
 namespace {
 
-// How often records that only shrank are rewritten and dead ones deleted, if the budget has slack.
+// How often records that only lost entries are rewritten and obsolete ones are deleted, if the
+// write budget has slack.
 constexpr auto kCleanupEvery = std::chrono::seconds(4);
 
 }  // namespace
--- a/src/dunlinknot/cluster/allocation_store.hpp
+++ b/src/dunlinknot/cluster/allocation_store.hpp
@@ -1,5 +1,6 @@
-// The leader's records in the key-value store: allocations are durable before their `run`,
-// completions before they are acknowledged to anybody. The parts are under allocation_store/.
+// The leader's records in the key-value store. An allocation is durable before its `run` is sent,
+// and a completion before it is acknowledged to a user or a worker. The components are in
+// allocation_store/.
 #pragma once
 #include "dunlinknot/cluster/allocation_store/job_records.hpp"
 #include "dunlinknot/cluster/allocation_store/job_watcher.hpp"
@@ -11,27 +12,27 @@
 
 namespace dunlinknot::cluster {
 
-// The parts together. The daemon awaits `load` at failover and then spawns the other three
+// Combines the components. The daemon awaits `load` at failover and then spawns the other three
 // coroutines, which end with the term. Runs on the context's event loop.
 class AllocationStore {
  public:
-  // All three must outlive it.
+  // `context`, `store` and `handler` must outlive this object.
   AllocationStore(LeaderContext& context, kv::Client& store, AllocationStoreHandler& handler);
-  // The parts refer to one another.
+  // Not copyable: the components hold references to one another.
   AllocationStore(const AllocationStore&) = delete;
   AllocationStore& operator=(const AllocationStore&) = delete;
 
-  // Reads everything a new leader needs; false when the term ended meanwhile.
+  // Reads all records that a new leader needs. Returns false if the term ended meanwhile.
   Task<bool> load(uint64_t term);
-  // Writes the records of machines and deletes dead records, until the term ends.
+  // Writes the records of machines and deletes obsolete records, until the term ends.
   Task<void> store_machines(uint64_t term);
-  // Writes the progress and the ends of jobs, until the term ends.
+  // Writes the progress and the completion of jobs, until the term ends.
   Task<void> store_progress(uint64_t term) { return progress_writer_.run(term); }
-  // Follows submissions and cancellations, until the term ends.
+  // Watches submissions and cancellations, until the term ends.
   Task<void> watch_jobs(uint64_t term) { return watcher_.run(term); }
-  // Another node reports that the job was cancelled; the watch will show it too.
+  // Applies a cancellation that another node reported, before the watch delivers it.
   void apply_cancellation(const std::string& id) { watcher_.apply_cancellation(id); }
-  // Every change of the open jobs up to this revision has been carried out here.
+  // All changes of the open jobs up to this revision have been applied to the leader's state.
   uint64_t jobs_revision() const { return watcher_.revision(); }
 
  private:
--- a/src/dunlinknot/cluster/allocation_store/job_records.cpp
+++ b/src/dunlinknot/cluster/allocation_store/job_records.cpp
@@ -1,4 +1,4 @@
-// Applying the stored records of jobs to the leader's state.
+// Decoding and applying the records of open, cancelled and finished jobs.
 #include "dunlinknot/cluster/allocation_store/job_records.hpp"
 
 #include <spdlog/spdlog.h>
@@ -10,23 +10,25 @@
 void JobRecords::apply(const kv::KeyValue& item) const {
   auto record = wire::read_job_record(item.value);
   if (!record || item.key != wire::job_key(record->spec.id)) {
-    spdlog::error("the record {} cannot be read and is left alone", item.key);
+    spdlog::error("cannot decode the job record {}: ignoring it", item.key);
     return;
   }
-  spdlog::debug("job {}: {} x {} of {}, estimate {:.0f} s", record->spec.id, record->spec.tasks,
-                record->spec.job_class, record->spec.team, record->spec.estimate.count());
+  spdlog::debug("job {}: {} tasks of class {} for team {}, estimate {:.0f} s", record->spec.id,
+                record->spec.tasks, record->spec.job_class, record->spec.team,
+                record->spec.estimate.count());
   const Instant now = access_.context.loop.now();
   access_.context.leader_state.with([&](LeaderState& leader) {
     leader.cluster.load_job(std::move(*record), item.mod_revision, now);
   });
 }
 
-// The jobs that this node finished are closed when their transaction is answered, which may be
-// later: then the tasks are all done, and stopping what is left of the job does no harm.
+// A job that this node finished is closed when its transaction completes, which may be after the
+// watch reports the deletion. All tasks are done in that case, so stopping the remaining
+// allocations of the job does no harm.
 Effects JobRecords::close_removed(LeaderState& leader, const std::string& id) const {
   const Job* job = leader.cluster.job(id);
   if (!job) return {};
-  if (!job->all_done()) spdlog::info("job {} was cancelled", id);
+  if (!job->all_done()) spdlog::info("job {} was cancelled: stopping its tasks", id);
   const Effects effects = leader.cluster.close_job(id, true, access_.context.loop.now());
   leader.nominations.end_all_of_job(id);
   return effects;
@@ -38,7 +40,7 @@
       co_await access_.store.get(wire::job_key(id), StoreAccess::kCommitTime);
   if (!context.in_term(term) || open.outcome != Outcome::ok) co_return;
   if (open.found) {
-    // Only the watch adds a job: this answer may be older than the job's end.
+    // Only the watch adds jobs, because this read may be older than the end of the job.
     context.leader_state.with([&](LeaderState& leader) {
       if (Job* job = leader.cluster.job(id)) job->mod_revision = open.item.mod_revision;
     });
@@ -50,7 +52,8 @@
   close(id, end);
 }
 
-// `end`: the record of how the job ended. Without one that can be read it counts as cancelled.
+// `end`: the record of how the job ended. If it is missing or cannot be decoded, the job is treated
+// as cancelled.
 void JobRecords::close(const std::string& id, const kv::GetResult& end) const {
   LeaderContext& context = access_.context;
   const auto record = end.found ? wire::read_final(end.item.value) : std::nullopt;
--- a/src/dunlinknot/cluster/allocation_store/job_records.hpp
+++ b/src/dunlinknot/cluster/allocation_store/job_records.hpp
@@ -1,4 +1,4 @@
-// Applying the stored records of jobs to the leader's state.
+// Applies the stored records of jobs to the leader's state.
 #pragma once
 #include <string>
 
@@ -6,17 +6,19 @@
 
 namespace dunlinknot::cluster {
 
-// A job is open as long as its record exists. Used by whatever reads these records: loading,
-// watching, and the writers whose compare on one failed.
+// A job is open as long as its record exists. Used wherever these records are read: when loading,
+// when watching, and by writers after a failed compare on such a record.
 class JobRecords {
  public:
   explicit JobRecords(const StoreAccess& access) : access_(access) {}
-  // An open job's record, new or changed. One that cannot be read is logged and left alone.
+  // Applies a new or changed record of an open job. A record that cannot be decoded is logged and
+  // ignored.
   void apply(const kv::KeyValue& item) const;
-  // The job's record was deleted: the job was cancelled, or is done. Runs under the lock.
+  // Closes a job whose record was deleted because it was cancelled or is done. Must be called under
+  // the leader state's lock.
   Effects close_removed(LeaderState& leader, const std::string& id) const;
   // Reads whether the job is still open, after a compare on its record failed or its transaction
-  // had an unknown outcome. Leaves the job as it was when there is no answer.
+  // had an unknown outcome. Leaves the job unchanged if the read fails.
   Task<void> reread(uint64_t term, std::string id) const;
 
  private:
--- a/src/dunlinknot/cluster/allocation_store/job_watcher.cpp
+++ b/src/dunlinknot/cluster/allocation_store/job_watcher.cpp
@@ -1,4 +1,4 @@
-// Following the open jobs while leading.
+// The watch loop, and relisting after the watch fell too far behind.
 #include "dunlinknot/cluster/allocation_store/job_watcher.hpp"
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 
 namespace {
 
-// How long a watch waits for changes: its answer moves the beginning of the leader's renewal window
-// also when there were none, so it has to come often.
+// How long a watch request waits for changes. A response without changes also extends the leader's
+// renewal window, so responses must be frequent.
 constexpr Millis kWatchBlock{1000};
 
 }  // namespace
@@ -61,7 +61,8 @@
   }
 }
 
-// The changes since revision_ cannot be had any more. False when the term ended.
+// Lists all jobs again, because the changes since `revision_` are no longer available. Returns
+// false if the term ended.
 Task<bool> JobWatcher::relist(uint64_t term) {
   std::set<std::string> listed;
   const StateLoader::Visit visit = [&](const kv::KeyValue& item) {
@@ -70,8 +71,9 @@
   };
   const auto start = co_await loader_.list(term, std::string(wire::kJobPrefix), visit);
   if (!start) co_return false;
-  // Only this watch adds jobs, so all known ones existed before the listing: one that is not in it
-  // is over. Reading for each how it ended could fail, and its cancellation would stay unknown.
+  // Only this watch adds jobs, so all known jobs existed before the listing, and one that is not
+  // listed has ended. How it ended is not read: such a read could fail, and a cancellation would
+  // stay unknown.
   Effects effects = access_.context.leader_state.with([&](LeaderState& leader) {
     std::vector<std::string> removed;
     for (const auto& [id, job] : leader.cluster.jobs()) {
--- a/src/dunlinknot/cluster/allocation_store/job_watcher.hpp
+++ b/src/dunlinknot/cluster/allocation_store/job_watcher.hpp
@@ -1,4 +1,4 @@
-// Following the open jobs while leading.
+// Watches the open jobs while this node is the leader.
 #pragma once
 #include <string>
 
@@ -7,20 +7,21 @@
 
 namespace dunlinknot::cluster {
 
-// Watches the records of jobs: submissions add one, cancellations delete it. Each answer, with
-// changes or without, proves up to when all cancellations are known here (safety 2).
+// Watches the records of jobs: submissions add a record, cancellations delete it. Each response to
+// the watch, with or without changes, proves that all cancellations up to the time of the request
+// are known here (safety 2: cancelled tasks end in time).
 class JobWatcher {
  public:
   JobWatcher(const StoreAccess& access, const JobRecords& jobs, const StateLoader& loader)
       : access_(access), jobs_(jobs), loader_(loader) {}
 
-  // All jobs have been read, from `start` on.
+  // Starts from a complete listing of the jobs that began at `start`.
   void begin(const ListingStart& start);
   // Runs until the term ends.
   Task<void> run(uint64_t term);
-  // Another node reports that the job was cancelled; the watch will show it too.
+  // Applies a cancellation that another node reported, before the watch delivers it.
   void apply_cancellation(const std::string& id) const;
-  // Every change of the open jobs up to this revision has been carried out here.
+  // All changes of the open jobs up to this revision have been applied to the leader's state.
   uint64_t revision() const { return revision_; }
 
  private:
--- a/src/dunlinknot/cluster/allocation_store/machine_record_writer.cpp
+++ b/src/dunlinknot/cluster/allocation_store/machine_record_writer.cpp
@@ -1,4 +1,4 @@
-// Writing what is allocated on each machine.
+// Collecting, writing and rereading the records of machines.
 #include "dunlinknot/cluster/allocation_store/machine_record_writer.hpp"
 
 #include <algorithm>
@@ -9,12 +9,15 @@
 
 using http::Outcome;
 
-constexpr size_t kMostPassedOver = 8;  // machines whose jobs one transaction cannot compare
-constexpr size_t kBatchBytes = size_t{40} * 1024;  // the key-value store takes 64 KiB, all included
-constexpr size_t kJsonPerPackedByte = 2;           // an upper estimate
-constexpr size_t kComparesPerWrite = 4;  // the key-value store's limit, in writes of a transaction
+// The maximum number of dirty machines that a batch skips because their records cannot be added.
+constexpr size_t kMostPassedOver = 8;
+// The limit of the values in a transaction. The key-value store accepts 64 KiB in total.
+constexpr size_t kBatchBytes = size_t{40} * 1024;
+constexpr size_t kJsonPerPackedByte = 2;  // an upper bound
+// The key-value store accepts this many compares per permitted write of a transaction.
+constexpr size_t kComparesPerWrite = 4;
 
-// The jobs with an allocation on the machine that is not durable yet.
+// The open jobs with allocations on the machine that are not durable yet.
 std::set<std::string> newly_allocated_jobs(const Cluster& cluster, const Machine& machine) {
   std::set<std::string> jobs;
   for (const Allocation& allocation : machine.allocations) {
@@ -25,7 +28,7 @@
   return jobs;
 }
 
-// Takes the new allocations of all but these jobs out of a record.
+// Removes new allocations from a record, except those of the jobs in `but_of`.
 void leave_out_new_allocations(wire::MachineRecord& record, const Machine& machine,
                                const std::set<std::string>& but_of) {
   for (const Allocation& allocation : machine.allocations) {
@@ -51,7 +54,8 @@
   });
 }
 
-// What the record contains is what is durable, whichever attempt wrote it.
+// The allocations in the stored record are durable, regardless of which attempt to write it
+// succeeded.
 Effects MachineRecordWriter::apply_stored(const std::string& id, const kv::GetResult& got) const {
   Effects effects;
   access_.context.leader_state.with([&](LeaderState& leader) {
@@ -64,7 +68,7 @@
   return effects;
 }
 
-// Machines whose record may have been changed by a transaction with an unknown outcome.
+// Rereads the records that a transaction with an unknown outcome may have changed.
 Task<void> MachineRecordWriter::reread_unknown(uint64_t term) {
   mod_revisions_unknown_ = false;
   const std::vector<std::string> ids = unknown_machines();
@@ -80,7 +84,7 @@
   }
 }
 
-// How many more compares the transaction takes, beside that on a machine's record.
+// How many more compares the transaction can contain, besides that of the next machine's record.
 size_t MachineRecordWriter::compares_left(const Batch& batch) const {
   const size_t most = access_.max_writes() * kComparesPerWrite;
   const size_t taken = batch.txn.compares.size() + batch.jobs.size() + 1;
@@ -92,24 +96,28 @@
          compares_left(batch) == 0;
 }
 
-// Adds the machine's record to the transaction; false when it does not fit into it any more.
+// Adds the machine's record to the transaction. Returns false if the transaction has no room for
+// it.
 bool MachineRecordWriter::add_record(Batch& batch, Cluster& cluster, Machine& machine) const {
-  // A record that another version stored large has to shrink first, as what is allocated there
-  // ends. What was to be added goes elsewhere. The larger record in the store allocates too much,
-  // never too little (safety 1).
+  // The record can be too large if another version of the program, with a higher limit, stored it.
+  // It is not rewritten until enough of its allocations have ended, and the tasks of its planned
+  // allocations are placed elsewhere. The larger record in the store contains ended allocations,
+  // but none is missing (safety 1: no task runs twice).
   if (cluster.record_size(machine) > access_.store.limits().value_bytes()) {
     (void)cluster.drop_planned(machine, access_.context.loop.now());
     machine.dirty = false;
     return true;
   }
-  // Safety 3: an allocation is refused when its job was cancelled or is over.
+  // Safety 3, no task of a closed job starts: the write of a new allocation fails if its job was
+  // cancelled or has ended.
   std::set<std::string> added_jobs = newly_allocated_jobs(cluster, machine);
   for (const std::string& id : batch.jobs) added_jobs.erase(id);
   const size_t room = compares_left(batch);
   if (added_jobs.size() > room && !batch.machines.empty()) return false;
   MachineWrite write{machine.id, machine.mod_revision, cluster.record_of(machine)};
   if (added_jobs.size() > room) {
-    // More jobs than one transaction compares: the rest follows with the next one.
+    // The machine has more jobs than one transaction can compare. The other jobs are written by
+    // later transactions.
     while (added_jobs.size() > room) added_jobs.erase(std::prev(added_jobs.end()));
     leave_out_new_allocations(write.record, machine, added_jobs);
   }
@@ -128,10 +136,10 @@
   return true;
 }
 
-// Records that gained entries, in the order in which they wait. Those that cannot be written now
-// keep waiting.
+// Adds records that gained entries, in queue order. Those that cannot be written now are queued
+// again.
 void MachineRecordWriter::collect_dirty(Batch& batch, Cluster& cluster) const {
-  std::vector<Machine*> unwritable;  // being written, or to be reread
+  std::vector<Machine*> unwritable;  // a write is in flight, or the record must be reread
   std::vector<Machine*> too_many_jobs;
   while (!full(batch) && unwritable.size() + too_many_jobs.size() < kMostPassedOver) {
     Machine* machine = cluster.next_dirty_machine();
@@ -158,7 +166,7 @@
   }
 }
 
-// The records that wait to be written, as many as one transaction takes.
+// Collects as many of the records to be written as fit into one transaction.
 MachineRecordWriter::Batch MachineRecordWriter::collect(Cluster& cluster,
                                                         bool include_shrunk) const {
   Batch batch;
@@ -215,8 +223,8 @@
   const size_t waiting = context.leader_state.with(
       [](LeaderState& leader) { return leader.cluster.dirty_machine_count(); });
   if (waiting == 0 && !include_shrunk) co_return false;
-  // Records that only shrank are rewritten with what is left of the budget: an entry too many costs
-  // a new leader a moment, an allocation that waits costs a machine.
+  // Records that only lost entries are rewritten only if the budget has slack: an obsolete entry
+  // delays a new leader briefly, whereas a delayed allocation leaves a machine unused.
   if (waiting == 0 && !access_.has_slack()) co_return false;
   co_await access_.await_budget(term, static_cast<double>(std::min(waiting, access_.max_writes())));
   if (!context.in_term(term)) co_return false;
--- a/src/dunlinknot/cluster/allocation_store/machine_record_writer.hpp
+++ b/src/dunlinknot/cluster/allocation_store/machine_record_writer.hpp
@@ -1,4 +1,4 @@
-// Writing what is allocated on each machine.
+// Writes the records of machines, which contain their allocations.
 #pragma once
 #include <set>
 #include <string>
@@ -9,32 +9,33 @@
 
 namespace dunlinknot::cluster {
 
-// Writes the records of machines whose allocations changed, several in one transaction. An
-// allocation is durable before its `run` is sent (safety 1). A transaction compares `epoch`, the
-// records it writes, and the records of the jobs that it adds allocations of (safety 3).
+// Writes the records of machines whose allocations changed, several per transaction. An allocation
+// is durable before its `run` is sent (safety 1: no task runs twice). A transaction compares
+// `epoch`, the records that it writes, and the records of the jobs to which it adds allocations
+// (safety 3: no task of a closed job starts).
 class MachineRecordWriter {
  public:
   MachineRecordWriter(const StoreAccess& access, const JobRecords& jobs, RecordCleaner& cleaner)
       : access_(access), jobs_(jobs), cleaner_(cleaner) {}
   // Writes a batch; with `include_shrunk`, also records that only lost entries. Returns whether
-  // there may be more to write at once.
+  // there may be more to write immediately.
   Task<bool> write_some(uint64_t term, bool include_shrunk);
 
  private:
   struct MachineWrite {
     std::string id;
-    uint64_t mod_revision = 0;  // that the record is expected to have
+    uint64_t mod_revision = 0;  // expected mod revision of the record
     wire::MachineRecord record;
   };
-  struct Batch {  // one transaction
+  struct Batch {  // the contents of one transaction
     std::vector<MachineWrite> machines;
-    std::set<std::string> jobs;  // with new allocations: their records are compared
-    size_t bytes = 0;            // of the values as JSON, estimated
+    std::set<std::string> jobs;  // jobs with new allocations, whose records are compared
+    size_t bytes = 0;            // estimated size of the values in JSON
     kv::Transaction txn;
   };
-  struct Applied {  // what a transaction's result made necessary
+  struct Applied {  // the follow-up work after a transaction
     Effects effects;
-    std::vector<std::string> changed_jobs;  // whose record was not what the leader took it for
+    std::vector<std::string> changed_jobs;  // jobs whose record had an unexpected mod revision
   };
   Task<void> reread_unknown(uint64_t term);
   std::vector<std::string> unknown_machines() const;
@@ -54,7 +55,7 @@
   const StoreAccess& access_;
   const JobRecords& jobs_;
   RecordCleaner& cleaner_;
-  bool mod_revisions_unknown_ = false;  // of some machine's record; to be reread first
+  bool mod_revisions_unknown_ = false;  // some machine's record must be reread before writing
 };
 
 }  // namespace dunlinknot::cluster
--- a/src/dunlinknot/cluster/allocation_store/progress_writer.cpp
+++ b/src/dunlinknot/cluster/allocation_store/progress_writer.cpp
@@ -1,4 +1,4 @@
-// Writing how far jobs are, and how they ended.
+// Collecting, writing and rereading the progress and the completion of jobs.
 #include "dunlinknot/cluster/allocation_store/progress_writer.hpp"
 
 #include <algorithm>
@@ -9,11 +9,15 @@
 
 using http::Outcome;
 
-constexpr auto kLongestWait = std::chrono::seconds(1);  // for a signal that there is progress
-constexpr Millis kRereadPause{30};                      // before a reread batch is written again
-constexpr size_t kWritesOfEnd = 2;   // the final record, and deleting the open one
-constexpr double kOpenShare = 0.15;  // of the write budget, for the progress of open jobs
-constexpr Seconds kOpenPause{1};     // after there was no such progress to write
+// Upper bound of the wait for a notification.
+constexpr auto kLongestWait = std::chrono::seconds(1);
+// The delay before a batch is written again after rereading.
+constexpr Millis kRereadPause{30};
+// Completing a job writes its final record and deletes its open record.
+constexpr size_t kWritesOfEnd = 2;
+constexpr double kOpenShare = 0.15;  // part of the write budget for the progress of open jobs
+// The delay until the next check if there was no progress of open jobs to write.
+constexpr Seconds kOpenPause{1};
 
 }  // namespace
 
@@ -53,8 +57,9 @@
   }
 }
 
-// The ends of jobs and, with `include_open`, the progress of open jobs: first that of the jobs
-// after the one that was the last to be written, so that all of them are reached.
+// Collects the completion of jobs and, with `include_open`, the progress of open jobs. Open jobs
+// are taken in round-robin order, starting after the job that was written last, so that none is
+// starved.
 ProgressWriter::Batch ProgressWriter::collect(const Cluster& cluster, bool include_open) const {
   Batch batch;
   batch.txn.compares.push_back(access_.context.epoch_compare());
@@ -76,9 +81,10 @@
   return batch;
 }
 
-// The progress of open jobs keeps to its share of the budget, batch by batch. Found with the
-// key-value store's limits lowered: transactions had become so small that the first jobs had new
-// progress before the last were reached, and allocations were not written for half a minute.
+// Delays the next write of progress of open jobs, so that these writes keep to their share of the
+// write budget. Without this limit, and with lowered limits of the key-value store, transactions
+// were so small that the first jobs had new progress before the last ones were written, and no
+// allocations were written for half a minute.
 void ProgressWriter::schedule_next_open(const Batch& batch) {
   if (batch.chunks.empty()) return;
   last_open_job_ = batch.chunks.back().job;
@@ -87,7 +93,7 @@
   next_open_ = access_.context.loop.now() + to_nanos(pause);
 }
 
-// The batch is durable.
+// Applies a batch that is durable.
 void ProgressWriter::apply_stored(const Batch& batch, uint64_t revision) const {
   LeaderContext& context = access_.context;
   Effects effects;
@@ -123,8 +129,8 @@
   });
 }
 
-// The transaction's outcome is unknown, or a mod revision was not what we thought: reads the
-// records in question. False when the term ended.
+// Rereads the records concerned after a transaction with an unknown outcome or a failed compare.
+// Returns false if the term ended.
 Task<bool> ProgressWriter::reread(uint64_t term, Batch batch, kv::TransactionResult result) const {
   for (const ChunkWrite& chunk : batch.chunks) {
     const std::string key = wire::done_key(chunk.job, chunk.chunk);
@@ -143,12 +149,12 @@
   co_return true;
 }
 
-// Returns whether there may be more to write at once.
+// Writes a batch. Returns whether there may be more to write immediately.
 Task<bool> ProgressWriter::write_some(uint64_t term) {
   LeaderContext& context = access_.context;
-  // A job's end is written at once. The progress of an open job need not be: until it is durable
-  // the workers keep what they completed. On a large cluster a write for each task would use up the
-  // budget.
+  // The completion of a job is written immediately. The progress of open jobs can be delayed,
+  // because workers keep their completed tasks until the completion is durable. On a large cluster,
+  // one write per task would exhaust the write budget.
   const bool include_open = context.loop.now() >= next_open_;
   Batch batch = context.leader_state.with(
       [&](LeaderState& leader) { return collect(leader.cluster, include_open); });
--- a/src/dunlinknot/cluster/allocation_store/progress_writer.hpp
+++ b/src/dunlinknot/cluster/allocation_store/progress_writer.hpp
@@ -1,4 +1,4 @@
-// Writing how far jobs are, and how they ended.
+// Writes the progress and the completion of jobs.
 #pragma once
 #include <set>
 #include <string>
@@ -8,9 +8,9 @@
 
 namespace dunlinknot::cluster {
 
-// Writes completed tasks, in chunks, and the ends of jobs. Both are durable before they are
-// acknowledged to a user or a worker. A transaction compares `epoch`, the records it writes, and
-// those of the jobs.
+// Writes the completed tasks of jobs, in chunks, and the completion of jobs. Both are durable
+// before they are acknowledged to a user or a worker. A transaction compares `epoch`, the records
+// that it writes, and the records of the jobs concerned.
 class ProgressWriter {
  public:
   ProgressWriter(const StoreAccess& access, const JobRecords& jobs)
@@ -22,13 +22,13 @@
   struct ChunkWrite {
     std::string job;
     uint32_t chunk = 0;
-    std::vector<bool> bits;  // of all the job's tasks, as written
+    std::vector<bool> bits;  // the done tasks as written, with an entry for each task of the job
   };
   struct FinishedJob {
     std::string id;
     uint32_t tasks = 0;
   };
-  struct Batch {  // one transaction
+  struct Batch {  // the contents of one transaction
     std::vector<ChunkWrite> chunks;
     std::vector<FinishedJob> finished;
     std::set<std::string> jobs;
@@ -46,8 +46,8 @@
 
   const StoreAccess& access_;
   const JobRecords& jobs_;
-  Instant next_open_{};        // when the progress of open jobs is written next
-  std::string last_open_job_;  // the last one whose progress was written
+  Instant next_open_{};        // earliest time of the next write of progress of open jobs
+  std::string last_open_job_;  // id of the job whose progress was written last
 };
 
 }  // namespace dunlinknot::cluster
--- a/src/dunlinknot/cluster/allocation_store/record_cleaner.cpp
+++ b/src/dunlinknot/cluster/allocation_store/record_cleaner.cpp
@@ -1,4 +1,4 @@
-// Deleting records that nothing refers to any more.
+// Batching and retrying the deletion of obsolete records.
 #include "dunlinknot/cluster/allocation_store/record_cleaner.hpp"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 using http::Outcome;
 
-constexpr size_t kMostDeletions = 12;  // of a transaction
+constexpr size_t kMostDeletions = 12;  // per transaction
 
 }  // namespace
 
@@ -19,8 +19,8 @@
   for (DeadRecord& record : dead) dead_.push_back(std::move(record));
 }
 
-// Deletions are conditional on the record being the one that we knew: a machine's name may be in
-// use again, and its record with it.
+// A record is deleted only if its mod revision is unchanged: the id of a removed machine, and with
+// it the key of its record, may be in use again.
 RecordCleaner::Batch RecordCleaner::next_batch(std::vector<kv::Compare> compares) {
   Batch batch;
   batch.txn.compares = std::move(compares);
@@ -52,14 +52,14 @@
   co_return false;
 }
 
-// After a transaction that was not applied, or with an unknown outcome.
+// Queues the records of a transaction that was not applied or had an unknown outcome again.
 Task<void> RecordCleaner::requeue(uint64_t term, Batch batch, kv::TransactionResult result) {
   for (DeadRecord& record : batch.records) {
     if (!result.compare_failed(record.key)) {
       dead_.push_back(std::move(record));
       continue;
     }
-    // Deleted already, or written by a transaction whose answer we never had.
+    // The record was already deleted, or was written by a transaction whose response was lost.
     const kv::GetResult got = co_await access_.store.get(record.key, StoreAccess::kCommitTime);
     if (!access_.context.in_term(term)) co_return;
     if (got.outcome == Outcome::ok && got.found) {
--- a/src/dunlinknot/cluster/allocation_store/record_cleaner.hpp
+++ b/src/dunlinknot/cluster/allocation_store/record_cleaner.hpp
@@ -1,4 +1,4 @@
-// Deleting records that nothing refers to any more.
+// Deletes obsolete records from the key-value store.
 #pragma once
 #include <deque>
 #include <vector>
@@ -7,15 +7,15 @@
 
 namespace dunlinknot::cluster {
 
-// Collects the dead records (progress of closed jobs, machines that were removed) and deletes them
-// when the budget has slack and this node may do so. A dead record does no harm: a new leader only
-// reads more than it needs.
+// Collects obsolete records (progress of closed jobs, records of removed machines) and deletes them
+// while the write budget has slack and this node may delete records. An obsolete record does no
+// harm except that a new leader reads it unnecessarily.
 class RecordCleaner {
  public:
   explicit RecordCleaner(const StoreAccess& access) : access_(access) {}
   void add(DeadRecord record) { dead_.push_back(std::move(record)); }
   void clear() { dead_.clear(); }
-  // Deletes a batch. Returns whether there may be more to delete at once.
+  // Deletes a batch. Returns whether there may be more to delete immediately.
   Task<bool> delete_some(uint64_t term);
 
  private:
--- a/src/dunlinknot/cluster/allocation_store/state_loader.cpp
+++ b/src/dunlinknot/cluster/allocation_store/state_loader.cpp
@@ -1,4 +1,4 @@
-// Reading a new leader's state from the key-value store.
+// Listing the records and applying them to the new leader's state.
 #include "dunlinknot/cluster/allocation_store/state_loader.hpp"
 
 #include <spdlog/spdlog.h>
@@ -9,7 +9,8 @@
 
 namespace {
 
-constexpr auto kPageTime = std::chrono::seconds(3);  // a page is larger than what else is read
+// The timeout is longer than for other reads, because a page is larger.
+constexpr auto kPageTime = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -33,7 +34,8 @@
   co_return start;
 }
 
-// Jobs come first: progress is applied to them, and without its job it is dead.
+// Jobs are listed first, because progress is applied to them, and progress without an open job is
+// obsolete.
 Task<std::optional<ListingStart>> StateLoader::load(uint64_t term) {
   const Visit job = [this](const kv::KeyValue& item) { jobs_.apply(item); };
   const auto jobs = co_await list(term, std::string(wire::kJobPrefix), job);
@@ -63,7 +65,7 @@
   const std::string id(wire::after_prefix(item.key, wire::kMachinePrefix));
   const auto record = wire::read_machine_record(item.value);
   if (!record) {
-    spdlog::error("the record {} cannot be read and is left alone", item.key);
+    spdlog::error("cannot decode the machine record {}: ignoring it", item.key);
     return;
   }
   const Instant now = access_.context.loop.now();
--- a/src/dunlinknot/cluster/allocation_store/state_loader.hpp
+++ b/src/dunlinknot/cluster/allocation_store/state_loader.hpp
@@ -1,4 +1,4 @@
-// Reading a new leader's state from the key-value store.
+// Loads a new leader's state from the key-value store.
 #pragma once
 #include <functional>
 #include <optional>
@@ -9,25 +9,26 @@
 
 namespace dunlinknot::cluster {
 
-// Of a listing's first page: what the listing shows is at least this new.
+// The revision of a listing's first page and the time of its request. The items of the listing are
+// at least this recent.
 struct ListingStart {
   uint64_t revision = 0;
   Instant sent{};
 };
 
-// Lists records at failover: open jobs, their progress, and what is allocated on the machines.
+// Lists the records at failover: open jobs, their progress, and machines with their allocations.
 class StateLoader {
  public:
   StateLoader(const StoreAccess& access, const JobRecords& jobs, RecordCleaner& cleaner)
       : access_(access), jobs_(jobs), cleaner_(cleaner) {}
 
-  // Reads everything a new leader needs, and finds the dead records. Returns where the watch on the
-  // jobs begins; empty when the term ended meanwhile.
+  // Reads all records that a new leader needs, and passes the obsolete ones to the cleaner. Returns
+  // the start of the watch on the jobs; empty if the term ended meanwhile.
   Task<std::optional<ListingStart>> load(uint64_t term);
 
   using Visit = std::function<void(const kv::KeyValue&)>;
-  // Calls `visit` for each key under a prefix, in order. A page without an answer is asked for
-  // again until the term ends; then the result is empty.
+  // Calls `visit` for each key with the prefix, in order. Failed reads of a page are retried until
+  // the term ends. Returns an empty result if the term ended.
   Task<std::optional<ListingStart>> list(uint64_t term, std::string prefix, Visit visit) const;
 
  private:
--- a/src/dunlinknot/cluster/allocation_store/store_access.cpp
+++ b/src/dunlinknot/cluster/allocation_store/store_access.cpp
@@ -1,4 +1,4 @@
-// The limits that all parts of the allocation store keep to.
+// The limits that apply to all components of the allocation store.
 #include "dunlinknot/cluster/allocation_store/store_access.hpp"
 
 #include <algorithm>
@@ -7,11 +7,14 @@
 
 namespace {
 
-constexpr size_t kMostWrites = 16;      // of a transaction, also where the store allows more
-constexpr double kUserReserve = 0.2;    // of the write budget's burst, left to the users' requests
-constexpr double kLargestShare = 0.25;  // of the burst, that a transaction waits for at most
-constexpr double kSlackLevel = 0.6;     // of the burst: what can wait is written above this
-constexpr Millis kLeastPause{2};        // while waiting for the budget
+constexpr size_t kMostWrites = 16;  // per transaction, even if the key-value store allows more
+// The share of the write burst that is reserved for users' requests.
+constexpr double kUserReserve = 0.2;
+// A transaction waits for at most this share of the write burst.
+constexpr double kLargestShare = 0.25;
+// Writes that can be delayed are allowed if more than this share of the write burst is left.
+constexpr double kSlackLevel = 0.6;
+constexpr Millis kLeastPause{2};  // between checks of the write budget
 
 }  // namespace
 
@@ -23,7 +26,8 @@
   return store.available_writes() >= store.write_burst() * kSlackLevel;
 }
 
-// Without the reserve the allocations of a large cluster crowd the submissions at this node out.
+// Without the reserve, the allocations of a large cluster would leave no write budget for
+// submissions at this node.
 Task<void> StoreAccess::await_budget(uint64_t term, double writes) const {
   const double burst = store.write_burst();
   const double want = std::min(writes, burst * kLargestShare) + burst * kUserReserve;
--- a/src/dunlinknot/cluster/allocation_store/store_access.hpp
+++ b/src/dunlinknot/cluster/allocation_store/store_access.hpp
@@ -1,5 +1,5 @@
-// What the parts of the allocation store share: the leader's state, the key-value store with its
-// budget, and whom to notify.
+// What the components of the allocation store share: the leader's state, the key-value store with
+// its write budget, and the handler of events.
 #pragma once
 #include <optional>
 #include <string>
@@ -10,39 +10,43 @@
 
 namespace dunlinknot::cluster {
 
-// What the allocation store reports to, and asks of, the daemon. All calls come from the event
-// loop, outside the lock on the leader's state, and must not suspend.
+// The interface of the daemon to the allocation store. All functions are called on the event loop,
+// without the leader state's lock, and must not suspend.
 class AllocationStoreHandler {
  public:
   virtual ~AllocationStoreHandler() = default;
-  // A compare on `epoch` failed: another node leads under a later one.
+  // A compare on `epoch` failed: another node is the leader in a later epoch.
   virtual void on_epoch_superseded() = 0;
-  // The end of a job, with all its `tasks` completed, is durable.
+  // The completion of a job with `tasks` tasks is durable.
   virtual void on_job_finished(const std::string& id, uint32_t tasks) = 0;
-  // All cancellations that existed when a read was sent at `sent` have been carried out here.
+  // All cancellations that were stored before `sent`, the time of a read request, have been applied
+  // to the leader's state.
   virtual void on_cancellations_applied(Instant sent) = 0;
-  // The compares of a transaction that deletes records; empty while this node may not delete any.
+  // The compares for a transaction that deletes obsolete records. Empty while this node must not
+  // delete any.
   virtual std::optional<std::vector<kv::Compare>> cleanup_compares() const = 0;
-  // The result of such a transaction, sent at `sent` by the clock that counts suspended time.
+  // The result of such a transaction. `sent`: the time of its request on the clock that includes
+  // suspended time.
   virtual void apply_cleanup_result(const kv::TransactionResult& result, Instant sent) = 0;
 };
 
-// References that outlive all parts, and the limits that all parts keep to.
+// References that outlive all components, and the limits that apply to all components.
 struct StoreAccess {
-  static constexpr Millis kCommitTime{1200};  // for one call of the key-value store
-  static constexpr Millis kRetry{120};        // after a call that was refused or got no answer
+  static constexpr Millis kCommitTime{1200};  // for one call to the key-value store
+  static constexpr Millis kRetry{120};        // after a call that was refused or got no response
 
   LeaderContext& context;
   kv::Client& store;
   AllocationStoreHandler& handler;
 
-  // The most writes of one transaction.
+  // The maximum number of writes per transaction.
   size_t max_writes() const;
-  // Whether so much of the write budget is left that writes which can wait may use it.
+  // Whether enough of the write budget is left for writes that can be delayed.
   bool has_slack() const;
-  // Waits until the budget has room for so many writes and the users' requests, or the term ends.
+  // Waits until the write budget suffices for `writes` writes in addition to the reserve for users'
+  // requests, or until the term ends.
   Task<void> await_budget(uint64_t term, double writes) const;
-  // Whether the result shows that another node leads; the handler is notified of it.
+  // Whether the result shows that another node is the leader. If so, notifies the handler.
   bool superseded(const kv::TransactionResult& result) const;
 };
 
