--- a/src/dunlinknot/cluster/allocation.cpp
+++ b/src/dunlinknot/cluster/allocation.cpp
@@ -1,4 +1,4 @@
-// Copying what an allocation needs to know of its job.
+// Copies the fields of a job into an allocation.
 #include "dunlinknot/cluster/allocation.hpp"
 
 #include "dunlinknot/cluster/job.hpp"
--- a/src/dunlinknot/cluster/allocation.hpp
+++ b/src/dunlinknot/cluster/allocation.hpp
@@ -1,4 +1,4 @@
-// An allocation: the claim "this task may be on that machine".
+// An allocation: the statement that a task may be running on a machine.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -7,26 +7,26 @@
 
 namespace dunlinknot::cluster {
 
-// How far an allocation has got on its way to the worker.
+// The progress of an allocation from the scheduling decision to the worker.
 enum class AllocationPhase : uint8_t {
-  planned,    // decided, but not in the key-value store: must not start
+  planned,    // decided, but not yet in the key-value store: `run` must not be sent
   durable,    // in the key-value store: `run` may be sent
   sent,       // `run` was sent
   seen,       // the worker reported the task
-  inherited,  // stored by a former leader, which may or may not have sent the `run`
+  inherited,  // stored by a former leader; it is unknown whether that leader sent the `run`
 };
 
-// Why a task is being stopped; `none` while it is not.
+// Why a task is being stopped; `none` if it is not being stopped.
 enum class StopReason : uint8_t {
   none,
-  preempted,     // its room is needed by a task of higher priority
+  preempted,     // its resources are needed by a task of higher priority
   interruption,  // the cloud is about to take the machine back
-  cancelled,     // its job was cancelled or is over
-  orphan,        // it was reported by a machine where it has no allocation and may not stay
+  cancelled,     // its job was cancelled or has ended
+  orphan,        // a machine reported it without an allocation, and it cannot be adopted there
   gang_broken,   // another task of its gang ended
 };
 
-// The order in which tasks that wait for room are served: higher tier first, then earliest due.
+// The order in which queued tasks are started: highest tier first, then earliest due time.
 struct QueuePosition {
   int tier = 0;
   double due = 0;  // seconds of this process's steady clock
@@ -37,18 +37,19 @@
 
 class Job;
 
-// Added to the time that saving a checkpoint takes when it is given as the grace of a stop, so that
-// a save that takes a little longer is not cut off.
+// The grace period of a stop is the expected duration of saving a checkpoint plus this margin, so
+// that a save that takes slightly longer is not interrupted.
 constexpr Seconds kStopGraceSlack{1};
 
-// Made before the task can start, ended only once it is certain that the task is not on the machine
-// (any more). The fields copied from the job are there because an allocation may outlive its job.
+// Created before the task can start, and ended only when it is certain that the task is not on the
+// machine or has left it. Some fields are copied from the job because an allocation may outlive its
+// job.
 struct Allocation {
   TaskRef task;
   uint64_t attempt = 0;
 
   // --- copied from the job
-  int team = -1;  // index into settings::Platform::teams; negative: not a team of this platform
+  int team = -1;  // index into settings::Platform::teams; negative: not configured there
   std::string team_name;
   Resources need;
   std::string image;
@@ -56,30 +57,32 @@
   bool gang = false;
   bool service = false;
   Priority priority = Priority::low;
-  size_t record_group_size = 0;  // bytes its job adds to the machine's record, beside the tasks
+  // The bytes that its job adds to the machine's record, excluding the job's tasks.
+  size_t record_group_size = 0;
 
   // --- progress
   AllocationPhase phase = AllocationPhase::planned;
-  uint64_t sent_incarnation = 0;  // of the worker whose heartbeat was answered with the `run`
+  uint64_t sent_incarnation = 0;  // incarnation of the worker that the `run` was sent to
   TaskState state = TaskState::fetching;
   Instant placed_at{};
-  Instant running_since{};  // zero: not seen running
+  Instant running_since{};  // zero: never reported running
 
-  // --- queued on the machine: in its record, but its `run` is held back until other tasks there
-  // leave enough room. Until then it counts neither as used room nor against its team's limit.
+  // --- queueing on the machine: a queued allocation is in the machine's record, but its `run` is
+  // not sent until other tasks there free enough resources. Until then it counts neither towards
+  // the machine's used resources nor towards its team's limit.
   bool queued = false;
   QueuePosition queue_position;
 
   // --- stop
   StopReason stop = StopReason::none;
-  Seconds grace{0};  // for saving a checkpoint; zero: killed at once
+  Seconds grace{0};  // to save a checkpoint; zero: the task is killed immediately
   Instant stop_at{};
 
-  // Sets the fields that come from the job.
+  // Copies the fields that are taken from the job.
   void copy_from(const Job& job);
 
   bool stopping() const { return stop != StopReason::none; }
-  // Its `run` was never sent in this term, so it may be undone at any time.
+  // Whether no `run` was sent for it in this term, so that it can be ended at any time.
   bool unsent() const {
     return phase == AllocationPhase::planned || phase == AllocationPhase::durable;
   }
--- a/src/dunlinknot/cluster/allocation_table.cpp
+++ b/src/dunlinknot/cluster/allocation_table.cpp
@@ -1,4 +1,4 @@
-// How allocations are added, stopped and ended, and what their end means for their gang.
+// Adding, stopping and ending allocations, including the effect on their gangs.
 #include "dunlinknot/cluster/allocation_table.hpp"
 
 #include <algorithm>
@@ -86,7 +86,8 @@
   return count_allocations(job, [](const Allocation& allocation) { return !allocation.unsent(); });
 }
 
-// Takes an allocation that was removed out of the counts of its machine and team, and of the index.
+// Subtracts a removed allocation from the counts of its machine and team, and updates the index by
+// job.
 void AllocationTable::uncount(Machine& machine, const Allocation& allocation, Instant now) {
   if (allocation.queued) {
     --machine.queued_tasks;
@@ -95,7 +96,7 @@
     usage_.remove(allocation.team, allocation.need);
   }
   if (machine.allocations.empty()) {
-    machine.used = Resources{};  // rounding errors do not add up
+    machine.used = Resources{};  // prevents rounding errors from accumulating
     machine.idle_since = now;
   }
   const bool other_tasks = find_where(machine.allocations, [&](const Allocation& other) {
@@ -130,9 +131,9 @@
   return effects;
 }
 
-// A gang that lost a task cannot complete: the rest is stopped at once rather than left to find
-// out, so that the next attempt need not wait for it. Tasks that were stopped with time to save
-// their checkpoint are left to saving it.
+// A gang that lost a task cannot complete. The other tasks are stopped immediately instead of
+// waiting for them to detect the loss, so that the next attempt can start sooner. Tasks that are
+// already stopping with a grace period may finish saving their checkpoint.
 void AllocationTable::break_gang(const std::string& id, uint64_t attempt, Instant now,
                                  Effects& effects) {
   for (Machine* machine : std::vector(holders(id))) {
@@ -150,9 +151,10 @@
   }
 }
 
-// An orphan is on its machine, whatever was planned meanwhile. What was not sent and may not
-// run beside it is undone before it can start, to be planned anew. A gang is broken as a whole:
-// none of its attempts may start until the orphan, which is being stopped, is gone.
+// An orphan is running on its machine regardless of what was planned meanwhile. Unsent allocations
+// that the constraints do not allow in addition to it are ended before their tasks can start, and
+// are planned again. A gang is broken as a whole: none of its attempts may start until the orphan,
+// which is being stopped, has ended.
 Effects AllocationTable::make_way_for_orphan(const Job& job, const TaskRef& orphan, Instant now) {
   const std::string& id = job.spec().id;
   if (job.spec().gang) {
@@ -212,9 +214,9 @@
   return false;
 }
 
-// The room that a task leaves is taken at once by one that is queued for it on the machine: its
-// allocation is durable already, so its `run` is sent with the response to the very heartbeat that
-// reported the room.
+// Resources that a task frees are used immediately by a task that is queued on the machine. Its
+// allocation is already durable, so its `run` is sent in the response to the same heartbeat that
+// reported the free resources.
 void AllocationTable::start_queued(Machine& machine, const Resources& spare_per_gpu, Instant now) {
   if (machine.queued_tasks == 0) return;
   std::vector<Allocation*> waiting;
@@ -233,7 +235,7 @@
     if (allocation->need.gpus <= 0 && machine.free().gpus > 0)
       room -= spare_per_gpu * machine.free().gpus;
     if (!allocation->need.fits_in(room)) continue;
-    // Safety 4: from here on its team's limit counts it.
+    // Safety 4, limits are never exceeded: from here on the task counts towards its team's limit.
     if (!usage_.allows(allocation->team, allocation->need)) continue;
     usage_.add(allocation->team, allocation->need);
     allocation->queued = false;
--- a/src/dunlinknot/cluster/allocation_table.hpp
+++ b/src/dunlinknot/cluster/allocation_table.hpp
@@ -1,4 +1,4 @@
-// The open jobs, the machines, and the allocations that connect them.
+// The table of open jobs, machines and allocations.
 #pragma once
 #include <memory>
 #include <set>
@@ -16,15 +16,15 @@
 
 namespace dunlinknot::cluster {
 
-// What the end of one task means for the rest of its gang.
+// How the end of one task affects the rest of its gang.
 enum class GangEffect : uint8_t {
-  breaks,    // the others are stopped, so that the next attempt can start soon
-  survives,  // the others end on their own account, or are being ended by the caller
+  breaks,    // the other tasks are stopped, so that the next attempt can start soon
+  survives,  // the other tasks exit by themselves, or the caller is ending them
 };
 
-// Every allocation is added and ended here, and nowhere else, so that the counts which follow from
-// it (room on the machine, usage of the team, live tasks of the job, the index by job) always agree
-// with the allocations. Not synchronized: owned by `Cluster`, behind the leader state's lock.
+// The only place where allocations are added and ended, so that all derived counts (used resources
+// of the machine, usage of the team, live tasks of the job, the index by job) are consistent with
+// the allocations. Not synchronized: owned by `Cluster` and guarded by the leader state's lock.
 class AllocationTable {
  public:
   explicit AllocationTable(const settings::Platform& platform) : usage_(platform.teams) {}
@@ -32,7 +32,7 @@
 
   JobTable& jobs() { return jobs_; }
   const JobTable& jobs() const { return jobs_; }
-  // Null when the job is not open.
+  // Null if the job is not open.
   Job* job(const std::string& id);
   const Job* job(const std::string& id) const;
   MachineTable& machines() { return machines_; }
@@ -47,16 +47,17 @@
 
   // --- adding
   Allocation& add(Machine& machine, Allocation allocation);
-  // Counts for a job that has just been opened the allocations that were known before it, such as
-  // an orphan's: those tasks must not be placed again.
+  // Adds the existing allocations of a job that has just been opened, such as an orphan's, to the
+  // job's counts, so that those tasks are not placed again.
   void count_earlier_allocations(Job& job);
-  // The constraints on further tasks of the job, given all its allocations.
+  // The constraints on placing further tasks of the job, given all its allocations.
   PlacementConstraints constraints_of(const Job& job) const;
-  // The same, given only those whose tasks may run already.
+  // The same, given only the allocations whose tasks may already be running.
   PlacementConstraints constraints_of_sent(const Job& job) const;
 
-  // --- ending. These may end further allocations, also on the same machine, when a gang breaks:
-  // whoever walks allocations by index walks backwards and checks the index each time.
+  // --- ending. If a gang breaks, these functions may end further allocations, also on the same
+  // machine. Loops over allocations by index must therefore run backwards and check the index in
+  // each iteration.
   Effects end(Machine& machine, size_t index, Instant now, GangEffect gang = GangEffect::breaks);
   Effects end_all(Machine& machine, Instant now);
   // Ends the machine's allocations that satisfy the predicate.
@@ -69,7 +70,7 @@
     }
     return effects;
   }
-  // Ends the allocations of a job whose `run` was not sent and which satisfy the predicate.
+  // Ends the allocations of a job for which no `run` was sent and which satisfy the predicate.
   template <class Predicate>
   Effects end_unsent(const std::string& job, Instant now, Predicate&& which) {
     Effects effects;
@@ -80,23 +81,25 @@
     }
     return effects;
   }
-  // Undoes what must not start beside an orphan: a task that runs although it has no allocation.
+  // Ends the unsent allocations of a job that its constraints do not allow in addition to an
+  // orphan, that is, a task that is running without an allocation.
   Effects make_way_for_orphan(const Job& job, const TaskRef& orphan, Instant now);
-  // Ends or stops all that is left of one attempt of a gang.
+  // Ends or stops all remaining allocations of one attempt of a gang.
   void break_gang(const std::string& job, uint64_t attempt, Instant now, Effects& effects);
 
-  // --- stopping: the allocation stays until its machine reports that the task is gone.
-  // A stop never becomes milder than it was announced: a later one with more grace is ignored.
+  // --- stopping: the allocation is kept until its machine reports that the task has ended. The
+  // grace period of a stop is never extended: a later stop with an equal or longer one is ignored.
   void stop(Machine& machine, Allocation& allocation, StopReason reason, Seconds grace,
             Instant now);
-  // Stops all of a gang for the interruption of one of its machines.
+  // Stops all tasks of a gang because one of its machines is about to be interrupted.
   void stop_gang(const std::string& job, uint64_t attempt, Seconds grace, Instant now);
 
   // --- tasks queued on machines
-  // Lets tasks that are queued on the machine start, as far as there is room. `spare_per_gpu`: what
-  // tasks without accelerators have to leave for each accelerator that is free.
+  // Dequeues as many of the tasks queued on the machine as fit into its free resources.
+  // `spare_per_gpu`: what tasks without accelerators must leave free for each free accelerator.
   void start_queued(Machine& machine, const Resources& spare_per_gpu, Instant now);
-  // Undoes one of the job's queued tasks, where most are queued. Returns whether there was one.
+  // Ends the allocation of one of the job's queued tasks, on the machine with the most queued
+  // tasks. Returns false if the job has none.
   bool withdraw_queued(const std::string& job, Instant now);
 
  private:
--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -1,4 +1,4 @@
-// Taking over, jobs, machines, and the expiry of workers' leases.
+// Failover, jobs, machines, and the expiry of workers' leases.
 #include "dunlinknot/cluster/cluster.hpp"
 
 #include <spdlog/spdlog.h>
@@ -13,10 +13,12 @@
 
 namespace {
 
-constexpr auto kRememberRemoved = std::chrono::minutes(5);  // well beyond any heartbeat in flight
-constexpr size_t kOrphanShare = 16;  // one part in so many of a record is left to orphans
+// How long removed machines are remembered. This is far longer than a heartbeat can be in flight.
+constexpr auto kRememberRemoved = std::chrono::minutes(5);
+// 1/16 of the maximum record size is reserved for orphans.
+constexpr size_t kOrphanShare = 16;
 
-// The smaller of what the key-value store accepts now and later.
+// The smaller of the value size limits of the key-value store, the current and the next one.
 size_t smallest_value(const settings::Platform& platform) {
   return kv::Limits(platform.store_limits, platform.next_store_limits).value_bytes();
 }
@@ -37,8 +39,8 @@
       worker_commands_(allocations_),
       interruptions_(platform, allocations_) {}
 
-// The catalog, the last cycle's `work_waits_` and the count of refused allocations are not a
-// term's.
+// The catalog, `work_waits_` of the last scheduling cycle and the count of refused allocations are
+// kept across terms.
 void Cluster::begin_term(uint64_t epoch, Instant now) {
   epoch_ = epoch;
   attempts_ = 0;
@@ -87,8 +89,8 @@
   if (wire::read_done_chunk(value, chunk, bits)) open_job->load_chunk(chunk, bits, mod_revision);
 }
 
-// Safety 1: a new leader allocates everything that any former leader allocated. Which of it really
-// runs is for the workers to report, under our fencing token.
+// Safety 1, no task runs twice: a new leader adopts every allocation that a former leader stored.
+// Whether their tasks are running is determined from heartbeats with our fencing token.
 void Cluster::load_machine(const std::string& id, const wire::MachineRecord& record,
                            uint64_t mod_revision, Instant now) {
   Machine& machine = register_machine(id, record.type, record.zone, record.spot, now);
@@ -99,7 +101,7 @@
     const Job* open_job = job(group.job);
     for (const auto& [index, attempt] : group.tasks) {
       Allocation allocation;
-      // The record decides where both say something: the job may be closed.
+      // Fields in the record override those of the job, which may be closed.
       if (open_job) allocation.copy_from(*open_job);
       allocation.task = TaskRef{group.job, index};
       allocation.attempt = attempt;
@@ -124,9 +126,9 @@
     dead_records_.push_back({wire::done_key(id, chunk), mod_revision});
   jobs.erase(it);
   effects.schedule = true;
-  // Safety 3: nothing of a closed job starts, and all of a cancelled one is stopped everywhere.
-  // Allocations whose `run` was never sent by us are simply undone; the others remain until their
-  // tasks are gone.
+  // Safety 3: no task of a closed job starts, and all tasks of a cancelled job are stopped on all
+  // machines. Allocations for which this leader sent no `run` end immediately; the others are kept
+  // until their tasks have ended.
   for (Machine* machine : std::vector(holders(id))) {
     for (size_t i = machine->allocations.size(); i-- > 0;) {
       Allocation& allocation = machine->allocations[i];
@@ -192,7 +194,8 @@
   effects |= allocations_.end_all(machine, now);
   if (machine.mod_revision != 0 || !machine.mod_revision_known)
     dead_records_.push_back({wire::machine_key(id), machine.mod_revision});
-  std::erase(held_machines_, &machine);  // else `set_reserved` writes to a machine that is gone
+  // Prevents `set_reserved` from writing to a destroyed machine.
+  std::erase(held_machines_, &machine);
   machines().erase(it);
   std::erase_if(removed_,
                 [&](const auto& removed) { return now - removed.second > kRememberRemoved; });
@@ -206,8 +209,8 @@
 }
 
 Instant Cluster::lease_counted_from(const Machine& machine) const {
-  // Safety 1: a worker that never bore our fencing token may still be answered by the leader before
-  // us, until that one's window is over.
+  // Safety 1, no task runs twice: the former leader may still renew the lease of a worker that has
+  // not yet sent our fencing token, until its renewal window ends.
   return machine.fenced ? machine.last_answered
                         : std::max(machine.last_answered, term_since_ + former_leader_window_);
 }
@@ -220,11 +223,11 @@
   Effects effects;
   for (auto& [id, machine] : machines()) {
     if (machine->lost) continue;
-    // Nothing of ours was ever there.
+    // There is nothing to end on a machine without heartbeats and allocations.
     if (!machine->has_heartbeat && machine->allocations.empty()) continue;
     if (now < lease_expiry(*machine)) continue;
-    spdlog::info("machine {}: its lease expired, {} allocations end", machine->id,
-                 machine->allocations.size());
+    spdlog::info("machine {}: the lease of its worker expired; ending its {} allocations",
+                 machine->id, machine->allocations.size());
     machine->lost = machine->has_heartbeat;
     machine->images.clear();
     effects |= allocations_.end_all(*machine, now);
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -1,4 +1,4 @@
-// The leader's view of the cluster: open jobs, machines, and what is allocated where.
+// The leader's state of the cluster: open jobs, machines and allocations.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -25,19 +25,20 @@
 
 namespace dunlinknot::cluster {
 
-// A record in the key-value store that is to be deleted, as long as it was not changed since.
+// An obsolete record in the key-value store. It is deleted only if its mod revision has not
+// changed.
 struct DeadRecord {
   std::string key;
   uint64_t mod_revision = 0;
 };
 
-// The facade through which the leader's parts read and change the cluster's state. It does no I/O
-// and takes no lock: it is part of `LeaderState`, so every call is made under that lock, and what
-// has to follow is returned as `Effects` (see `LeaderContext::follow_up`).
+// The facade through which the components of the leader read and change the cluster's state. It
+// does no I/O and takes no lock: it is part of `LeaderState`, every call is made under that lock,
+// and the required follow-up work is returned as `Effects` (see `LeaderContext::follow_up`).
 //
-// An allocation is made before its task can start, and ends only when it is certain that the task
-// is not on the machine (any more). Limits, zones and room are counted over allocations, never over
-// what workers happen to report; see AllocationTable.
+// An allocation is created before its task can start, and ends only when it is certain that the
+// task is not on the machine or has left it. Team limits, zone constraints and used resources are
+// computed from allocations, never from what workers report; see AllocationTable.
 class Cluster {
  public:
   // Both settings must outlive the cluster.
@@ -45,100 +46,109 @@
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
 
-  // --- Taking over (AllocationStore). A new leader forgets everything, then loads the records.
+  // --- Failover (AllocationStore). A new leader clears its state, then loads the records.
   void begin_term(uint64_t epoch, Instant now);
-  // Also called for each job that is submitted later. Updates the mod revision of a known job.
+  // Also called for each job submitted later. For a known job, only updates its mod revision.
   void load_job(wire::JobRecord record, uint64_t mod_revision, Instant now);
   void load_done(const std::string& job, uint32_t chunk, wire::View value, uint64_t mod_revision);
   void load_machine(const std::string& id, const wire::MachineRecord& record, uint64_t mod_revision,
                     Instant now);
   uint64_t epoch() const { return epoch_; }
   Instant term_since() const { return term_since_; }
-  // Attempts never repeat, neither within a term nor across terms.
+  // A new attempt number, unique within the term and across terms.
   uint64_t next_attempt();
 
   // --- Jobs
-  // Null when the job is not open.
+  // Null if the job is not open.
   Job* job(const std::string& id) { return allocations_.job(id); }
   const Job* job(const std::string& id) const { return allocations_.job(id); }
   const JobTable& jobs() const { return allocations_.jobs(); }
-  // The job is over: cancelled by its user (its tasks are stopped), or done (nothing is left).
+  // Closes a job that was cancelled by its user (its tasks are stopped) or is done (all tasks have
+  // ended).
   Effects close_job(const std::string& id, bool cancelled, Instant now);
   const std::vector<settings::Team>& teams() const { return platform_.teams; }
   // `team`: an index into `teams()`.
   const TeamUsage& usage(int team) const { return allocations_.usage().of(team); }
-  // What a task with one accelerator takes besides, as seen recently; zero before the first.
+  // CPUs and memory needed per accelerator by recent jobs; zero before the first such job.
   const Resources& resources_per_gpu() const { return forecasts_.resources_per_gpu(); }
-  // By class of jobs.
+  // By job class.
   const std::map<std::string, DemandForecast>& forecasts() const { return forecasts_.by_class(); }
 
   // --- Machines (autoscaler)
   void set_catalog(std::vector<MachineType> types);
   const std::vector<MachineType>& catalog() const { return catalog_; }
-  // Null when the catalog has no such type.
+  // Null if the catalog has no such machine type.
   const MachineType* type(std::string_view name) const;
   MachineTable& machines() { return allocations_.machines(); }
   const MachineTable& machines() const { return allocations_.machines(); }
-  // Null when it is not registered.
+  // Null if the machine is not registered.
   Machine* find_machine(const std::string& id) { return allocations_.machine(id); }
-  // The machine with this id, made if it was not known.
+  // Returns the machine with this id. Registers it if it is unknown.
   Machine& register_machine(const std::string& id, std::string_view type, std::string_view zone,
                             bool spot, Instant now);
-  // The machine is to be returned, and gets no more work. Nothing need be known of it yet.
+  // The machine will be returned to the cloud and gets no more work. It need not be registered yet.
   void mark_terminating(const std::string& id);
-  // The cloud confirmed that the machine is gone, or its lease is over and it is not listed.
+  // Removes a machine whose deletion the cloud confirmed, or whose worker's lease has expired and
+  // which the cloud no longer lists.
   Effects remove_machine(const std::string& id, Instant now);
-  // Of late: its heartbeats that are still under way are not believed.
+  // Whether the machine was removed recently. Heartbeats of it that arrive afterwards are rejected.
   bool was_removed(const std::string& id) const { return removed_.contains(id); }
-  // Machines that our responses do not reach; none when so many that our responses must be late.
+  // Ids of the machines that our responses do not reach. Empty if there are so many that late
+  // responses of this leader are the more likely cause.
   std::vector<std::string> unreachable_machines() const;
-  // When the lease of this machine's worker is certainly over, as far as is known now.
+  // The time at which the lease of this machine's worker will have expired with certainty, unless
+  // it is renewed.
   Instant lease_expiry(const Machine& machine) const;
-  // Ends the allocations of workers whose lease is certainly over.
+  // Ends the allocations of workers whose lease has expired with certainty.
   Effects expire_leases(Instant now);
-  // Called periodically: undoes what cannot start, stops what is about to be interrupted,
-  // and ends back-offs that are over.
+  // Called periodically: ends allocations whose tasks cannot start, stops tasks that are about to
+  // be interrupted, and releases replicas whose backoff delay has passed.
   Effects tick(Instant now);
 
   // --- Workers (workers::HeartbeatHandler). `may_start`: whether this leader may send a `run` now.
+  // Applies a heartbeat and returns the response with its commands.
   HeartbeatResponse handle_heartbeat(const Heartbeat& heartbeat, Instant now, bool may_start,
                                      Effects& effects);
-  // The same in two steps, for a response that is held back a moment for a `run`.
+  // The same in two steps, for a response that is delayed because a `run` is likely to follow soon.
   HeartbeatResponse apply_heartbeat(const Heartbeat& heartbeat, Instant now, bool may_start,
                                     Effects& effects);
   HeartbeatResponse commands_for(const Heartbeat& heartbeat, Instant now, bool may_start);
-  // A status that came as the answer to a direct call.
+  // Applies the status in the response to a direct call.
   Effects apply_direct_status(const Heartbeat& heartbeat, Instant now);
-  // Ids of the machines that became able to be sent a `run` since this was last called.
+  // Ids of the machines for which a `run` became sendable since the last call.
   std::vector<std::string> drain_runnable() { return std::exchange(runnable_, {}); }
-  // Whether the last scheduling cycle left work that waits for a place.
+  // Whether the last scheduling cycle left pending tasks.
   void set_has_pending_work(bool waits) { work_waits_ = waits; }
   std::vector<StopCall> drain_stop_calls();
 
   // --- Decisions (scheduler, preemption)
-  // The constraints on further tasks of the job, given all its allocations.
+  // The constraints on placing further tasks of the job, given all its allocations.
   PlacementConstraints constraints_of(const Job& job) const {
     return allocations_.constraints_of(job);
   }
-  // Null when the job's constraints do not allow the task there: it is pending again. Whoever plans
-  // an allocation has asked `constraints_of` before, so that is a fault of the plan: it is logged
-  // and counted.
+  // Adds a planned allocation. Returns null if the job's constraints do not allow the task on the
+  // machine; the task is then pending again. Callers check `constraints_of` when planning, so a
+  // violation is a bug in the plan: it is logged and counted.
   Allocation* allocate(Machine& machine, Job& job, uint32_t index, uint64_t attempt, Instant now);
-  // The same, but the task starts only when there is room (see Allocation::queued).
+  // The same, but the task starts only when the machine has enough free resources (see
+  // Allocation::queued).
   Allocation* queue_on(Machine& machine, Job& job, uint32_t index, uint64_t attempt,
                        QueuePosition queue_position, Instant now);
   uint64_t refused_allocations() const { return refused_allocations_; }
-  // Undoes one of the job's queued tasks, so that it can go elsewhere.
+  // Ends the allocation of one of the job's queued tasks, so that it can be placed elsewhere.
+  // Returns false if the job has none.
   bool withdraw_queued(const std::string& job, Instant now);
-  // What queued tasks must leave free, on machines and of teams' limits; replaces what was held.
+  // Sets the resources that queued tasks must leave free on machines and within team limits;
+  // replaces the previous reservations.
   void set_reserved(const std::map<std::string, Resources>& by_machine,
                     std::vector<Resources> by_team);
   // See AllocationTable::stop.
   void stop(Machine& machine, Allocation& allocation, StopReason reason, Seconds grace,
             Instant now);
-  // Gives an allocation up for another: undone at once if its `run` was never sent, else stopped.
+  // Preempts a task: ends its allocation immediately if no `run` was sent for it, else stops the
+  // task.
   Effects preempt(Machine& machine, const TaskRef& task, uint64_t attempt, Instant now);
-  // Undoes the allocations of a job, or on a machine, that are not durable yet.
+  // Ends the allocations of a job, or on a machine, that are not durable yet.
   Effects drop_planned_for_job(const std::string& job, Instant now);
   Effects drop_planned(Machine& machine, Instant now);
   // The machines that hold allocations of a job, open or closed, in no particular order.
@@ -154,20 +164,21 @@
   wire::MachineRecord record_of(const Machine& machine) const { return machine_record(machine); }
   size_t record_size(const Machine& machine) const { return machine_record_size(machine); }
   RecordCost record_cost(const Job& job) const { return machine_record_cost(job, epoch_); }
-  // Allocations are planned up to this size in bytes; the rest of a record is left to orphans.
+  // Allocations are planned only up to this size of a machine's record, in bytes. The rest of the
+  // maximum size is reserved for orphans.
   size_t record_limit() const { return record_limit_; }
   void mark_dirty(Machine& machine) { write_queue_.mark_dirty(machine, false); }
   Machine* next_dirty_machine() { return write_queue_.next(machines()); }
   void requeue_dirty_machine(Machine& machine) { write_queue_.requeue(machine); }
   size_t dirty_machine_count() const { return write_queue_.size(); }
-  // The machine's record is known to be as given: its allocations are durable.
+  // Applies a record that is known to be stored: the allocations in it are durable.
   void machine_stored(Machine& machine, const wire::MachineRecord& as_written,
                       uint64_t mod_revision, Effects& effects);
-  // Records of machines and jobs that are gone, to be deleted.
+  // Obsolete records of removed machines and closed jobs, to be deleted.
   std::vector<DeadRecord> drain_dead_records() { return std::exchange(dead_records_, {}); }
 
  private:
-  // Index of the team in `teams()`, or -1.
+  // Index of the team in `teams()`, or -1 if there is no such team.
   int team_index(std::string_view name) const;
   void apply_catalog(Machine& machine) const;
   Instant lease_counted_from(const Machine& machine) const;
@@ -179,13 +190,13 @@
   uint32_t count_durable(const std::string& job, uint64_t attempt) const;
 
   const settings::Platform& platform_;
-  const Nanos former_leader_window_;  // a former leader may renew leases for so long
+  const Nanos former_leader_window_;  // how long a former leader may still renew leases
   const Nanos lease_;
   const uint32_t storable_in_chunk_;
   const size_t record_limit_;
 
   uint64_t epoch_ = 0;
-  uint64_t attempts_ = 0;  // numbered in this term
+  uint64_t attempts_ = 0;  // number of attempts created in this term
   Instant term_since_{};
 
   AllocationTable allocations_;
@@ -198,11 +209,12 @@
   Interruptions interruptions_;
 
   std::vector<MachineType> catalog_;
-  std::set<std::string> terminating_;       // ids; by the decision of a former leader
-  std::map<std::string, Instant> removed_;  // ids of machines removed of late, and when
+  // Ids of machines to be returned, including those that a former leader decided to return.
+  std::set<std::string> terminating_;
+  std::map<std::string, Instant> removed_;  // ids of recently removed machines, and when
   std::vector<DeadRecord> dead_records_;
   std::vector<std::string> runnable_;    // ids
-  std::vector<Machine*> held_machines_;  // those with room held, to find it again
+  std::vector<Machine*> held_machines_;  // machines with reserved resources
   bool work_waits_ = false;
   uint64_t refused_allocations_ = 0;
 };
--- a/src/dunlinknot/cluster/decisions.cpp
+++ b/src/dunlinknot/cluster/decisions.cpp
@@ -1,4 +1,4 @@
-// Decisions of the scheduler and of preemption, as they are carried out on the allocations.
+// Applies the decisions of the scheduler and of preemption to the allocations.
 #include <spdlog/spdlog.h>
 
 #include "dunlinknot/cluster/cluster.hpp"
@@ -18,16 +18,18 @@
 
 }  // namespace
 
-// Safety 4: a job's allocations never violate its constraints, so neither do its tasks, which are
-// only where it has allocations.
+// Safety 4: a job's allocations never violate its placement constraints. As tasks run only where
+// the job has allocations, its tasks do not violate them either.
 bool Cluster::may_allocate(const Machine& machine, Job& job, uint32_t index) {
   const bool allowed = pool_allowed(job.spec(), machine.type, machine.zone, machine.spot) &&
                        constraints_of(job).tasks_allowed(machine.zone) > 0;
   if (allowed) return true;
   job.requeue(index);
   ++refused_allocations_;
-  spdlog::error("an allocation of {} on machine {} ({} in {}) violates its placement constraints",
-                TaskRef{job.spec().id, index}.text(), machine.id, machine.type, machine.zone);
+  spdlog::error(
+      "refused to allocate task {} on machine {} (type {}, zone {}): this violates the placement "
+      "constraints of its job; the task is pending again",
+      TaskRef{job.spec().id, index}.text(), machine.id, machine.type, machine.zone);
   return false;
 }
 
@@ -79,7 +81,7 @@
   Allocation* allocation = machine.find(task, attempt);
   if (!allocation || allocation->stopping()) return effects;
   if (allocation->unsent()) {
-    // No worker will ever report it, so if it were stopped nothing would end it.
+    // No worker will ever report this task, so a stopped allocation would never end.
     const auto index = static_cast<size_t>(allocation - machine.allocations.data());
     return allocations_.end(machine, index, now);
   }
--- a/src/dunlinknot/cluster/demand_forecasts.cpp
+++ b/src/dunlinknot/cluster/demand_forecasts.cpp
@@ -1,4 +1,4 @@
-// How submissions are turned into forecasts.
+// Updates the demand forecasts with submissions.
 #include "dunlinknot/cluster/demand_forecasts.hpp"
 
 #include <algorithm>
@@ -8,17 +8,17 @@
 
 namespace {
 
-constexpr Millis kRecent = std::chrono::minutes(4);  // submissions older than this are forgotten
-// Of a decaying maximum, with each new value; they add up to one.
+constexpr Millis kRecent = std::chrono::minutes(4);  // older submissions are dropped
+// The weights of a decaying maximum and of each new value. Their sum is one.
 constexpr double kWeightOfMaximum = 0.95;
 constexpr double kWeightOfValue = 0.05;
 
-// Large values of long ago should not count for ever.
+// Lets the influence of old, large values decay.
 void update_decaying_maximum(double& maximum, double value) {
   maximum = std::max(value, maximum * kWeightOfMaximum + value * kWeightOfValue);
 }
 
-// The shortest time to start that any objective sets for the class.
+// The shortest waiting time that any objective sets for the class.
 std::optional<Seconds> shortest_wait(const settings::Platform& platform,
                                      const std::string& job_class) {
   std::optional<Seconds> within;
--- a/src/dunlinknot/cluster/demand_forecasts.hpp
+++ b/src/dunlinknot/cluster/demand_forecasts.hpp
@@ -1,4 +1,4 @@
-// What the recent submissions say about the work to expect.
+// Forecasts of the demand of job classes, from recent submissions.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -10,34 +10,34 @@
 
 namespace dunlinknot::cluster {
 
-// A submission that counts towards the forecast of its class.
+// A submission that is included in the forecast of its class.
 struct DemandArrival {
   WallTime submitted;
   uint32_t tasks = 0;
 };
 
-// Recent demand of one class of jobs that has an objective for its time to start.
+// Recent demand of one job class that has an objective for its waiting time.
 struct DemandForecast {
-  JobSpec sample;  // the last job seen
+  JobSpec sample;  // the latest submitted job of the class
   Seconds target_wait{0};
   std::vector<DemandArrival> arrivals;
-  std::map<std::string, WallTime> images;  // last submission with each
+  std::map<std::string, WallTime> images;  // image name -> its latest submission
 };
 
-// Fed with every job that becomes known to the leader; read by the scheduling cycle, which keeps
-// headroom for the classes that are expected to start soon.
+// Updated with every job that becomes known to the leader. The scheduling cycle uses the forecasts
+// to reserve headroom for the classes whose jobs must start quickly.
 class DemandForecasts {
  public:
   explicit DemandForecasts(const settings::Platform& platform) : platform_(platform) {}
 
-  // Must be called once for each job: each call counts as a submission.
+  // Adds a submission. Must be called exactly once per job.
   void add(const JobSpec& spec, WallTime submitted);
-  // Forgets the classes: a new term loads the open jobs, and thus their demand, again. The estimate
-  // per accelerator stays, as a repeated job does not distort it much.
+  // Clears the forecasts of all classes, because a new term loads the open jobs and their demand
+  // again. The estimate per accelerator is kept: adding a job to it twice hardly changes it.
   void clear() { by_class_.clear(); }
 
   const std::map<std::string, DemandForecast>& by_class() const { return by_class_; }
-  // CPUs and memory that a task with one accelerator takes besides; zero before the first such job.
+  // CPUs and memory that a task needs per accelerator; zero before the first such job.
   const Resources& resources_per_gpu() const { return resources_per_gpu_; }
 
  private:
--- a/src/dunlinknot/cluster/effects.hpp
+++ b/src/dunlinknot/cluster/effects.hpp
@@ -1,17 +1,19 @@
-// What a change of the cluster's state requires of the leader's other parts.
+// The follow-up work that a change of the cluster's state requires.
 #pragma once
 
 namespace dunlinknot::cluster {
 
-// Collected by whoever changes `Cluster` under the leader state's lock, and handed to
-// `LeaderContext::follow_up` after the lock is released, which wakes the parts concerned. Flags are
-// only ever added, so the effects of several changes can be merged in any order.
+// Collected while `Cluster` is changed under the leader state's lock, and passed to
+// `LeaderContext::follow_up` after the lock is released, which notifies the coroutines concerned.
+// Flags are only ever set, so the effects of several changes can be merged in any order.
 struct Effects {
-  bool schedule = false;        // run a scheduling cycle: room, pending work or machines changed
-  bool store_machines = false;  // records of machines wait to be written
-  bool store_progress = false;  // completed tasks wait to be recorded
-  bool stops = false;           // stop calls should go out at once, not with the next heartbeat
-  bool runs = false;            // some machine may be sent a `run`
+  // Run a scheduling cycle: free resources, pending tasks or machines changed.
+  bool schedule = false;
+  bool store_machines = false;  // records of machines have to be written
+  bool store_progress = false;  // completed tasks have to be recorded
+  // Stop calls have to be sent immediately, without waiting for heartbeats.
+  bool stops = false;
+  bool runs = false;  // a `run` became sendable to at least one machine
 
   void operator|=(const Effects& effects) {
     schedule |= effects.schedule;
--- a/src/dunlinknot/cluster/failure_detector.cpp
+++ b/src/dunlinknot/cluster/failure_detector.cpp
@@ -1,4 +1,5 @@
-// Suspicions against machines, and backing off of jobs that fail everywhere.
+// Suspicions against machines, draining of faulty machines, and backoff of jobs that fail on every
+// machine.
 #include "dunlinknot/cluster/failure_detector.hpp"
 
 #include <spdlog/spdlog.h>
@@ -9,10 +10,10 @@
 
 namespace {
 
-constexpr size_t kMaxFailedOn = 32;      // machines remembered for each job, to bound memory
-constexpr uint32_t kSuspicions = 3;      // lost responses before a machine is unreachable
-constexpr size_t kFewUnreachable = 2;    // may be unreachable at once in a cluster of any size
-constexpr size_t kUnreachableShare = 8;  // and one in so many of those that report
+constexpr size_t kMaxFailedOn = 32;      // machine ids stored per job; bounds memory
+constexpr uint32_t kSuspicions = 3;      // lost responses until a machine is unreachable
+constexpr size_t kFewUnreachable = 2;    // lower bound of the limit, for small clusters
+constexpr size_t kUnreachableShare = 8;  // the limit is 1/8 of the machines with a lease
 
 }  // namespace
 
@@ -31,19 +32,22 @@
       now - machine.lost_responses.first < lease_ / 3 || machine.unreachable)
     return;
   machine.unreachable = true;
-  spdlog::info("machine {}: its heartbeats arrive, but our responses do not reach it", machine.id);
+  spdlog::info(
+      "machine {}: marked as unreachable: its heartbeats arrive, but our responses do not reach it",
+      machine.id);
 }
 
-// An incarnation that outlives a lease since the last suspicion shows that our responses renew it.
-// Found by random scenarios: machines that had been unreachable for a while got no `run` that they
-// could obey, were too many to be deleted, and the only job that fitted them waited for ever.
+// If an incarnation lasts longer than a lease since the last suspicion, our responses must have
+// renewed that lease. Without this rule (found by random scenarios), machines that had been
+// unreachable for a while never became reachable: they were sent no `run` that they could execute,
+// there were too many of them to be deleted, and the only job that fitted them waited forever.
 void FailureDetector::on_heartbeat(Machine& machine, Instant now) const {
   if (!machine.unreachable ||
       now - std::max(machine.incarnation_since, machine.lost_responses.last) < lease_)
     return;
   machine.lost_responses.suspicions = 0;
   machine.unreachable = false;
-  spdlog::info("machine {}: our responses reach it again", machine.id);
+  spdlog::info("machine {}: reachable again: our responses renewed its lease", machine.id);
 }
 
 std::vector<std::string> FailureDetector::unreachable(const MachineTable& machines) {
@@ -62,8 +66,8 @@
   machine.task_errors = {};
 }
 
-// Safety 6: a machine that fails what other machines complete is drained; a job that fails on
-// every machine backs off.
+// Safety 6: a machine on which tasks fail that complete on other machines is drained; a job that
+// fails on every machine backs off.
 void FailureDetector::on_task_error(Machine& machine, Job* job, const JobTable& jobs,
                                     Instant now) const {
   ++machine.task_errors.streak;
@@ -76,15 +80,16 @@
 
 void FailureDetector::back_off_if_failing(Job& job, Instant now) const {
   if (job.failed_on.size() < op_.failing_machines || job.done_count() > 0 || job.proven) return;
-  if (!job.failing) spdlog::info("job {} fails on every machine: backing off", job.spec().id);
+  if (!job.failing)
+    spdlog::info("job {} fails on every machine: delaying its next start", job.spec().id);
   job.failing = true;
   job.backoff = job.backoff == Nanos(0) ? to_nanos(op_.backoff_first)
                                         : std::min(job.backoff * 2, to_nanos(op_.backoff_most));
   job.not_before = now + job.backoff;
 }
 
-// Errors of jobs that fail everywhere say nothing about the machine. One job's errors do when the
-// job is known to succeed elsewhere, two jobs' errors in any case.
+// Errors of jobs that fail on every machine are not attributed to the machine. Errors of one job
+// are attributed to it if the job is known to succeed elsewhere, errors of two jobs in any case.
 void FailureDetector::drain_if_faulty(Machine& machine, const Job& job,
                                       const JobTable& jobs) const {
   if (machine.draining) return;
@@ -98,8 +103,10 @@
   if (blamed < 2 && !(blamed == 1 && completed_elsewhere)) return;
   machine.draining = true;
   machine.drain_reason = "fails the tasks that it starts";
-  spdlog::info("machine {} drained: {} errors in a row, {} jobs", machine.id,
-               machine.task_errors.streak, blamed);
+  spdlog::info(
+      "machine {} drained: {} consecutive task errors, of {} jobs that do not fail on every "
+      "machine",
+      machine.id, machine.task_errors.streak, blamed);
 }
 
 }  // namespace dunlinknot::cluster
--- a/src/dunlinknot/cluster/failure_detector.hpp
+++ b/src/dunlinknot/cluster/failure_detector.hpp
@@ -1,5 +1,5 @@
-// Decides from the workers' heartbeats which machines are unreachable, which are faulty, and which
-// jobs fail wherever they run.
+// Determines from heartbeats which machines are unreachable, which are faulty, and which jobs fail
+// on every machine.
 #pragma once
 #include <string>
 #include <vector>
@@ -10,33 +10,34 @@
 
 namespace dunlinknot::cluster {
 
-// The verdicts and the evidence for them are kept in `Machine` and `Job`; the detector itself has
-// no state. Called by `Cluster` under the leader state's lock.
+// The results and the observations behind them are stored in `Machine` and `Job`; the detector
+// itself is stateless. Called by `Cluster` under the leader state's lock.
 class FailureDetector {
  public:
-  // `lease`: an upper bound of how long a worker runs its tasks without a response.
+  // `lease`: an upper bound of how long a worker keeps running its tasks without a response.
   FailureDetector(const settings::Operator& operator_settings, Nanos lease)
       : op_(operator_settings), lease_(lease) {}
 
-  // --- reachability. A heartbeat's arrival does not prove that responses get through: a machine
-  // that receives none would be given work for ever without running any of it. Each heartbeat is
-  // reported by exactly one of these.
+  // --- reachability. The arrival of a heartbeat does not prove that responses reach the machine:
+  // one that receives no responses would be allocated tasks indefinitely without running any of
+  // them. For each complete heartbeat exactly one of these functions is called.
 
-  // It reports a task that only a response of this leader can have started.
+  // The heartbeat reports a task that only a response of this leader can have started.
   void on_run_obeyed(Machine& machine) const;
-  // It shows that a response was lost: a `run` is missing, or the lease ran out nevertheless.
+  // The heartbeat shows that a response was lost: a task for which `run` was sent is missing, or
+  // the lease expired although it was renewed in time.
   void on_response_lost(Machine& machine, Instant now) const;
-  // It shows neither.
+  // The heartbeat shows neither.
   void on_heartbeat(Machine& machine, Instant now) const;
-  // The unreachable machines, by id; none when they are so many that it must be this leader's
-  // responses which are late.
+  // The ids of the unreachable machines. Empty if there are so many that late responses of this
+  // leader are the more likely cause.
   static std::vector<std::string> unreachable(const MachineTable& machines);
 
   // --- failing tasks
 
-  // A task exited with an error. `job` is null when it is not open any more.
+  // A task exited with an error. `job` is null if the job is no longer open.
   void on_task_error(Machine& machine, Job* job, const JobTable& jobs, Instant now) const;
-  // A task was completed there: the machine is sound.
+  // A task completed on the machine, which shows that the machine works.
   static void on_task_completed(Machine& machine);
 
  private:
--- a/src/dunlinknot/cluster/find.hpp
+++ b/src/dunlinknot/cluster/find.hpp
@@ -1,4 +1,4 @@
-// A search that returns a pointer, so that "none" can be tested where it is used.
+// A linear search that returns a pointer, so that the result can be tested directly in a condition.
 #pragma once
 #include <algorithm>
 
--- a/src/dunlinknot/cluster/heartbeat_reconciler.cpp
+++ b/src/dunlinknot/cluster/heartbeat_reconciler.cpp
@@ -1,4 +1,4 @@
-// What a worker's status proves about the allocations of its machine.
+// Updating the allocations of a machine according to the status of its worker.
 #include "dunlinknot/cluster/heartbeat_reconciler.hpp"
 
 #include <spdlog/spdlog.h>
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr Seconds kProvenRun{30};      // a replica that ran for so long did not fail at its start
-constexpr Millis kRefusalPause{1000};  // before the next task of a job that a worker refused
+constexpr Seconds kProvenRun{30};      // a replica that ran this long did not fail at its start
+constexpr Millis kRefusalPause{1000};  // before the next task of a refused job starts
 
 bool ran_for(const Allocation& allocation, Seconds least, Instant now) {
   return allocation.running_since != Instant{} &&
@@ -31,8 +31,8 @@
   const Heartbeat& heartbeat = status.heartbeat;
   const Instant now = status.now;
   const bool new_incarnation = machine.has_heartbeat && heartbeat.incarnation > machine.incarnation;
-  // Its lease ran out although we answered it in time: either our responses do not reach it, or it
-  // was restarted.
+  // The lease of the previous incarnation expired although we responded in time: either our
+  // responses do not reach the worker, or it was restarted.
   bool response_lost = status.complete && new_incarnation && machine.fenced &&
                        now - machine.last_answered < lease_ / 2;
   bool run_obeyed = false;
@@ -59,7 +59,7 @@
   if (allocations_.stop_calls().any()) effects.stops = true;
 }
 
-// What the worker reports of itself and its machine, without the tasks.
+// Applies what the worker reports about itself and its machine, except the tasks.
 void HeartbeatReconciler::apply_machine_state(Machine& machine, const ReceivedStatus& status,
                                               Effects& effects) const {
   const Heartbeat& heartbeat = status.heartbeat;
@@ -83,13 +83,14 @@
                                     : std::nullopt;
   if (interruption.has_value() != machine.interruption_at.has_value()) effects.schedule = true;
   if (interruption && !machine.interruption_at) {
-    spdlog::info("machine {}: interruption notice, {:.1f} s left", machine.id,
-                 heartbeat.interruption_notice->count());
+    spdlog::info("machine {}: received an interruption notice, {:.1f} s before the interruption",
+                 machine.id, heartbeat.interruption_notice->count());
   }
   machine.interruption_at = interruption;
 }
 
-// The worker killed all its tasks when its lease ran out, and drops a `run` from before.
+// Ends the allocations of earlier incarnations: the worker killed all its tasks when its lease
+// expired, and discards a `run` that was sent to an earlier incarnation.
 Effects HeartbeatReconciler::end_allocations_before(Machine& machine, uint64_t incarnation,
                                                     Instant now) {
   machine.images.clear();
@@ -99,10 +100,11 @@
   });
 }
 
-// Safety 1: what a complete heartbeat does not list is gone, provided that nothing may still start
-// it: the heartbeat bears our fencing token (an older leader's `run` is refused from now on) and
-// was sent after the response that carried ours (one heartbeat is in flight at a time, late
-// responses are dropped). Returns whether the response with some `run` was lost.
+// Safety 1, no task runs twice: a task that a complete heartbeat does not list is not on the
+// machine, provided that no `run` in flight can still start it. This holds if the heartbeat has our
+// fencing token (from then on the worker refuses a `run` of an older leader) and was sent after the
+// response with our `run` (one heartbeat is in flight at a time, and late responses are discarded).
+// Returns whether a response with a `run` was lost.
 bool HeartbeatReconciler::end_unlisted(Machine& machine, const ReceivedStatus& status,
                                        Effects& effects) {
   if (status.heartbeat.fencing_token != status.epoch) return false;
@@ -118,7 +120,7 @@
     if (find_where(status.heartbeat.tasks, is_listed)) continue;
     if (allocation.phase == AllocationPhase::sent && !allocation.stopping() &&
         allocations_.job(allocation.task.job)) {
-      allocation.phase = AllocationPhase::durable;  // the `run` is repeated in the next response
+      allocation.phase = AllocationPhase::durable;  // the `run` is resent in the next response
       response_lost = true;
       continue;
     }
@@ -127,7 +129,8 @@
   return response_lost;
 }
 
-// A task that is on the machine. Returns whether it proves that a `run` of ours arrived.
+// Applies the status of a task that is on the machine. Returns whether it shows that the worker
+// executed a `run` of this leader.
 bool HeartbeatReconciler::apply_task(Machine& machine, const TaskStatus& task, Instant now,
                                      Effects& effects) {
   Job* job = job_of(task.task);
@@ -153,7 +156,7 @@
     if (allocation.running_since == Instant{}) allocation.running_since = now;
     if (job) {
       if (job->running == 0 && job->done_count() == 0)
-        spdlog::debug("job {}: a task runs on {}", allocation.task.job, machine.id);
+        spdlog::debug("job {}: a task is running on machine {}", allocation.task.job, machine.id);
       ++job->running;
     }
   } else if (allocation.state == TaskState::running && job && job->running > 0) {
@@ -162,17 +165,19 @@
   allocation.state = state;
 }
 
-// A replica that keeps running shows that its service works, so its errors are the machines'.
+// A replica that keeps running shows that its service works. Errors of its replicas are then
+// attributed to the machines.
 void HeartbeatReconciler::note_replica_running(const Machine& machine, const Allocation& allocation,
                                                Job* job, Instant now) const {
   if (!job || job->proven || !ran_for(allocation, kProvenRun, now)) return;
-  spdlog::debug("service {} runs on {}", allocation.task.job, machine.id);
+  spdlog::debug("service {}: a replica on machine {} has been running without failing at its start",
+                allocation.task.job, machine.id);
   job->proven = true;
   job->clear_failing();
 }
 
-// A task that has no allocation on the machine is counted from now on, and stopped unless it may
-// stay.
+// Adds an allocation for a task that a machine reports without one. The task is stopped unless it
+// can be adopted.
 Allocation& HeartbeatReconciler::allocate_orphan(Machine& machine, const TaskStatus& task,
                                                  const Job* job, Instant now, Effects& effects) {
   Allocation orphan;
@@ -182,28 +187,30 @@
   orphan.phase = AllocationPhase::seen;
   if (job) orphan.copy_from(*job);
   const bool stays = job && may_adopt(machine, *job, task.task.index);
-  spdlog::info("machine {} reports {} try {} that is not allocated there: {}", machine.id,
-               task.task.text(), task.attempt, stays ? "kept" : "stopped");
+  spdlog::info("machine {} reported task {}, attempt {}, which has no allocation there: {}",
+               machine.id, task.task.text(), task.attempt, stays ? "kept" : "stopped");
   Allocation& added = allocations_.add(machine, std::move(orphan));
   write_queue_.mark_dirty(machine, false);
   if (!stays) allocations_.stop(machine, added, StopReason::orphan, Seconds(0), now);
   if (job) effects |= allocations_.make_way_for_orphan(*job, task.task, now);
-  return *machine.find(task.task, task.attempt);  // making way may have moved it
+  // Ending conflicting allocations may have moved it.
+  return *machine.find(task.task, task.attempt);
 }
 
-// A task of an array may stay if it waits for a place and its constraints allow it here, beside the
-// job's other tasks that may run already. What was not sent gives way to it.
+// An orphan can be adopted if it is a pending task of a job other than a gang, and the job's
+// constraints allow it on this machine in addition to the job's tasks that may already be running.
+// Unsent allocations that conflict with it are ended.
 bool HeartbeatReconciler::may_adopt(const Machine& machine, const Job& job, uint32_t index) const {
   if (job.spec().gang || job.is_done(index) || job.is_live(index)) return false;
   if (!pool_allowed(job.spec(), machine.type, machine.zone, machine.spot)) return false;
   return allocations_.constraints_of_sent(job).tasks_allowed(machine.zone) > 0;
 }
 
-// Returns whether the task was not known as done before.
+// Marks the task as done. Returns false if it already was, or if it is a replica.
 bool HeartbeatReconciler::complete_task(Job& job, uint32_t index) {
   if (job.spec().service || job.is_done(index)) return false;
   if (job.spec().gang) {
-    // A gang completes together: one task done, all done.
+    // A gang completes as a whole: once one of its tasks is done, all are.
     for (uint32_t i = 0; i < job.spec().tasks; ++i) job.mark_done(i);
   } else {
     job.mark_done(index);
@@ -212,16 +219,17 @@
   return true;
 }
 
-// The worker did not even start the task. Its job pauses: what is wrong may take a moment to pass,
-// and the machine would be chosen again at once.
+// The worker refused to start the task. The next start of its job is delayed, because the condition
+// may take a moment to clear and the same machine would be chosen again immediately.
 void HeartbeatReconciler::note_refusal(const Machine& machine, const TaskStatus& task, Job* job,
                                        Instant now) {
-  spdlog::info("machine {} refused {}: cause {}", machine.id, task.task.text(),
-               static_cast<int>(task.cause));
+  spdlog::info(
+      "machine {} refused to start task {}: exit cause {}; delaying the next start of its job",
+      machine.id, task.task.text(), static_cast<int>(task.cause));
   if (job) job->not_before = std::max(job->not_before, now + kRefusalPause);
 }
 
-// A task that ended on the machine.
+// Applies the status of a task that has exited on the machine.
 Effects HeartbeatReconciler::apply_exit(Machine& machine, const TaskStatus& task, Instant now) {
   Effects effects;
   Job* job = job_of(task.task);
@@ -236,7 +244,7 @@
   if (task.cause == ExitCause::no_room || task.cause == ExitCause::busy ||
       task.cause == ExitCause::unknown)
     note_refusal(machine, task, job, now);
-  // The rest of a gang that was stopped to save its checkpoint is saving too.
+  // If a gang was stopped with a grace period, its other tasks are saving their checkpoints too.
   const bool saved =
       task.cause == ExitCause::stopped && allocation->stopping() && allocation->grace > Seconds(0);
   effects |= allocations_.end(machine, static_cast<size_t>(allocation - machine.allocations.data()),
--- a/src/dunlinknot/cluster/heartbeat_reconciler.hpp
+++ b/src/dunlinknot/cluster/heartbeat_reconciler.hpp
@@ -1,4 +1,4 @@
-// Reconciles the allocations of a machine with what its worker reports.
+// Reconciles the allocations of a machine with the status that its worker reports.
 #pragma once
 #include <cstdint>
 
@@ -9,21 +9,21 @@
 
 namespace dunlinknot::cluster {
 
-// A status of a worker that is newer than all that were read before.
+// A status of a worker that is newer than all statuses applied before.
 struct ReceivedStatus {
   const Heartbeat& heartbeat;
   Instant now;
-  uint64_t epoch = 0;  // of this leader: its fencing token
-  // Sent by the worker of its own accord, so that tasks it does not list are gone. An answer to a
-  // direct call proves nothing about what is not in it.
+  uint64_t epoch = 0;  // of this leader; its fencing token
+  // Whether the status is a heartbeat, which lists all tasks on the machine: a task that it does
+  // not list is not there. The response to a direct call does not prove this.
   bool complete = false;
 };
 
-// What the statuses say is carried out on the allocations, and judged by the failure detector. Has
-// no state of its own; called by `Cluster` under the leader state's lock.
+// Updates the allocations according to the statuses and passes failures and lost responses to the
+// failure detector. Stateless; called by `Cluster` under the leader state's lock.
 class HeartbeatReconciler {
  public:
-  // `lease`: an upper bound of how long a worker runs its tasks without a response.
+  // `lease`: an upper bound of how long a worker keeps running its tasks without a response.
   HeartbeatReconciler(AllocationTable& allocations, RecordWriteQueue& write_queue,
                       ReplicaBackoff& replica_backoff, const FailureDetector& failure_detector,
                       Nanos lease)
@@ -40,7 +40,7 @@
   Effects end_allocations_before(Machine& machine, uint64_t incarnation, Instant now);
   bool end_unlisted(Machine& machine, const ReceivedStatus& status, Effects& effects);
 
-  // The job of the task if it is open and has such a task, else null.
+  // The job of the task; null if the job is not open or has no task with this index.
   Job* job_of(const TaskRef& task);
   bool apply_task(Machine& machine, const TaskStatus& task, Instant now, Effects& effects);
   void apply_state_change(const Machine& machine, Allocation& allocation, Job* job, TaskState state,
--- a/src/dunlinknot/cluster/heartbeat_response.hpp
+++ b/src/dunlinknot/cluster/heartbeat_response.hpp
@@ -1,4 +1,4 @@
-// What the leader answers to a worker: the response to its heartbeat, and direct stop calls.
+// The messages of the leader to a worker: responses to heartbeats, and direct stop calls.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,27 +8,32 @@
 
 namespace dunlinknot::cluster {
 
-// Made by `Cluster::apply_heartbeat` and `Cluster::commands_for`; sent by
+// Created by `Cluster::apply_heartbeat` and `Cluster::commands_for`; sent by
 // `workers::HeartbeatHandler`.
 struct HeartbeatResponse {
   enum class Kind {
-    accept,      // renews the worker's lease
-    stale,       // a copy, or from a machine that is gone: must not renew any lease
-    superseded,  // bears a newer fencing token: a later leader exists, this one must step down
+    // Renews the worker's lease.
+    accept,
+    // The heartbeat is a duplicate or outdated, or its machine was removed: renews no lease.
+    stale,
+    // The heartbeat has a newer fencing token: there is a later leader, and this one must step
+    // down.
+    superseded,
   };
   Kind kind = Kind::accept;
   std::vector<Command> commands;
-  bool status_applied =
-      false;                // newer than everything known before, so commands may be based on it
-  bool run_likely = false;  // a `run` for the machine is likely within moments: worth holding the
-                            // response back for it
+  // The status was newer than all before and was applied, so the response may contain a `run`.
+  bool status_applied = false;
+  // A `run` for the machine is likely to become sendable soon: the response should be delayed for
+  // it.
+  bool run_likely = false;
 };
 
-// A call to a worker that must not wait for its next heartbeat.
+// A direct call to a worker with stop commands, sent without waiting for its next heartbeat.
 struct StopCall {
   std::string machine;
   std::string address;
-  uint64_t incarnation = 0;  // of the worker that is meant: a later one refuses the call
+  uint64_t incarnation = 0;  // of the intended worker; a later incarnation refuses the call
   std::vector<Command> commands;
 };
 
--- a/src/dunlinknot/cluster/heartbeats.cpp
+++ b/src/dunlinknot/cluster/heartbeats.cpp
@@ -1,11 +1,11 @@
-// Which heartbeats are accepted, and how they are responded to.
+// Accepting and rejecting heartbeats, and responding to them.
 #include "dunlinknot/cluster/cluster.hpp"
 
 namespace dunlinknot::cluster {
 
 namespace {
 
-// Heartbeats of one machine are ordered by its worker's incarnation, then by number.
+// Orders the heartbeats of one machine: by the incarnation of its worker, then by sequence.
 struct HeartbeatNumber {
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
@@ -26,17 +26,18 @@
   return response;
 }
 
-// Newer than every status that was read, be it a heartbeat or the answer to a direct call.
+// Whether the status is newer than every status applied before, from a heartbeat or from the
+// response to a direct call.
 bool is_fresh(const Machine& machine, const Heartbeat& heartbeat) {
   return !machine.has_heartbeat ||
          number_of(heartbeat) > HeartbeatNumber{machine.incarnation, machine.sequence};
 }
 
-// Whether the heartbeat is a sign of life that renews the lease.
+// Whether the heartbeat may renew the lease of its worker.
 bool renews_lease(const Machine& machine, const Heartbeat& heartbeat) {
   if (machine.lost && heartbeat.incarnation <= machine.incarnation) return false;
-  // A copy of a heartbeat that was answered already, or of an older one: no worker waits for the
-  // response. It frees nothing, and it is no sign of life.
+  // A duplicate of the last heartbeat or of an older one. No worker waits for the response, so it
+  // must neither end allocations nor renew the lease.
   if (machine.has_heartbeat && number_of(heartbeat) <= last_heartbeat_of(machine)) return false;
   return true;
 }
@@ -54,7 +55,7 @@
                                            Effects& effects) {
   using Kind = HeartbeatResponse::Kind;
   if (heartbeat.fencing_token > epoch_) return response_of(Kind::superseded);
-  // It was under way while its machine was deleted.
+  // The heartbeat was in flight while its machine was deleted.
   if (was_removed(heartbeat.machine)) return response_of(Kind::stale);
   Machine& machine =
       register_machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, now);
@@ -62,9 +63,9 @@
   machine.heartbeat_incarnation = heartbeat.incarnation;
   machine.heartbeat_sequence = heartbeat.sequence;
   HeartbeatResponse response;
-  // Older than a status already read (the answer to a direct call may overtake a heartbeat): its
-  // worker may still be waiting, so its lease is renewed, but nothing is read from it and nothing
-  // started.
+  // The heartbeat is older than a status already applied, because the response to a direct call can
+  // overtake a heartbeat. The worker may still be waiting, so its lease is renewed, but the status
+  // is not applied and no task is started.
   if (!is_fresh(machine, heartbeat)) return response;
   response.status_applied = true;
   const bool was_fenced = machine.fenced;
@@ -80,7 +81,8 @@
 
 HeartbeatResponse Cluster::commands_for(const Heartbeat& heartbeat, Instant now, bool may_start) {
   Machine* machine = find_machine(heartbeat.machine);
-  // Gone meanwhile, or its worker gave up waiting for this response and sent a new heartbeat.
+  // The machine was removed or lost meanwhile, or its worker timed out waiting for this response
+  // and sent a new heartbeat.
   if (!machine || machine->lost || last_heartbeat_of(*machine) != number_of(heartbeat))
     return response_of(HeartbeatResponse::Kind::stale);
   HeartbeatResponse response;
--- a/src/dunlinknot/cluster/interruptions.cpp
+++ b/src/dunlinknot/cluster/interruptions.cpp
@@ -1,16 +1,17 @@
-// When tasks leave machines that are interrupted or unusable.
+// When tasks are stopped on machines that are about to be interrupted, and moved off unusable ones.
 #include "dunlinknot/cluster/interruptions.hpp"
 
 namespace dunlinknot::cluster {
 
 namespace {
 
-// Saving starts this long before it has to, for the stop to get there and the save to be reported.
+// Saving starts earlier by this margin, which allows for the delivery of the stop and the report of
+// the saved checkpoint.
 constexpr Seconds kSaveSlack{4};
 
 }  // namespace
 
-// Whether a `run` will not reach the machine or must not be sent there.
+// Whether a `run` would not reach the machine or must not be sent to it.
 bool Interruptions::gets_no_run(const Machine& machine, Instant now) const {
   const Nanos silent = to_nanos(platform_.heartbeat_interval * 2 + Seconds(1));
   return machine.interruption_at || machine.draining || machine.terminating ||
@@ -19,9 +20,10 @@
 
 Effects Interruptions::tick(Machine& machine, Instant now) const {
   Effects effects;
-  // What waits on a machine that will not start it is placed elsewhere. Found on days of our own
-  // with machines that fail their tasks: a drained one gets no `run`, so what was allocated there
-  // and not sent yet stayed for good, and its job with it.
+  // Unsent allocations on a machine that gets no `run` are ended, so that their tasks are placed
+  // elsewhere. Without this (found in simulated days with machines that fail their tasks),
+  // allocations on a drained machine that were not sent yet stayed there forever, and their jobs
+  // never completed.
   if (gets_no_run(machine, now)) {
     effects |= allocations_.end_on_machine(
         machine, now, [](const Allocation& allocation) { return allocation.unsent(); });
@@ -31,10 +33,11 @@
   return effects;
 }
 
-// A replica never ends by itself: it leaves a machine that is interrupted as late as the stop and
-// the heartbeat after it are sure to get there and back. One that runs on a drained machine stays:
-// a machine that fails what it starts does no harm to what runs (cellarline-qld-next, day
-// `troubles`: stopping them there cost more served time than the loss of machines).
+// Replicas do not exit by themselves. On a machine with an interruption notice they are stopped as
+// late as possible, with time for the stop to arrive and the next heartbeat to confirm it. Replicas
+// that run on a drained machine are kept: a machine on which tasks fail at their start does not
+// affect tasks that are already running (on day `troubles` of cellarline-qld-next, stopping them
+// cost more served time than the loss of machines).
 void Interruptions::move_replicas(Machine& machine, Instant now) const {
   if (!machine.interruption_at ||
       *machine.interruption_at - now > to_nanos(platform_.heartbeat_interval * 2))
@@ -45,7 +48,8 @@
   }
 }
 
-// Tasks that can save a checkpoint run on as long as possible, then save before the machine goes.
+// Tasks with checkpoints keep running as long as possible, then save a checkpoint before the
+// machine is taken back.
 void Interruptions::save_checkpoints(Machine& machine, Instant now) const {
   if (!machine.interruption_at) return;
   const Seconds left = to_seconds(*machine.interruption_at - now);
@@ -56,8 +60,8 @@
     const Seconds save = open_job->spec().save;
     if (left > save + kSaveSlack) continue;
     if (allocation.gang) {
-      // A gang saves as a whole or not at all: all its tasks are stopped in the same moment, well
-      // inside `gang_peer` of one another.
+      // A gang saves a checkpoint as a whole or not at all: all its tasks are stopped at the same
+      // time, well within `gang_peer` of one another.
       allocations_.stop_gang(allocation.task.job, allocation.attempt, save + platform_.gang_peer,
                              now);
     } else {
--- a/src/dunlinknot/cluster/interruptions.hpp
+++ b/src/dunlinknot/cluster/interruptions.hpp
@@ -1,17 +1,17 @@
-// What has to be undone or stopped in time on machines that are interrupted or unusable.
+// Ends or stops allocations on machines that are about to be interrupted or are unusable.
 #pragma once
 #include "dunlinknot/cluster/allocation_table.hpp"
 #include "dunlinknot/settings/settings.hpp"
 
 namespace dunlinknot::cluster {
 
-// Has no state of its own; called by `Cluster::tick` under the leader state's lock.
+// Stateless; called by `Cluster::tick` under the leader state's lock.
 class Interruptions {
  public:
   Interruptions(const settings::Platform& platform, AllocationTable& allocations)
       : platform_(platform), allocations_(allocations) {}
 
-  // Carries out what is due on the machine.
+  // Ends and stops the allocations of the machine for which this is due at `now`.
   Effects tick(Machine& machine, Instant now) const;
 
  private:
--- a/src/dunlinknot/cluster/job.cpp
+++ b/src/dunlinknot/cluster/job.cpp
@@ -1,4 +1,4 @@
-// The states of a job's tasks and their records.
+// The state transitions of a job's tasks, and their records.
 #include "dunlinknot/cluster/job.hpp"
 
 #include <algorithm>
@@ -86,7 +86,7 @@
 
 void Job::load_chunk(uint32_t chunk, const std::vector<bool>& done, uint64_t record_mod_revision) {
   chunk_mod_revisions[chunk] = record_mod_revision;
-  if (spec_.service) return;  // nothing that anyone recorded makes a replica done
+  if (spec_.service) return;  // replicas are never done, whatever the record contains
   const size_t begin = size_t{chunk} * wire::kChunkTasks;
   const size_t end = std::min<size_t>(done.size(), begin + wire::kChunkTasks);
   for (size_t i = begin; i < end; ++i) {
--- a/src/dunlinknot/cluster/job.hpp
+++ b/src/dunlinknot/cluster/job.hpp
@@ -1,4 +1,4 @@
-// An open job as the leader knows it: which of its tasks are done, allocated, waiting or delayed.
+// An open job in the leader's state: which of its tasks are done, allocated, pending or delayed.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -14,52 +14,53 @@
 
 namespace dunlinknot::cluster {
 
-// Owned by `Cluster`, behind the leader state's lock. Each task (replica, of a service) that is not
-// done is in one of three states:
-//   live         it has allocations, on however many machines
+// Owned by `Cluster` and guarded by the leader state's lock. Each task (of a service: replica) that
+// is not done is in one of three states:
+// live         it has allocations, on one or more machines
 //   backed off   delayed after failures, by `back_off`
-//   pending      neither: it can be taken by `pop_pending` and be allocated
-// A task that was popped but not allocated must be given back by `requeue`.
+//   pending      neither: it can be taken with `pop_pending` and allocated
+// A task that was popped but not allocated must be returned with `requeue`.
 class Job {
  public:
-  // `team`: index in settings::Platform::teams, negative when it is none of them.
-  // `storable_in_chunk`: of each chunk of tasks, only so many of the first can be recorded as done
-  // under the key-value store's limits. The others are kept by their workers until the job is over.
+  // `team`: index into settings::Platform::teams; negative: not configured there.
+  // `storable_in_chunk`: the number of tasks at the start of each chunk whose completion fits into
+  // a record under the key-value store's limits. The completion of the other tasks is kept by their
+  // workers until the job ends.
   Job(JobSpec spec, WallTime submitted, uint64_t mod_revision, int team, Instant known_since,
       uint32_t storable_in_chunk = wire::kChunkTasks);
 
-  // --- What never changes
+  // --- Immutable properties
   const JobSpec& spec() const { return spec_; }
   WallTime submitted() const { return submitted_; }
-  Instant known_since() const { return known_since_; }  // to this leader
+  Instant known_since() const { return known_since_; }  // by this leader
   int team() const { return team_; }
-  // Bytes it adds to the record of a machine where it has tasks, beside the tasks.
+  // Bytes that the job adds to the record of a machine with its tasks, excluding the tasks.
   size_t record_group_size() const { return record_group_size_; }
 
-  // --- Tasks that wait
+  // --- Pending and delayed tasks
   uint32_t pending() const {
     return spec_.tasks - done_count_ - unfinished_live_ -
            static_cast<uint32_t>(backed_off_until_.size());
   }
-  // Takes a pending task: those that were given back first, the latest of them first, then by
+  // Takes a pending task: requeued tasks first, the most recent of them first, then the others by
   // index.
   std::optional<uint32_t> pop_pending();
   void requeue(uint32_t index) { requeued_.push_back(index); }
-  // Delays a task that is neither done nor live.
+  // Delays a task that is neither done nor live. Otherwise does nothing.
   void back_off(uint32_t index, Instant until);
-  // Makes the tasks pending whose delay is over. Returns whether there were any.
+  // Makes the tasks pending whose delay has passed. Returns whether there were any.
   bool release_backed_off(Instant now);
   bool any_backed_off() const { return !backed_off_until_.empty(); }
 
-  // --- Tasks that have allocations
+  // --- Live tasks
   void add_allocation(uint32_t index);
   void remove_allocation(uint32_t index);
   bool is_live(uint32_t index) const { return live_.contains(index); }
   bool any_live() const { return !live_.empty(); }
   uint32_t live_count() const { return static_cast<uint32_t>(live_.size()); }
 
-  // --- Tasks that are done. `mark_done` is what a worker reports; the task is durable once the
-  // record of its chunk says so. A service is never done, nor is any replica of it.
+  // --- Done tasks. `mark_done` applies the report of a worker; the completion is durable once it
+  // is in the stored record of its chunk. Services and their replicas are never done.
   void mark_done(uint32_t index);
   bool is_done(uint32_t index) const { return done_[index]; }
   uint32_t done_count() const { return done_count_; }
@@ -70,39 +71,41 @@
 
   // --- Records of chunks of wire::kChunkTasks tasks in the key-value store (AllocationStore)
   uint32_t storable_in_chunk() const { return storable_in_chunk_; }
-  // Chunks with tasks that are done but not recorded, although they can be.
+  // Chunks with done tasks that can be recorded but are not recorded yet.
   const std::set<uint32_t>& dirty_chunks() const { return dirty_chunks_; }
-  // A record was read; `done` covers all tasks of the job.
+  // Applies a record that was read. `done` has an entry for each task of the job.
   void load_chunk(uint32_t chunk, const std::vector<bool>& done, uint64_t mod_revision);
-  // A record was written.
+  // Applies a record that was written.
   void chunk_stored(uint32_t chunk, const std::vector<bool>& as_written, uint64_t mod_revision);
   std::map<uint32_t, uint64_t> chunk_mod_revisions;  // of the chunks that have a record
-  uint64_t mod_revision;                             // of the job's record; allocations guard it
+  // Of the job's record. It is compared when allocations are written.
+  uint64_t mod_revision;
 
   // --- Failures (FailureDetector, ReplicaBackoff)
-  std::set<std::string> failed_on;  // ids of machines that failed its tasks; bounded
-  bool failing = false;             // fails wherever it runs: backs off and may not preempt
-  Nanos backoff{0};                 // the last delay, while it is failing
-  Instant not_before{};             // no task may start before
-  bool proven = false;              // a service of which some replica ran for a while
-  // It made progress: its tasks can succeed.
+  std::set<std::string> failed_on;  // ids of machines on which its tasks failed; bounded
+  bool failing = false;             // fails on every machine: backs off and may not preempt
+  Nanos backoff{0};                 // the latest delay, if the job is failing
+  Instant not_before{};             // no task may start before this time
+  // Whether a replica of the service ran long enough not to have failed at its start.
+  bool proven = false;
+  // The job made progress, which shows that its tasks can succeed.
   void clear_failing() {
     failing = false;
     backoff = Nanos(0);
   }
-  // A replica of a service exited; `soon`: shortly after its start. Returns how many such exits of
-  // the replica there were in a row.
+  // A replica of a service exited; `soon`: shortly after its start. Returns the number of
+  // consecutive early exits of the replica.
   uint32_t note_replica_end(uint32_t index, bool soon);
 
   // --- Counts over its allocations (AllocationTable)
-  uint32_t queued_tasks = 0;    // allocations that wait on machines for room there
+  uint32_t queued_tasks = 0;    // allocations queued on machines
   uint32_t running = 0;         // tasks reported running
   uint64_t gang_attempt = 0;    // the latest attempt
   bool gang_may_start = false;  // all allocations of that attempt are durable: runs may be sent
-  Instant waiting_since{};      // since when some of it waits for a place
+  Instant waiting_since{};      // since when some of its tasks have been pending
 
  private:
-  // Whether a task taken out of a list of candidates is really pending.
+  // Whether a task from a list of candidates is still pending.
   bool is_pending(uint32_t index) const;
   void count_done(uint32_t index);
 
@@ -114,17 +117,18 @@
   std::vector<bool> done_;
   std::vector<bool> durable_;
   uint32_t done_count_ = 0;
-  uint32_t unfinished_live_ = 0;    // tasks that are live and not done
-  uint32_t next_fresh_ = 0;         // tasks from here on were never popped
-  std::vector<uint32_t> requeued_;  // candidates; may have been allocated or done since
-  std::unordered_map<uint32_t, uint32_t> live_;  // task -> allocations
+  uint32_t unfinished_live_ = 0;                 // tasks that are live and not done
+  uint32_t next_fresh_ = 0;                      // tasks from this index on were never popped
+  std::vector<uint32_t> requeued_;               // candidates; may have become live or done since
+  std::unordered_map<uint32_t, uint32_t> live_;  // task -> number of allocations
   std::set<uint32_t> dirty_chunks_;
   uint32_t storable_in_chunk_;
-  std::map<uint32_t, Instant> backed_off_until_;  // task -> until when
-  std::map<uint32_t, uint32_t> quick_ends_;       // replica -> exits in a row soon after its start
+  std::map<uint32_t, Instant> backed_off_until_;  // task -> end of its delay
+  std::map<uint32_t, uint32_t> quick_ends_;       // replica -> consecutive early exits
 };
 
-// By id. The order is part of the behaviour: whatever walks all jobs decides in this order.
+// By id. The order is part of the behaviour: decisions that iterate over all jobs are made in this
+// order.
 using JobTable = std::map<std::string, std::unique_ptr<Job>>;
 
 }  // namespace dunlinknot::cluster
--- a/src/dunlinknot/cluster/job_holders.cpp
+++ b/src/dunlinknot/cluster/job_holders.cpp
@@ -1,4 +1,4 @@
-// The index from jobs to machines.
+// Updates and lookups of the index from jobs to machines.
 #include "dunlinknot/cluster/job_holders.hpp"
 
 #include <algorithm>
--- a/src/dunlinknot/cluster/job_holders.hpp
+++ b/src/dunlinknot/cluster/job_holders.hpp
@@ -8,14 +8,16 @@
 
 namespace dunlinknot::cluster {
 
-// Spares every question about one job's allocations a walk over all machines. A machine must be
-// removed before it is destroyed.
+// Avoids iterating over all machines to find the allocations of one job. A machine must be removed
+// from the index before it is destroyed.
 class JobHolders {
  public:
   void add(const std::string& job, Machine& machine);
-  // The machine's last allocation of the job ended. It must have been added before.
+  // To be called when the machine's last allocation of the job has ended. The machine must have
+  // been added before.
   void remove(const std::string& job, Machine& machine);
-  // In no particular order; empty for an unknown job. `add` and `remove` invalidate the reference.
+  // The machines with allocations of the job, in no particular order; empty for an unknown job.
+  // `add` and `remove` invalidate the reference.
   const std::vector<Machine*>& of(const std::string& job) const;
   void clear() { machines_by_job_.clear(); }
 
--- a/src/dunlinknot/cluster/leader_context.hpp
+++ b/src/dunlinknot/cluster/leader_context.hpp
@@ -1,5 +1,6 @@
-// What the leader's parts share: the cluster state behind its lock, the in-memory records of
-// preemption, the present term, and the events by which one part wakes another.
+// State that the components of the leader share: the cluster state and the nominations of
+// preemption under one lock, the current term, and the events by which components notify each
+// other.
 #pragma once
 #include "dunlinknot/cluster/cluster.hpp"
 #include "dunlinknot/preemption/nominations.hpp"
@@ -10,7 +11,7 @@
 
 namespace dunlinknot::cluster {
 
-// What the parts read and change under one lock.
+// The state that the components access under one lock.
 struct LeaderState {
   LeaderState(const settings::Platform& platform, const settings::Operator& operator_settings)
       : cluster(platform, operator_settings) {}
@@ -18,7 +19,7 @@
   preemption::Nominations nominations;
 };
 
-// Owned by the daemon, which begins and ends the terms; all parts refer to it. Only `leader_state`
+// Owned by the daemon, which begins and ends terms; all components refer to it. Only `leader_state`
 // may be used outside the event loop.
 struct LeaderContext {
   LeaderContext(EventLoop& event_loop, const settings::Platform& platform_settings,
@@ -39,27 +40,28 @@
   const settings::Operator& op;
   Synchronized<LeaderState> leader_state;
 
-  // Each is set when there is work of its kind, and when the term ends.
-  AutoResetEvent schedule;        // a scheduling cycle may find something to do
-  AutoResetEvent store_machines;  // records of machines wait to be written
-  AutoResetEvent store_progress;  // progress or ends of jobs wait to be written
-  AutoResetEvent stops;           // stop calls wait to be sent
-  AutoResetEvent runs;            // some machine may be sent a `run`
-  AutoResetEvent scaling;         // machines are to be added or returned
+  // Each event is set when there is work of its kind, and when the term ends.
+  AutoResetEvent schedule;        // a scheduling cycle may be able to place tasks
+  AutoResetEvent store_machines;  // records of machines have to be written
+  AutoResetEvent store_progress;  // progress or completion of jobs has to be written
+  AutoResetEvent stops;           // stop calls have to be sent
+  AutoResetEvent runs;            // a `run` became sendable to at least one machine
+  AutoResetEvent scaling;         // machines have to be added or returned
 
-  // Each term of this process has a number; a coroutine that was spawned for one ends with it.
+  // The number of the current term of this process. A coroutine spawned for a term ends with it.
   uint64_t term = 0;
-  bool loaded = false;              // failover is complete: workers may be answered
-  uint64_t epoch = 0;               // 0: not leading
-  uint64_t epoch_mod_revision = 0;  // of the key `epoch`, as this term wrote it
+  bool loaded = false;              // failover is complete: heartbeats may be responded to
+  uint64_t epoch = 0;               // 0: this node is not the leader
+  uint64_t epoch_mod_revision = 0;  // of the key `epoch` as written for this term
   bool in_term(uint64_t number) const { return term == number && epoch != 0; }
 
-  // Part of every transaction of this term: it fails once another node has become the leader.
+  // The compare that every transaction of this term contains. It fails once another node has become
+  // the leader.
   wire::store::Compare epoch_compare() const {
     return {std::string(wire::kEpochKey), epoch_mod_revision};
   }
 
-  // Wakes the parts that an event made work for.
+  // Notifies the coroutines that have follow-up work.
   void follow_up(const Effects& effects) {
     if (effects.schedule) schedule.notify();
     if (effects.store_machines) store_machines.notify();
--- a/src/dunlinknot/cluster/machine.cpp
+++ b/src/dunlinknot/cluster/machine.cpp
@@ -1,4 +1,4 @@
-// The lookups and the cache estimate of one machine.
+// Lookups of allocations on a machine, and the estimate of its cached images.
 #include "dunlinknot/cluster/machine.hpp"
 
 #include <algorithm>
--- a/src/dunlinknot/cluster/machine_record.cpp
+++ b/src/dunlinknot/cluster/machine_record.cpp
@@ -1,4 +1,4 @@
-// Building and measuring the records of machines.
+// Building the records of machines and computing their sizes.
 #include "dunlinknot/cluster/machine_record.hpp"
 
 #include <algorithm>
--- a/src/dunlinknot/cluster/machine_record.hpp
+++ b/src/dunlinknot/cluster/machine_record.hpp
@@ -1,4 +1,4 @@
-// The record of a machine in the key-value store: its contents and the size it will have.
+// The contents and the size of a machine's record in the key-value store.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -9,20 +9,21 @@
 
 namespace dunlinknot::cluster {
 
-// Bytes that a job adds to a machine's record at most.
+// Upper bounds of the bytes that a job adds to a machine's record.
 struct RecordCost {
-  size_t group_bytes = 0;  // once, however many of its tasks are there
-  size_t task_bytes = 0;   // with each task
+  size_t group_bytes = 0;  // once per job
+  size_t task_bytes = 0;   // per task
 };
 
-// Attempts are numbered from this bit upwards by the leader's epoch, and below it by the leader.
+// The bits of an attempt number from this one upwards are the leader's epoch; the lower bits are
+// numbered consecutively by the leader.
 constexpr unsigned kAttemptEpochShift = 24;
 
-// What the store has to hold: every allocation, whatever its phase.
+// The record to store: it contains every allocation, regardless of its phase.
 wire::MachineRecord machine_record(const Machine& machine);
-// An upper bound of the size of that record in JSON, without building it.
+// An upper bound of the size of that record in bytes of JSON, computed without building it.
 size_t machine_record_size(const Machine& machine);
-// What one more task of the job would add, with any attempt number of this epoch.
+// The cost of one more task of the job, with any attempt number of this epoch.
 RecordCost machine_record_cost(const Job& job, uint64_t epoch);
 
 }  // namespace dunlinknot::cluster
--- a/src/dunlinknot/cluster/placement_constraints.cpp
+++ b/src/dunlinknot/cluster/placement_constraints.cpp
@@ -1,4 +1,4 @@
-// How tasks are counted by zone and compared with their job's constraints.
+// Checks of machine types and pools, and the counts of tasks per zone.
 #include "dunlinknot/cluster/placement_constraints.hpp"
 
 #include <algorithm>
--- a/src/dunlinknot/cluster/record_write_queue.cpp
+++ b/src/dunlinknot/cluster/record_write_queue.cpp
@@ -1,4 +1,4 @@
-// The two queues of machines whose records wait to be written.
+// The urgent and the ordinary queue of machines whose records have to be written.
 #include "dunlinknot/cluster/record_write_queue.hpp"
 
 #include <algorithm>
@@ -8,8 +8,9 @@
 void RecordWriteQueue::mark_dirty(Machine& machine, bool urgent) {
   machine.dirty = true;
   if (machine.urgent || (machine.write_queued && !urgent)) return;
-  // A machine in the ordinary queue may become urgent. Its ordinary entry stays, because removing
-  // it would cost a search: by its turn the machine is usually clean, and `next` skips it.
+  // A machine in the ordinary queue may become urgent. Its entry there is kept, because removing it
+  // would require a linear search. When it reaches the front, the machine is usually clean, and
+  // `next` skips it.
   (urgent ? machine.urgent : machine.write_queued) = true;
   (urgent ? urgent_ : ordinary_).push_back(machine.id);
 }
--- a/src/dunlinknot/cluster/record_write_queue.hpp
+++ b/src/dunlinknot/cluster/record_write_queue.hpp
@@ -8,19 +8,22 @@
 
 namespace dunlinknot::cluster {
 
-// First come, first served, but machines with new allocations of services and gangs go first: many
-// tasks depend on one of those. Each machine stands at most once in either queue; `Machine::urgent`
-// and `Machine::write_queued` say whether it does. Machines are kept by id, since one may be
-// removed while it waits.
+// Two FIFO queues. Machines with new allocations of services and gangs are in the urgent queue,
+// which is served first, because many tasks depend on one such allocation. Each queue contains a
+// machine at most once; `Machine::urgent` and `Machine::write_queued` show whether it does.
+// Machines are stored by id because they may be removed while queued.
 class RecordWriteQueue {
  public:
-  // The machine's record has to be written: sets `dirty` and queues it unless it waits already.
+  // Marks the machine's record as to be written, and queues the machine unless it is already queued
+  // with at least this urgency.
   void mark_dirty(Machine& machine, bool urgent);
-  // Takes the next machine that is still there and still dirty; null when there is none.
+  // Removes and returns the next machine that still exists and is still dirty; null if there is
+  // none.
   Machine* next(const MachineTable& machines);
-  // Puts a machine that was taken out back to the front of the queue it belongs to.
+  // Puts a machine returned by `next` back to the front of the queue it belongs to.
   void requeue(Machine& machine);
-  // An upper bound: machines that were removed or written meanwhile are counted until their turn.
+  // An upper bound of the waiting machines: those removed or written meanwhile are counted until
+  // `next` skips them.
   size_t size() const { return urgent_.size() + ordinary_.size(); }
   void clear();
 
--- a/src/dunlinknot/cluster/records.cpp
+++ b/src/dunlinknot/cluster/records.cpp
@@ -1,4 +1,4 @@
-// What follows once the record of a machine is durable.
+// Updating the allocations of a machine once its record is durable.
 #include <algorithm>
 
 #include "dunlinknot/cluster/cluster.hpp"
@@ -16,7 +16,7 @@
       machine.stored.push_back({TaskRef{group.job, index}, attempt});
   }
   machine.dirty = false;
-  // Allocations that ended while the write was in flight are still in the record.
+  // Allocations that ended while the write was in flight are still in the stored record.
   machine.shrunk = std::any_of(
       machine.stored.begin(), machine.stored.end(),
       [&](const StoredAllocation& stored) { return !machine.find(stored.task, stored.attempt); });
@@ -31,7 +31,7 @@
       return stored.attempt == allocation.attempt && stored.task == allocation.task;
     });
     if (!is_stored) {
-      // Planned while the write was in flight.
+      // The allocation was planned while the write was in flight.
       write_queue_.mark_dirty(machine, allocation.gang || allocation.service);
       effects.store_machines = true;
       continue;
@@ -42,13 +42,13 @@
   }
 }
 
-// Lists the machines that may be sent a `run` now that the allocation is durable.
+// Adds the machines to which a `run` is sendable now that the allocation is durable to `runnable_`.
 void Cluster::allow_run(const Machine& machine, const Allocation& allocation) {
   if (!allocation.gang) {
     runnable_.push_back(machine.id);
     return;
   }
-  // Safety 4: a gang starts once every one of its allocations is durable.
+  // Safety 4: a gang starts only once all its allocations are durable.
   const std::string& id = allocation.task.job;
   Job* open_job = job(id);
   if (!open_job || open_job->gang_attempt != allocation.attempt) return;
@@ -57,7 +57,7 @@
   for (const Machine* holder : holders(id)) runnable_.push_back(holder->id);
 }
 
-// The allocations of one attempt that are durable, whether their `run` was sent or not.
+// The number of durable allocations of one attempt, whether or not their `run` was sent.
 uint32_t Cluster::count_durable(const std::string& id, uint64_t attempt) const {
   uint32_t durable = 0;
   for (const Machine* holder : holders(id)) {
--- a/src/dunlinknot/cluster/replica_backoff.cpp
+++ b/src/dunlinknot/cluster/replica_backoff.cpp
@@ -1,4 +1,4 @@
-// Exponential back-off of replicas.
+// Exponential backoff of replicas.
 #include "dunlinknot/cluster/replica_backoff.hpp"
 
 #include <spdlog/spdlog.h>
@@ -9,8 +9,10 @@
 
 namespace {
 
-constexpr uint32_t kFreeRetries = 1;     // early exits that are followed by a restart at once
-constexpr uint32_t kMostDoublings = 16;  // keeps the shift in range; `backoff_most` caps the pause
+// The number of early exits in a row after which a replica restarts without a delay.
+constexpr uint32_t kFreeRetries = 1;
+// Keeps the shift in range; `backoff_most` limits the delay.
+constexpr uint32_t kMostDoublings = 16;
 
 }  // namespace
 
@@ -22,8 +24,9 @@
       std::min(to_nanos(op_.backoff_first) * (1 << doublings), to_nanos(op_.backoff_most));
   job.back_off(index, now + pause);
   jobs_.insert(job.spec().id);
-  spdlog::info("{} ended soon after its start {} times in a row: backing off {:.0f} s",
-               TaskRef{job.spec().id, index}.text(), ends, to_seconds(pause).count());
+  spdlog::info(
+      "replica {} exited soon after its start {} times in a row: delaying its restart by {:.0f} s",
+      TaskRef{job.spec().id, index}.text(), ends, to_seconds(pause).count());
 }
 
 bool ReplicaBackoff::release_due(const JobTable& jobs, Instant now) {
--- a/src/dunlinknot/cluster/replica_restarts.hpp
+++ b/src/dunlinknot/cluster/replica_restarts.hpp
@@ -1,4 +1,4 @@
-// Counts of the replicas of services that had to run again, by reason.
+// Counts of replica restarts, by reason.
 #pragma once
 #include <cstdint>
 
@@ -6,15 +6,16 @@
 
 namespace dunlinknot::cluster {
 
-// Since the leader's term began; logged by the node once in a while.
+// Counted since the leader's term began. The node logs the counts periodically.
 struct ReplicaRestarts {
-  uint64_t machine_lost = 0;  // the machine was silent beyond its lease, or deleted
-  uint64_t moved = 0;         // stopped: the machine is interrupted, or a constraint was violated
+  uint64_t machine_lost = 0;  // the machine's lease expired without a heartbeat, or it was deleted
+  // Stopped because the machine is about to be interrupted, or because a constraint was violated.
+  uint64_t moved = 0;
   uint64_t preempted = 0;
-  uint64_t ended = 0;  // exited by itself: failed, or reported as completed
+  uint64_t ended = 0;  // exited by itself: with an error, or reported as done
 
-  // A replica's allocation ended on the machine while its service was open. Replicas whose `run`
-  // was never sent did not run before, so they are not counted.
+  // Counts the end of a replica's allocation on the machine while its service is open. A replica
+  // for which no `run` was sent never ran there, so it is not counted.
   void count(const Allocation& allocation, const Machine& machine) {
     if (allocation.unsent()) return;
     if (allocation.stop == StopReason::preempted) {
--- a/src/dunlinknot/cluster/stop_calls.cpp
+++ b/src/dunlinknot/cluster/stop_calls.cpp
@@ -1,4 +1,4 @@
-// How pending stops are turned into calls.
+// Collecting pending stops and converting them into calls.
 #include "dunlinknot/cluster/stop_calls.hpp"
 
 #include <algorithm>
--- a/src/dunlinknot/cluster/stop_calls.hpp
+++ b/src/dunlinknot/cluster/stop_calls.hpp
@@ -1,4 +1,4 @@
-// The stops that workers are told of by direct calls.
+// Stops that are sent to workers by direct calls.
 #pragma once
 #include <string>
 #include <vector>
@@ -8,19 +8,19 @@
 
 namespace dunlinknot::cluster {
 
-// Remembers which machines have stops that were not sent yet. The calls only make stops faster: a
-// stop that gets lost is repeated in every response to the worker's heartbeats.
+// Tracks which machines have stops that were not sent yet. Direct calls only reduce the delay: a
+// stop is also contained in every response to the worker's heartbeats, so a lost call does no harm.
 class PendingStopCalls {
  public:
   void add(const Machine& machine);
   bool any() const { return !machines_.empty(); }
-  // One call for each machine with all its stops, in the order in which the machines were added.
-  // Machines that cannot be called are left out and forgotten.
+  // Returns one call per machine with all its stops, in the order in which the machines were added,
+  // and clears the list. Machines that cannot be called are omitted.
   std::vector<StopCall> drain(const MachineTable& machines);
   void clear() { machines_.clear(); }
 
  private:
-  std::vector<std::string> machines_;  // ids, each once
+  std::vector<std::string> machines_;  // ids without duplicates
 };
 
 }  // namespace dunlinknot::cluster
--- a/src/dunlinknot/cluster/team_usage.cpp
+++ b/src/dunlinknot/cluster/team_usage.cpp
@@ -1,4 +1,4 @@
-// Usage of teams and the check of their limits.
+// Accounting of team usage and the check of team limits.
 #include "dunlinknot/cluster/team_usage.hpp"
 
 namespace dunlinknot::cluster {
--- a/src/dunlinknot/cluster/team_usage.hpp
+++ b/src/dunlinknot/cluster/team_usage.hpp
@@ -1,4 +1,4 @@
-// What each team uses of the cluster, and the check of its limit.
+// The resources that each team uses, and the check of its limit.
 #pragma once
 #include <cstddef>
 #include <vector>
@@ -8,13 +8,14 @@
 
 namespace dunlinknot::cluster {
 
-// Allocations that are not queued, whether their tasks run yet or not.
+// The resources of all allocations that are not queued, whether or not their tasks are already
+// running.
 struct TeamUsage {
   Resources used;
 };
 
-// By the index of the team in settings::Platform::teams. Negative indices, of teams that this
-// platform does not know, have no limit and are not counted.
+// Indexed like settings::Platform::teams. A negative index stands for a team that is not configured
+// there, which has no limit and is not counted.
 class TeamUsageTable {
  public:
   explicit TeamUsageTable(const std::vector<settings::Team>& teams)
@@ -24,9 +25,10 @@
   const TeamUsage& of(int team) const { return usage_[static_cast<size_t>(team)]; }
   void add(int team, const Resources& need);
   void remove(int team, const Resources& need);
-  // Replaces what is kept of the teams' limits for gangs that wait; may be shorter than the teams.
+  // Replaces the resources reserved within team limits for pending gangs, by team index. Teams
+  // beyond the end of the vector have no reservation.
   void reserve(std::vector<Resources> by_team) { reserved_ = std::move(by_team); }
-  // Whether the team may use so much more, given its limit and what is reserved of it.
+  // Whether the team may use `need` in addition, given its limit, its usage and its reservation.
   bool allows(int team, const Resources& need) const;
 
  private:
--- a/src/dunlinknot/cluster/worker_commands.cpp
+++ b/src/dunlinknot/cluster/worker_commands.cpp
@@ -1,4 +1,4 @@
-// How the commands of a response are chosen.
+// Selecting the commands of a response.
 #include "dunlinknot/cluster/worker_commands.hpp"
 
 #include "dunlinknot/cluster/find.hpp"
@@ -7,15 +7,16 @@
 
 namespace {
 
-constexpr size_t kMaxCommands = 400;  // in a response; stops are never left out
+constexpr size_t kMaxCommands = 400;  // per response; stops are not limited
 
 }  // namespace
 
 std::vector<Command> WorkerCommands::take(Machine& machine, const Heartbeat& heartbeat,
                                           bool may_start) const {
   std::vector<Command> commands;
-  // Stops first: what renews a lease carries every stop that is due (safety 2), and the room they
-  // make is there for what starts.
+  // Stops come first: every response that renews a lease contains all stops that are due (safety 2:
+  // cancelled tasks end in time), and the tasks to be started use the resources that the stops
+  // free.
   add_stops(machine, heartbeat, commands);
   add_forgets(heartbeat, commands);
   if (may_start && !machine.draining && !machine.terminating)
@@ -49,7 +50,7 @@
     if (task.state == TaskState::exited) continue;
     const Allocation* allocation = machine.find(task.task, task.attempt);
     if (!allocation || !allocation->stopping()) continue;
-    // A task that saves within its grace is stopping already.
+    // A task that is saving a checkpoint within its grace period is already stopping.
     if (task.state == TaskState::saving && allocation->grace > Seconds(0)) continue;
     commands.push_back({Command::Op::stop, task.task, task.attempt, allocation->grace});
   }
@@ -59,7 +60,8 @@
   for (const TaskStatus& task : heartbeat.tasks) {
     if (commands.size() >= kMaxCommands) break;
     if (task.state != TaskState::exited) continue;
-    // Safety 3: a completed task is forgotten only after its `done` is durable.
+    // Safety 3, completed tasks never run again: `forget` is sent only after the completion is
+    // durable.
     const Job* open_job = allocations_.job(task.task.job);
     const bool keep = task.cause == ExitCause::done && open_job && !open_job->spec().service &&
                       task.task.index < open_job->spec().tasks &&
--- a/src/dunlinknot/cluster/worker_commands.hpp
+++ b/src/dunlinknot/cluster/worker_commands.hpp
@@ -1,4 +1,4 @@
-// The commands that the response to a worker's heartbeat carries.
+// The commands in the response to a worker's heartbeat.
 #pragma once
 #include <vector>
 
@@ -6,18 +6,18 @@
 
 namespace dunlinknot::cluster {
 
-// Derives the commands from the allocations of the machine and the tasks that the heartbeat lists.
-// Has no state of its own; called by `Cluster` under the leader state's lock.
+// Derives the commands from the allocations of the machine and the tasks in the heartbeat.
+// Stateless; called by `Cluster` under the leader state's lock.
 class WorkerCommands {
  public:
   explicit WorkerCommands(AllocationTable& allocations) : allocations_(allocations) {}
 
-  // All that the response carries, stops first. With `may_start`, the allocations whose `run` is
-  // among it count as sent from here on.
+  // Returns all commands of the response, stops first. With `may_start` they include each sendable
+  // `run`, and the allocations concerned become `sent`.
   std::vector<Command> take(Machine& machine, const Heartbeat& heartbeat, bool may_start) const;
-  // Whether it is worth holding the response back: no `run` can be sent yet, but one is likely to
-  // be within moments. `room_may_be_used`: work waits, and the scheduling cycle has not seen this
-  // machine's room yet.
+  // Whether the response should be delayed: no `run` is sendable yet, but one is likely to be soon.
+  // `room_may_be_used`: there are pending tasks, and no scheduling cycle has considered the free
+  // resources of this machine yet.
   bool is_run_likely(const Machine& machine, bool room_may_be_used) const;
 
  private:
