--- a/src/dunlinknot/cluster/allocation.hpp
+++ b/src/dunlinknot/cluster/allocation.hpp
@@ -39,7 +39,7 @@
 
 // The grace period of a stop is the expected duration of saving a checkpoint plus this margin, so
 // that a save that takes slightly longer is not interrupted.
-constexpr Seconds kStopGraceSlack{1};
+constexpr Seconds kStopGraceMargin{1};
 
 // Created before the task can start, and ended only when it is certain that the task is not on the
 // machine or has left it. Some fields are copied from the job because an allocation may outlive its
--- a/src/dunlinknot/cluster/allocation_store.cpp
+++ b/src/dunlinknot/cluster/allocation_store.cpp
@@ -7,7 +7,7 @@
 
 // How often records that only lost entries are rewritten and obsolete ones are deleted, if the
 // write budget has slack.
-constexpr auto kCleanupEvery = std::chrono::seconds(4);
+constexpr auto kCleanupInterval = std::chrono::seconds(4);
 
 }  // namespace
 
@@ -30,11 +30,11 @@
 
 Task<void> AllocationStore::store_machines(uint64_t term) {
   LeaderContext& context = access_.context;
-  Instant next_cleanup = context.loop.now() + kCleanupEvery;
+  Instant next_cleanup = context.loop.now() + kCleanupInterval;
   while (context.in_term(term)) {
     (void)co_await context.store_machines.wait_until(next_cleanup);
     const bool cleanup = context.loop.now() >= next_cleanup;
-    if (cleanup) next_cleanup = context.loop.now() + kCleanupEvery;
+    if (cleanup) next_cleanup = context.loop.now() + kCleanupInterval;
     for (bool more = true; more && context.in_term(term);) {
       more = co_await machine_writer_.write_some(term, cleanup);
     }
--- a/src/dunlinknot/cluster/allocation_store/job_records.cpp
+++ b/src/dunlinknot/cluster/allocation_store/job_records.cpp
@@ -37,7 +37,7 @@
 Task<void> JobRecords::reread(uint64_t term, std::string id) const {
   LeaderContext& context = access_.context;
   const kv::GetResult open =
-      co_await access_.store.get(wire::job_key(id), StoreAccess::kCommitTime);
+      co_await access_.store.get(wire::job_key(id), StoreAccess::kCallTimeout);
   if (!context.in_term(term) || open.outcome != Outcome::ok) co_return;
   if (open.found) {
     // Only the watch adds jobs, because this read may be older than the end of the job.
@@ -47,7 +47,7 @@
     co_return;
   }
   const kv::GetResult end =
-      co_await access_.store.get(wire::final_key(id), StoreAccess::kCommitTime);
+      co_await access_.store.get(wire::final_key(id), StoreAccess::kCallTimeout);
   if (!context.in_term(term) || end.outcome != Outcome::ok) co_return;
   close(id, end);
 }
--- a/src/dunlinknot/cluster/allocation_store/job_watcher.cpp
+++ b/src/dunlinknot/cluster/allocation_store/job_watcher.cpp
@@ -11,7 +11,7 @@
 
 // How long a watch request waits for changes. A response without changes also extends the leader's
 // renewal window, so responses must be frequent.
-constexpr Millis kWatchBlock{1000};
+constexpr Millis kWatchBlockTime{1000};
 
 }  // namespace
 
@@ -42,10 +42,10 @@
   while (context.in_term(term)) {
     const Instant sent = context.loop.now();
     const kv::WatchResult watch =
-        co_await access_.store.watch(std::string(wire::kJobPrefix), revision_, kWatchBlock);
+        co_await access_.store.watch(std::string(wire::kJobPrefix), revision_, kWatchBlockTime);
     if (!context.in_term(term)) co_return;
     if (watch.outcome != kv::Outcome::ok) {
-      co_await context.loop.sleep(StoreAccess::kRetry);
+      co_await context.loop.sleep(StoreAccess::kRetryDelay);
       continue;
     }
     if (watch.relist_required) {
--- a/src/dunlinknot/cluster/allocation_store/machine_record_writer.cpp
+++ b/src/dunlinknot/cluster/allocation_store/machine_record_writer.cpp
@@ -10,12 +10,12 @@
 using http::Outcome;
 
 // The maximum number of dirty machines that a batch skips because their records cannot be added.
-constexpr size_t kMostPassedOver = 8;
+constexpr size_t kMaxSkippedMachines = 8;
 // The limit of the values in a transaction. The key-value store accepts 64 KiB in total.
-constexpr size_t kBatchBytes = size_t{40} * 1024;
-constexpr size_t kJsonPerPackedByte = 2;  // an upper bound
+constexpr size_t kMaxBatchBytes = size_t{40} * 1024;
+constexpr size_t kMaxJsonBytesPerPackedByte = 2;  // an upper bound
 // The key-value store accepts this many compares per permitted write of a transaction.
-constexpr size_t kComparesPerWrite = 4;
+constexpr size_t kMaxComparesPerWrite = 4;
 
 // The open jobs with allocations on the machine that are not durable yet.
 std::set<std::string> newly_allocated_jobs(const Cluster& cluster, const Machine& machine) {
@@ -28,11 +28,11 @@
   return jobs;
 }
 
-// Removes new allocations from a record, except those of the jobs in `but_of`.
-void leave_out_new_allocations(wire::MachineRecord& record, const Machine& machine,
-                               const std::set<std::string>& but_of) {
+// Removes new allocations from a record, except those of the jobs in `kept_jobs`.
+void remove_new_allocations(wire::MachineRecord& record, const Machine& machine,
+                            const std::set<std::string>& kept_jobs) {
   for (const Allocation& allocation : machine.allocations) {
-    if (allocation.phase != AllocationPhase::planned || but_of.contains(allocation.task.job))
+    if (allocation.phase != AllocationPhase::planned || kept_jobs.contains(allocation.task.job))
       continue;
     for (auto& group : record.groups) {
       if (group.job != allocation.task.job) continue;
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-std::vector<std::string> MachineRecordWriter::unknown_machines() const {
+std::vector<std::string> MachineRecordWriter::machines_to_reread() const {
   return access_.context.leader_state.with([](LeaderState& leader) {
     std::vector<std::string> ids;
     for (const auto& [id, machine] : leader.cluster.machines()) {
@@ -71,10 +71,10 @@
 // Rereads the records that a transaction with an unknown outcome may have changed.
 Task<void> MachineRecordWriter::reread_unknown(uint64_t term) {
   mod_revisions_unknown_ = false;
-  const std::vector<std::string> ids = unknown_machines();
+  const std::vector<std::string> ids = machines_to_reread();
   for (const std::string& id : ids) {
     const kv::GetResult got =
-        co_await access_.store.get(wire::machine_key(id), StoreAccess::kCommitTime);
+        co_await access_.store.get(wire::machine_key(id), StoreAccess::kCallTimeout);
     if (!access_.context.in_term(term)) co_return;
     if (got.outcome != Outcome::ok) {
       mod_revisions_unknown_ = true;
@@ -86,13 +86,13 @@
 
 // How many more compares the transaction can contain, besides that of the next machine's record.
 size_t MachineRecordWriter::compares_left(const Batch& batch) const {
-  const size_t most = access_.max_writes() * kComparesPerWrite;
-  const size_t taken = batch.txn.compares.size() + batch.jobs.size() + 1;
-  return most > taken ? most - taken : 0;
+  const size_t max_compares = access_.max_writes() * kMaxComparesPerWrite;
+  const size_t used = batch.txn.compares.size() + batch.jobs.size() + 1;
+  return max_compares > used ? max_compares - used : 0;
 }
 
 bool MachineRecordWriter::full(const Batch& batch) const {
-  return batch.machines.size() >= access_.max_writes() || batch.bytes > kBatchBytes ||
+  return batch.machines.size() >= access_.max_writes() || batch.bytes > kMaxBatchBytes ||
          compares_left(batch) == 0;
 }
 
@@ -119,7 +119,7 @@
     // The machine has more jobs than one transaction can compare. The other jobs are written by
     // later transactions.
     while (added_jobs.size() > room) added_jobs.erase(std::prev(added_jobs.end()));
-    leave_out_new_allocations(write.record, machine, added_jobs);
+    remove_new_allocations(write.record, machine, added_jobs);
   }
   std::string value;
   if (!write.record.groups.empty()) value = wire::write_machine_record(write.record);
@@ -128,10 +128,10 @@
     return true;
   }
   batch.jobs.insert(added_jobs.begin(), added_jobs.end());
-  batch.bytes += value.size() * kJsonPerPackedByte;
+  batch.bytes += value.size() * kMaxJsonBytesPerPackedByte;
   batch.txn.compares.push_back({wire::machine_key(machine.id), write.mod_revision});
   batch.txn.writes.push_back({wire::machine_key(machine.id), std::move(value), 0});
-  machine.storing = true;
+  machine.write_in_flight = true;
   batch.machines.push_back(std::move(write));
   return true;
 }
@@ -141,10 +141,10 @@
 void MachineRecordWriter::collect_dirty(Batch& batch, Cluster& cluster) const {
   std::vector<Machine*> unwritable;  // a write is in flight, or the record must be reread
   std::vector<Machine*> too_many_jobs;
-  while (!full(batch) && unwritable.size() + too_many_jobs.size() < kMostPassedOver) {
+  while (!full(batch) && unwritable.size() + too_many_jobs.size() < kMaxSkippedMachines) {
     Machine* machine = cluster.next_dirty_machine();
     if (!machine) break;
-    if (!machine->mod_revision_known || machine->storing) {
+    if (!machine->mod_revision_known || machine->write_in_flight) {
       unwritable.push_back(machine);
     } else if (!add_record(batch, cluster, *machine)) {
       too_many_jobs.push_back(machine);
@@ -160,8 +160,8 @@
 void MachineRecordWriter::collect_shrunk(Batch& batch, Cluster& cluster) const {
   for (auto& [id, machine] : cluster.machines()) {
     if (full(batch)) break;
-    const bool shrank =
-        machine->shrunk && !machine->dirty && machine->mod_revision_known && !machine->storing;
+    const bool shrank = machine->shrunk && !machine->dirty && machine->mod_revision_known &&
+                        !machine->write_in_flight;
     if (shrank && !add_record(batch, cluster, *machine)) break;
   }
 }
@@ -189,7 +189,7 @@
     if (result.applied && !deleted) cleaner_.add({key, result.revision});
     return effects;
   }
-  machine->storing = false;
+  machine->write_in_flight = false;
   if (result.applied) {
     cluster.machine_stored(*machine, write.record, deleted ? 0 : result.revision, effects);
   } else if (result.outcome == Outcome::unknown || result.compare_failed(key)) {
@@ -220,26 +220,27 @@
     co_await reread_unknown(term);
     if (!context.in_term(term)) co_return false;
   }
-  const size_t waiting = context.leader_state.with(
+  const size_t dirty_machines = context.leader_state.with(
       [](LeaderState& leader) { return leader.cluster.dirty_machine_count(); });
-  if (waiting == 0 && !include_shrunk) co_return false;
+  if (dirty_machines == 0 && !include_shrunk) co_return false;
   // Records that only lost entries are rewritten only if the budget has slack: an obsolete entry
   // delays a new leader briefly, whereas a delayed allocation leaves a machine unused.
-  if (waiting == 0 && !access_.has_slack()) co_return false;
-  co_await access_.await_budget(term, static_cast<double>(std::min(waiting, access_.max_writes())));
+  if (dirty_machines == 0 && !access_.has_slack()) co_return false;
+  co_await access_.await_budget(
+      term, static_cast<double>(std::min(dirty_machines, access_.max_writes())));
   if (!context.in_term(term)) co_return false;
   Batch batch = context.leader_state.with(
       [&](LeaderState& leader) { return collect(leader.cluster, include_shrunk); });
   if (batch.machines.empty()) co_return false;
   const kv::TransactionResult result =
-      co_await access_.store.commit(std::move(batch.txn), StoreAccess::kCommitTime);
+      co_await access_.store.commit(std::move(batch.txn), StoreAccess::kCallTimeout);
   if (!context.in_term(term)) co_return false;
   const Applied applied = context.leader_state.with(
       [&](LeaderState& leader) { return apply_result(leader.cluster, batch, result); });
   if (access_.superseded(result)) co_return false;
   context.follow_up(applied.effects);
   for (const std::string& id : applied.changed_jobs) co_await jobs_.reread(term, id);
-  if (result.outcome != Outcome::ok) co_await context.loop.sleep(StoreAccess::kRetry);
+  if (result.outcome != Outcome::ok) co_await context.loop.sleep(StoreAccess::kRetryDelay);
   co_return true;
 }
 
--- a/src/dunlinknot/cluster/allocation_store/machine_record_writer.hpp
+++ b/src/dunlinknot/cluster/allocation_store/machine_record_writer.hpp
@@ -38,7 +38,7 @@
     std::vector<std::string> changed_jobs;  // jobs whose record had an unexpected mod revision
   };
   Task<void> reread_unknown(uint64_t term);
-  std::vector<std::string> unknown_machines() const;
+  std::vector<std::string> machines_to_reread() const;
   Effects apply_stored(const std::string& id, const kv::GetResult& got) const;
 
   Batch collect(Cluster& cluster, bool include_shrunk) const;
--- a/src/dunlinknot/cluster/allocation_store/progress_writer.cpp
+++ b/src/dunlinknot/cluster/allocation_store/progress_writer.cpp
@@ -9,15 +9,15 @@
 
 using http::Outcome;
 
-// Upper bound of the wait for a notification.
-constexpr auto kLongestWait = std::chrono::seconds(1);
+constexpr auto kMaxWait = std::chrono::seconds(1);  // upper bound of the wait for a notification
 // The delay before a batch is written again after rereading.
-constexpr Millis kRereadPause{30};
+constexpr Millis kRereadDelay{30};
 // Completing a job writes its final record and deletes its open record.
-constexpr size_t kWritesOfEnd = 2;
-constexpr double kOpenShare = 0.15;  // part of the write budget for the progress of open jobs
+constexpr size_t kWritesPerCompletion = 2;
+// The share of the write budget for the progress of open jobs.
+constexpr double kOpenJobsBudgetShare = 0.15;
 // The delay until the next check if there was no progress of open jobs to write.
-constexpr Seconds kOpenPause{1};
+constexpr Seconds kOpenJobsCheckInterval{1};
 
 }  // namespace
 
@@ -25,12 +25,12 @@
   LeaderContext& context = access_.context;
   while (context.in_term(term)) {
     (void)co_await context.store_progress.wait_until(
-        std::max(next_open_, context.loop.now() + kLongestWait));
+        std::max(next_open_, context.loop.now() + kMaxWait));
     for (bool more = true; more && context.in_term(term);) more = co_await write_some(term);
   }
 }
 
-void ProgressWriter::add_end(Batch& batch, const Job& job) const {
+void ProgressWriter::add_completion(Batch& batch, const Job& job) const {
   const std::string& id = job.spec().id;
   batch.jobs.insert(id);
   batch.txn.compares.push_back({wire::job_key(id), job.mod_revision});
@@ -64,16 +64,17 @@
   Batch batch;
   batch.txn.compares.push_back(access_.context.epoch_compare());
   std::vector<const Job*> open;
-  size_t up_to_last = 0;
+  size_t first_after_last = 0;
   for (const auto& [id, job] : cluster.jobs()) {
     if (job->all_done()) {
-      if (batch.txn.writes.size() + kWritesOfEnd <= access_.max_writes()) add_end(batch, *job);
+      if (batch.txn.writes.size() + kWritesPerCompletion <= access_.max_writes())
+        add_completion(batch, *job);
     } else if (include_open && !job->dirty_chunks().empty()) {
       open.push_back(job.get());
-      if (id <= last_open_job_) ++up_to_last;
+      if (id <= last_open_job_) ++first_after_last;
     }
   }
-  std::rotate(open.begin(), open.begin() + static_cast<ptrdiff_t>(up_to_last), open.end());
+  std::rotate(open.begin(), open.begin() + static_cast<ptrdiff_t>(first_after_last), open.end());
   for (const Job* job : open) {
     if (batch.txn.writes.size() >= access_.max_writes()) break;
     add_chunks(batch, *job);
@@ -88,7 +89,7 @@
 void ProgressWriter::schedule_next_open(const Batch& batch) {
   if (batch.chunks.empty()) return;
   last_open_job_ = batch.chunks.back().job;
-  const double rate = access_.store.write_burst() * kOpenShare;
+  const double rate = access_.store.write_burst() * kOpenJobsBudgetShare;
   const Seconds pause(static_cast<double>(batch.chunks.size()) / rate);
   next_open_ = access_.context.loop.now() + to_nanos(pause);
 }
@@ -135,7 +136,7 @@
   for (const ChunkWrite& chunk : batch.chunks) {
     const std::string key = wire::done_key(chunk.job, chunk.chunk);
     if (result.outcome == Outcome::ok && !result.compare_failed(key)) continue;
-    const kv::GetResult got = co_await access_.store.get(key, StoreAccess::kCommitTime);
+    const kv::GetResult got = co_await access_.store.get(key, StoreAccess::kCallTimeout);
     if (!access_.context.in_term(term)) co_return false;
     if (got.outcome == Outcome::ok) apply_reread(chunk, got);
   }
@@ -159,7 +160,7 @@
   Batch batch = context.leader_state.with(
       [&](LeaderState& leader) { return collect(leader.cluster, include_open); });
   if (batch.txn.writes.empty()) {
-    if (include_open) next_open_ = context.loop.now() + to_nanos(kOpenPause);
+    if (include_open) next_open_ = context.loop.now() + to_nanos(kOpenJobsCheckInterval);
     co_return false;
   }
   schedule_next_open(batch);
@@ -168,19 +169,19 @@
   }
   if (!context.in_term(term)) co_return false;
   kv::TransactionResult result =
-      co_await access_.store.commit(std::move(batch.txn), StoreAccess::kCommitTime);
+      co_await access_.store.commit(std::move(batch.txn), StoreAccess::kCallTimeout);
   if (!context.in_term(term) || access_.superseded(result)) co_return false;
   if (result.applied) {
     apply_stored(batch, result.revision);
     co_return true;
   }
   if (result.outcome == Outcome::refused) {
-    co_await context.loop.sleep(StoreAccess::kRetry);
+    co_await context.loop.sleep(StoreAccess::kRetryDelay);
     co_return true;
   }
   const bool reread_all = co_await reread(term, std::move(batch), std::move(result));
   if (!reread_all) co_return false;
-  co_await context.loop.sleep(kRereadPause);
+  co_await context.loop.sleep(kRereadDelay);
   co_return true;
 }
 
--- a/src/dunlinknot/cluster/allocation_store/progress_writer.hpp
+++ b/src/dunlinknot/cluster/allocation_store/progress_writer.hpp
@@ -36,7 +36,7 @@
   };
   Task<bool> write_some(uint64_t term);
   Batch collect(const Cluster& cluster, bool include_open) const;
-  void add_end(Batch& batch, const Job& job) const;
+  void add_completion(Batch& batch, const Job& job) const;
   void add_chunks(Batch& batch, const Job& job) const;
   void schedule_next_open(const Batch& batch);
 
--- a/src/dunlinknot/cluster/allocation_store/record_cleaner.hpp
+++ b/src/dunlinknot/cluster/allocation_store/record_cleaner.hpp
@@ -13,22 +13,22 @@
 class RecordCleaner {
  public:
   explicit RecordCleaner(const StoreAccess& access) : access_(access) {}
-  void add(DeadRecord record) { dead_.push_back(std::move(record)); }
-  void clear() { dead_.clear(); }
+  void add(ObsoleteRecord record) { obsolete_.push_back(std::move(record)); }
+  void clear() { obsolete_.clear(); }
   // Deletes a batch. Returns whether there may be more to delete immediately.
   Task<bool> delete_some(uint64_t term);
 
  private:
   struct Batch {
-    std::vector<DeadRecord> records;
+    std::vector<ObsoleteRecord> records;
     kv::Transaction txn;
   };
-  void collect_dead();
+  void collect_obsolete();
   Batch next_batch(std::vector<kv::Compare> compares);
   Task<void> requeue(uint64_t term, Batch batch, kv::TransactionResult result);
 
   const StoreAccess& access_;
-  std::deque<DeadRecord> dead_;
+  std::deque<ObsoleteRecord> obsolete_;
 };
 
 }  // namespace dunlinknot::cluster
--- a/src/dunlinknot/cluster/allocation_store/state_loader.cpp
+++ b/src/dunlinknot/cluster/allocation_store/state_loader.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // The timeout is longer than for other reads, because a page is larger.
-constexpr auto kPageTime = std::chrono::seconds(3);
+constexpr auto kPageTimeout = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -18,13 +18,13 @@
                                                     Visit visit) const {
   LeaderContext& context = access_.context;
   std::optional<ListingStart> start;
-  kv::Pager pager(access_.store, std::move(prefix), kPageTime);
+  kv::Pager pager(access_.store, std::move(prefix), kPageTimeout);
   while (!pager.done()) {
     const Instant sent = context.loop.now();
     const kv::ListResult page = co_await pager.next();
     if (!context.in_term(term)) co_return std::nullopt;
     if (page.outcome != kv::Outcome::ok) {
-      co_await context.loop.sleep(StoreAccess::kRetry);
+      co_await context.loop.sleep(StoreAccess::kRetryDelay);
       if (!context.in_term(term)) co_return std::nullopt;
       continue;
     }
@@ -55,7 +55,7 @@
   if (!key) return;
   const bool open = access_.context.leader_state.with([&](LeaderState& leader) {
     if (!leader.cluster.job(key->first)) return false;
-    leader.cluster.load_done(key->first, key->second, item.value, item.mod_revision);
+    leader.cluster.load_progress(key->first, key->second, item.value, item.mod_revision);
     return true;
   });
   if (!open) cleaner_.add({item.key, item.mod_revision});
--- a/src/dunlinknot/cluster/allocation_store/store_access.cpp
+++ b/src/dunlinknot/cluster/allocation_store/store_access.cpp
@@ -7,32 +7,32 @@
 
 namespace {
 
-constexpr size_t kMostWrites = 16;  // per transaction, even if the key-value store allows more
+constexpr size_t kMaxWrites = 16;  // per transaction, even if the key-value store allows more
 // The share of the write burst that is reserved for users' requests.
-constexpr double kUserReserve = 0.2;
+constexpr double kUserReserveShare = 0.2;
 // A transaction waits for at most this share of the write burst.
-constexpr double kLargestShare = 0.25;
+constexpr double kMaxBurstShare = 0.25;
 // Writes that can be delayed are allowed if more than this share of the write burst is left.
-constexpr double kSlackLevel = 0.6;
-constexpr Millis kLeastPause{2};  // between checks of the write budget
+constexpr double kSlackShare = 0.6;
+constexpr Millis kMinPause{2};  // between checks of the write budget
 
 }  // namespace
 
 size_t StoreAccess::max_writes() const {
-  return std::min(store.limits().txn_ops(), kMostWrites);
+  return std::min(store.limits().txn_ops(), kMaxWrites);
 }
 
 bool StoreAccess::has_slack() const {
-  return store.available_writes() >= store.write_burst() * kSlackLevel;
+  return store.available_writes() >= store.write_burst() * kSlackShare;
 }
 
 // Without the reserve, the allocations of a large cluster would leave no write budget for
 // submissions at this node.
 Task<void> StoreAccess::await_budget(uint64_t term, double writes) const {
   const double burst = store.write_burst();
-  const double want = std::min(writes, burst * kLargestShare) + burst * kUserReserve;
+  const double want = std::min(writes, burst * kMaxBurstShare) + burst * kUserReserveShare;
   while (context.in_term(term) && store.available_writes() < want) {
-    co_await context.loop.sleep(std::max<Nanos>(store.time_until_writes(want), kLeastPause));
+    co_await context.loop.sleep(std::max<Nanos>(store.time_until_writes(want), kMinPause));
   }
 }
 
--- a/src/dunlinknot/cluster/allocation_store/store_access.hpp
+++ b/src/dunlinknot/cluster/allocation_store/store_access.hpp
@@ -32,8 +32,8 @@
 
 // References that outlive all components, and the limits that apply to all components.
 struct StoreAccess {
-  static constexpr Millis kCommitTime{1200};  // for one call to the key-value store
-  static constexpr Millis kRetry{120};        // after a call that was refused or got no response
+  static constexpr Millis kCallTimeout{1200};  // for one call to the key-value store
+  static constexpr Millis kRetryDelay{120};    // after a call that was refused or got no response
 
   LeaderContext& context;
   kv::Client& store;
--- a/src/dunlinknot/cluster/allocation_table.cpp
+++ b/src/dunlinknot/cluster/allocation_table.cpp
@@ -155,7 +155,8 @@
 // that the constraints do not allow in addition to it are ended before their tasks can start, and
 // are planned again. A gang is broken as a whole: none of its attempts may start until the orphan,
 // which is being stopped, has ended.
-Effects AllocationTable::make_way_for_orphan(const Job& job, const TaskRef& orphan, Instant now) {
+Effects AllocationTable::end_conflicts_with_orphan(const Job& job, const TaskRef& orphan,
+                                                   Instant now) {
   const std::string& id = job.spec().id;
   if (job.spec().gang) {
     Effects effects;
@@ -199,16 +200,16 @@
   const auto is_queued = [&](const Allocation& allocation) {
     return allocation.queued && allocation.task.job == id;
   };
-  Machine* most = nullptr;
+  Machine* busiest = nullptr;
   for (Machine* machine : holders(id)) {
     if (find_where(machine->allocations, is_queued) &&
-        (!most || machine->queued_tasks > most->queued_tasks))
-      most = machine;
+        (!busiest || machine->queued_tasks > busiest->queued_tasks))
+      busiest = machine;
   }
-  if (!most) return false;
-  for (size_t i = most->allocations.size(); i-- > 0;) {
-    if (!is_queued(most->allocations[i])) continue;
-    (void)end(*most, i, now);
+  if (!busiest) return false;
+  for (size_t i = busiest->allocations.size(); i-- > 0;) {
+    if (!is_queued(busiest->allocations[i])) continue;
+    (void)end(*busiest, i, now);
     return true;
   }
   return false;
@@ -231,7 +232,7 @@
     Job* open_job = job(allocation->task.job);
     if (!open_job || open_job->is_done(allocation->task.index) || now < open_job->not_before)
       continue;
-    Resources room = machine.free() - machine.held;
+    Resources room = machine.free() - machine.reserved;
     if (allocation->need.gpus <= 0 && machine.free().gpus > 0)
       room -= spare_per_gpu * machine.free().gpus;
     if (!allocation->need.fits_in(room)) continue;
--- a/src/dunlinknot/cluster/allocation_table.hpp
+++ b/src/dunlinknot/cluster/allocation_table.hpp
@@ -83,7 +83,7 @@
   }
   // Ends the unsent allocations of a job that its constraints do not allow in addition to an
   // orphan, that is, a task that is running without an allocation.
-  Effects make_way_for_orphan(const Job& job, const TaskRef& orphan, Instant now);
+  Effects end_conflicts_with_orphan(const Job& job, const TaskRef& orphan, Instant now);
   // Ends or stops all remaining allocations of one attempt of a gang.
   void break_gang(const std::string& job, uint64_t attempt, Instant now, Effects& effects);
 
--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -14,12 +14,12 @@
 namespace {
 
 // How long removed machines are remembered. This is far longer than a heartbeat can be in flight.
-constexpr auto kRememberRemoved = std::chrono::minutes(5);
+constexpr auto kRemovedMachineRetention = std::chrono::minutes(5);
 // 1/16 of the maximum record size is reserved for orphans.
-constexpr size_t kOrphanShare = 16;
+constexpr size_t kOrphanReserveDivisor = 16;
 
 // The smaller of the value size limits of the key-value store, the current and the next one.
-size_t smallest_value(const settings::Platform& platform) {
+size_t min_value_bytes(const settings::Platform& platform) {
   return kv::Limits(platform.store_limits, platform.next_store_limits).value_bytes();
 }
 
@@ -27,10 +27,10 @@
 
 Cluster::Cluster(const settings::Platform& platform, const settings::Operator& operator_settings)
     : platform_(platform),
-      former_leader_window_(leadership::former_leader_renewal_window(platform)),
+      former_leader_renewal_window_(leadership::former_leader_renewal_window(platform)),
       lease_(leadership::worker_lease_bound(platform)),
-      storable_in_chunk_(wire::storable_chunk_tasks(smallest_value(platform))),
-      record_limit_(smallest_value(platform) - smallest_value(platform) / kOrphanShare),
+      storable_in_chunk_(wire::storable_chunk_tasks(min_value_bytes(platform))),
+      record_limit_(min_value_bytes(platform) - min_value_bytes(platform) / kOrphanReserveDivisor),
       allocations_(platform),
       forecasts_(platform),
       replica_backoff_(operator_settings),
@@ -39,8 +39,8 @@
       worker_commands_(allocations_),
       interruptions_(platform, allocations_) {}
 
-// The catalog, `work_waits_` of the last scheduling cycle and the count of refused allocations are
-// kept across terms.
+// The catalog, `has_pending_work_` of the last scheduling cycle and the count of refused
+// allocations are kept across terms.
 void Cluster::begin_term(uint64_t epoch, Instant now) {
   epoch_ = epoch;
   attempts_ = 0;
@@ -51,9 +51,9 @@
   replica_backoff_.clear();
   terminating_.clear();
   removed_.clear();
-  dead_records_.clear();
+  obsolete_records_.clear();
   runnable_.clear();
-  held_machines_.clear();
+  reserved_machines_.clear();
 }
 
 uint64_t Cluster::next_attempt() {
@@ -81,8 +81,8 @@
   allocations_.count_earlier_allocations(*loaded);
 }
 
-void Cluster::load_done(const std::string& id, uint32_t chunk, wire::View value,
-                        uint64_t mod_revision) {
+void Cluster::load_progress(const std::string& id, uint32_t chunk, wire::View value,
+                            uint64_t mod_revision) {
   Job* open_job = job(id);
   if (!open_job) return;
   std::vector<bool> bits(open_job->spec().tasks);
@@ -123,7 +123,7 @@
   const auto it = jobs.find(id);
   if (it == jobs.end()) return effects;
   for (const auto& [chunk, mod_revision] : it->second->chunk_mod_revisions)
-    dead_records_.push_back({wire::done_key(id, chunk), mod_revision});
+    obsolete_records_.push_back({wire::done_key(id, chunk), mod_revision});
   jobs.erase(it);
   effects.schedule = true;
   // Safety 3: no task of a closed job starts, and all tasks of a cancelled job are stopped on all
@@ -193,12 +193,13 @@
   Machine& machine = *it->second;
   effects |= allocations_.end_all(machine, now);
   if (machine.mod_revision != 0 || !machine.mod_revision_known)
-    dead_records_.push_back({wire::machine_key(id), machine.mod_revision});
+    obsolete_records_.push_back({wire::machine_key(id), machine.mod_revision});
   // Prevents `set_reserved` from writing to a destroyed machine.
-  std::erase(held_machines_, &machine);
+  std::erase(reserved_machines_, &machine);
   machines().erase(it);
-  std::erase_if(removed_,
-                [&](const auto& removed) { return now - removed.second > kRememberRemoved; });
+  std::erase_if(removed_, [&](const auto& removed) {
+    return now - removed.second > kRemovedMachineRetention;
+  });
   removed_[id] = now;
   effects.schedule = true;
   return effects;
@@ -208,15 +209,16 @@
   return FailureDetector::unreachable(machines());
 }
 
-Instant Cluster::lease_counted_from(const Machine& machine) const {
+Instant Cluster::latest_possible_renewal(const Machine& machine) const {
   // Safety 1, no task runs twice: the former leader may still renew the lease of a worker that has
   // not yet sent our fencing token, until its renewal window ends.
-  return machine.fenced ? machine.last_answered
-                        : std::max(machine.last_answered, term_since_ + former_leader_window_);
+  return machine.fenced
+             ? machine.last_response
+             : std::max(machine.last_response, term_since_ + former_leader_renewal_window_);
 }
 
 Instant Cluster::lease_expiry(const Machine& machine) const {
-  return lease_counted_from(machine) + lease_;
+  return latest_possible_renewal(machine) + lease_;
 }
 
 Effects Cluster::expire_leases(Instant now) {
--- a/src/dunlinknot/cluster/cluster.hpp
+++ b/src/dunlinknot/cluster/cluster.hpp
@@ -27,7 +27,7 @@
 
 // An obsolete record in the key-value store. It is deleted only if its mod revision has not
 // changed.
-struct DeadRecord {
+struct ObsoleteRecord {
   std::string key;
   uint64_t mod_revision = 0;
 };
@@ -50,7 +50,8 @@
   void begin_term(uint64_t epoch, Instant now);
   // Also called for each job submitted later. For a known job, only updates its mod revision.
   void load_job(wire::JobRecord record, uint64_t mod_revision, Instant now);
-  void load_done(const std::string& job, uint32_t chunk, wire::View value, uint64_t mod_revision);
+  void load_progress(const std::string& job, uint32_t chunk, wire::View value,
+                     uint64_t mod_revision);
   void load_machine(const std::string& id, const wire::MachineRecord& record, uint64_t mod_revision,
                     Instant now);
   uint64_t epoch() const { return epoch_; }
@@ -118,7 +119,7 @@
   // Ids of the machines for which a `run` became sendable since the last call.
   std::vector<std::string> drain_runnable() { return std::exchange(runnable_, {}); }
   // Whether the last scheduling cycle left pending tasks.
-  void set_has_pending_work(bool waits) { work_waits_ = waits; }
+  void set_has_pending_work(bool pending) { has_pending_work_ = pending; }
   std::vector<StopCall> drain_stop_calls();
 
   // --- Decisions (scheduler, preemption)
@@ -175,13 +176,15 @@
   void machine_stored(Machine& machine, const wire::MachineRecord& as_written,
                       uint64_t mod_revision, Effects& effects);
   // Obsolete records of removed machines and closed jobs, to be deleted.
-  std::vector<DeadRecord> drain_dead_records() { return std::exchange(dead_records_, {}); }
+  std::vector<ObsoleteRecord> drain_obsolete_records() {
+    return std::exchange(obsolete_records_, {});
+  }
 
  private:
   // Index of the team in `teams()`, or -1 if there is no such team.
   int team_index(std::string_view name) const;
   void apply_catalog(Machine& machine) const;
-  Instant lease_counted_from(const Machine& machine) const;
+  Instant latest_possible_renewal(const Machine& machine) const;
 
   bool may_allocate(const Machine& machine, Job& job, uint32_t index);
   Allocation* add_allocation(Machine& machine, const Job& job, Allocation allocation);
@@ -190,7 +193,7 @@
   uint32_t count_durable(const std::string& job, uint64_t attempt) const;
 
   const settings::Platform& platform_;
-  const Nanos former_leader_window_;  // how long a former leader may still renew leases
+  const Nanos former_leader_renewal_window_;  // how long a former leader may still renew leases
   const Nanos lease_;
   const uint32_t storable_in_chunk_;
   const size_t record_limit_;
@@ -212,10 +215,10 @@
   // Ids of machines to be returned, including those that a former leader decided to return.
   std::set<std::string> terminating_;
   std::map<std::string, Instant> removed_;  // ids of recently removed machines, and when
-  std::vector<DeadRecord> dead_records_;
-  std::vector<std::string> runnable_;    // ids
-  std::vector<Machine*> held_machines_;  // machines with reserved resources
-  bool work_waits_ = false;
+  std::vector<ObsoleteRecord> obsolete_records_;
+  std::vector<std::string> runnable_;        // ids
+  std::vector<Machine*> reserved_machines_;  // machines with reserved resources
+  bool has_pending_work_ = false;
   uint64_t refused_allocations_ = 0;
 };
 
--- a/src/dunlinknot/cluster/decisions.cpp
+++ b/src/dunlinknot/cluster/decisions.cpp
@@ -60,13 +60,13 @@
 
 void Cluster::set_reserved(const std::map<std::string, Resources>& by_machine,
                            std::vector<Resources> by_team) {
-  for (Machine* machine : held_machines_) machine->held = Resources{};
-  held_machines_.clear();
+  for (Machine* machine : reserved_machines_) machine->reserved = Resources{};
+  reserved_machines_.clear();
   for (const auto& [id, room] : by_machine) {
     Machine* machine = find_machine(id);
     if (!machine) continue;
-    machine->held = room;
-    held_machines_.push_back(machine);
+    machine->reserved = room;
+    reserved_machines_.push_back(machine);
   }
   allocations_.usage().reserve(std::move(by_team));
 }
@@ -88,7 +88,7 @@
   const Job* open_job = job(task.job);
   const bool saves = open_job && open_job->spec().checkpoint > Seconds(0);
   stop(machine, *allocation, StopReason::preempted,
-       saves ? open_job->spec().save + kStopGraceSlack : Seconds(0), now);
+       saves ? open_job->spec().save + kStopGraceMargin : Seconds(0), now);
   effects.stops = true;
   return effects;
 }
--- a/src/dunlinknot/cluster/demand_forecasts.cpp
+++ b/src/dunlinknot/cluster/demand_forecasts.cpp
@@ -8,25 +8,25 @@
 
 namespace {
 
-constexpr Millis kRecent = std::chrono::minutes(4);  // older submissions are dropped
+constexpr Millis kForecastWindow = std::chrono::minutes(4);  // older submissions are dropped
 // The weights of a decaying maximum and of each new value. Their sum is one.
-constexpr double kWeightOfMaximum = 0.95;
-constexpr double kWeightOfValue = 0.05;
+constexpr double kMaximumWeight = 0.95;
+constexpr double kNewValueWeight = 0.05;
 
 // Lets the influence of old, large values decay.
 void update_decaying_maximum(double& maximum, double value) {
-  maximum = std::max(value, maximum * kWeightOfMaximum + value * kWeightOfValue);
+  maximum = std::max(value, maximum * kMaximumWeight + value * kNewValueWeight);
 }
 
 // The shortest waiting time that any objective sets for the class.
-std::optional<Seconds> shortest_wait(const settings::Platform& platform,
-                                     const std::string& job_class) {
-  std::optional<Seconds> within;
+std::optional<Seconds> min_target_wait(const settings::Platform& platform,
+                                       const std::string& job_class) {
+  std::optional<Seconds> target_wait;
   for (const settings::Objective& objective : platform.objectives) {
     if (objective.kind != "wait" || objective.job_class != job_class) continue;
-    within = within ? std::min(*within, objective.within) : objective.within;
+    target_wait = target_wait ? std::min(*target_wait, objective.within) : objective.within;
   }
-  return within;
+  return target_wait;
 }
 
 }  // namespace
@@ -39,14 +39,14 @@
 
 void DemandForecasts::add(const JobSpec& spec, WallTime submitted) {
   add_resources_per_gpu(spec.need);
-  const std::optional<Seconds> within = shortest_wait(platform_, spec.job_class);
-  if (!within) return;
+  const std::optional<Seconds> target_wait = min_target_wait(platform_, spec.job_class);
+  if (!target_wait) return;
   DemandForecast& forecast = by_class_[spec.job_class];
   forecast.sample = spec;
-  forecast.target_wait = *within;
+  forecast.target_wait = *target_wait;
   forecast.images[spec.image] = submitted;
   forecast.arrivals.push_back({submitted, spec.tasks});
-  const WallTime oldest = submitted - kRecent;
+  const WallTime oldest = submitted - kForecastWindow;
   std::erase_if(forecast.arrivals,
                 [&](const DemandArrival& arrival) { return arrival.submitted < oldest; });
   std::erase_if(forecast.images, [&](const auto& image) { return image.second < oldest; });
--- a/src/dunlinknot/cluster/failure_detector.cpp
+++ b/src/dunlinknot/cluster/failure_detector.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr size_t kMaxFailedOn = 32;      // machine ids stored per job; bounds memory
-constexpr uint32_t kSuspicions = 3;      // lost responses until a machine is unreachable
-constexpr size_t kFewUnreachable = 2;    // lower bound of the limit, for small clusters
-constexpr size_t kUnreachableShare = 8;  // the limit is 1/8 of the machines with a lease
+constexpr size_t kMaxFailedMachinesPerJob = 32;  // machine ids stored per job; bounds memory
+constexpr uint32_t kSuspicionThreshold = 3;      // lost responses until a machine is unreachable
+constexpr size_t kMinUnreachableLimit = 2;       // lower bound of the limit, for small clusters
+constexpr size_t kUnreachableDivisor = 8;        // the limit is 1/8 of the machines with a lease
 
 }  // namespace
 
-void FailureDetector::on_run_obeyed(Machine& machine) const {
+void FailureDetector::on_run_executed(Machine& machine) const {
   machine.lost_responses.suspicions = 0;
   machine.unreachable = false;
 }
@@ -28,7 +28,7 @@
     machine.lost_responses.first = now;
   }
   machine.lost_responses.last = now;
-  if (++machine.lost_responses.suspicions < kSuspicions ||
+  if (++machine.lost_responses.suspicions < kSuspicionThreshold ||
       now - machine.lost_responses.first < lease_ / 3 || machine.unreachable)
     return;
   machine.unreachable = true;
@@ -58,7 +58,7 @@
     ++reporting;
     if (machine->unreachable) found.push_back(id);
   }
-  if (found.size() > std::max(kFewUnreachable, reporting / kUnreachableShare)) found.clear();
+  if (found.size() > std::max(kMinUnreachableLimit, reporting / kUnreachableDivisor)) found.clear();
   return found;
 }
 
@@ -70,16 +70,17 @@
 // fails on every machine backs off.
 void FailureDetector::on_task_error(Machine& machine, Job* job, const JobTable& jobs,
                                     Instant now) const {
-  ++machine.task_errors.streak;
+  ++machine.task_errors.consecutive;
   if (!job) return;
-  if (job->failed_on.size() < kMaxFailedOn) job->failed_on.insert(machine.id);
+  if (job->failed_on.size() < kMaxFailedMachinesPerJob) job->failed_on.insert(machine.id);
   machine.task_errors.jobs.insert(job->spec().id);
   back_off_if_failing(*job, now);
   drain_if_faulty(machine, *job, jobs);
 }
 
 void FailureDetector::back_off_if_failing(Job& job, Instant now) const {
-  if (job.failed_on.size() < op_.failing_machines || job.done_count() > 0 || job.proven) return;
+  if (job.failed_on.size() < op_.failing_machines || job.done_count() > 0 || job.has_stable_replica)
+    return;
   if (!job.failing)
     spdlog::info("job {} fails on every machine: delaying its next start", job.spec().id);
   job.failing = true;
@@ -93,20 +94,20 @@
 void FailureDetector::drain_if_faulty(Machine& machine, const Job& job,
                                       const JobTable& jobs) const {
   if (machine.draining) return;
-  size_t blamed = 0;
+  size_t attributed_jobs = 0;
   for (const std::string& id : machine.task_errors.jobs) {
     const auto it = jobs.find(id);
-    if (it == jobs.end() || !it->second->failing) ++blamed;
+    if (it == jobs.end() || !it->second->failing) ++attributed_jobs;
   }
-  const bool completed_elsewhere = job.done_count() > 0 || job.proven;
-  if (machine.task_errors.streak < op_.faults_to_drain) return;
-  if (blamed < 2 && !(blamed == 1 && completed_elsewhere)) return;
+  const bool completed_elsewhere = job.done_count() > 0 || job.has_stable_replica;
+  if (machine.task_errors.consecutive < op_.faults_to_drain) return;
+  if (attributed_jobs < 2 && !(attributed_jobs == 1 && completed_elsewhere)) return;
   machine.draining = true;
   machine.drain_reason = "fails the tasks that it starts";
   spdlog::info(
       "machine {} drained: {} consecutive task errors, of {} jobs that do not fail on every "
       "machine",
-      machine.id, machine.task_errors.streak, blamed);
+      machine.id, machine.task_errors.consecutive, attributed_jobs);
 }
 
 }  // namespace dunlinknot::cluster
--- a/src/dunlinknot/cluster/failure_detector.hpp
+++ b/src/dunlinknot/cluster/failure_detector.hpp
@@ -23,7 +23,7 @@
   // them. For each complete heartbeat exactly one of these functions is called.
 
   // The heartbeat reports a task that only a response of this leader can have started.
-  void on_run_obeyed(Machine& machine) const;
+  void on_run_executed(Machine& machine) const;
   // The heartbeat shows that a response was lost: a task for which `run` was sent is missing, or
   // the lease expired although it was renewed in time.
   void on_response_lost(Machine& machine, Instant now) const;
--- a/src/dunlinknot/cluster/heartbeat_reconciler.cpp
+++ b/src/dunlinknot/cluster/heartbeat_reconciler.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-constexpr Seconds kProvenRun{30};      // a replica that ran this long did not fail at its start
+constexpr Seconds kStableRunTime{30};  // a replica that ran this long did not fail at its start
 constexpr Millis kRefusalPause{1000};  // before the next task of a refused job starts
 
-bool ran_for(const Allocation& allocation, Seconds least, Instant now) {
+bool ran_for(const Allocation& allocation, Seconds min_duration, Instant now) {
   return allocation.running_since != Instant{} &&
-         to_seconds(now - allocation.running_since) >= least;
+         to_seconds(now - allocation.running_since) >= min_duration;
 }
 
 }  // namespace
@@ -34,8 +34,8 @@
   // The lease of the previous incarnation expired although we responded in time: either our
   // responses do not reach the worker, or it was restarted.
   bool response_lost = status.complete && new_incarnation && machine.fenced &&
-                       now - machine.last_answered < lease_ / 2;
-  bool run_obeyed = false;
+                       now - machine.last_response < lease_ / 2;
+  bool run_executed = false;
   apply_machine_state(machine, status, effects);
   if (new_incarnation) {
     effects.schedule = true;
@@ -45,12 +45,12 @@
     if (task.state == TaskState::exited) {
       effects |= apply_exit(machine, task, now);
     } else {
-      run_obeyed |= apply_task(machine, task, now, effects);
+      run_executed |= apply_task(machine, task, now, effects);
     }
   }
   if (status.complete) response_lost |= end_unlisted(machine, status, effects);
-  if (run_obeyed) {
-    failure_detector_.on_run_obeyed(machine);
+  if (run_executed) {
+    failure_detector_.on_run_executed(machine);
   } else if (response_lost) {
     failure_detector_.on_response_lost(machine, now);
   } else if (status.complete) {
@@ -141,13 +141,13 @@
   }
   if (!job && !allocation->stopping())
     allocations_.stop(machine, *allocation, StopReason::cancelled, Seconds(0), now);
-  const bool run_obeyed = allocation->phase == AllocationPhase::sent;
+  const bool run_executed = allocation->phase == AllocationPhase::sent;
   allocation->phase = AllocationPhase::seen;
   if (allocation->service && task.state == TaskState::running)
     note_replica_running(machine, *allocation, job, now);
   if (task.state != allocation->state)
     apply_state_change(machine, *allocation, job, task.state, now);
-  return run_obeyed;
+  return run_executed;
 }
 
 void HeartbeatReconciler::apply_state_change(const Machine& machine, Allocation& allocation,
@@ -169,10 +169,10 @@
 // attributed to the machines.
 void HeartbeatReconciler::note_replica_running(const Machine& machine, const Allocation& allocation,
                                                Job* job, Instant now) const {
-  if (!job || job->proven || !ran_for(allocation, kProvenRun, now)) return;
+  if (!job || job->has_stable_replica || !ran_for(allocation, kStableRunTime, now)) return;
   spdlog::debug("service {}: a replica on machine {} has been running without failing at its start",
                 allocation.task.job, machine.id);
-  job->proven = true;
+  job->has_stable_replica = true;
   job->clear_failing();
 }
 
@@ -192,7 +192,7 @@
   Allocation& added = allocations_.add(machine, std::move(orphan));
   write_queue_.mark_dirty(machine, false);
   if (!stays) allocations_.stop(machine, added, StopReason::orphan, Seconds(0), now);
-  if (job) effects |= allocations_.make_way_for_orphan(*job, task.task, now);
+  if (job) effects |= allocations_.end_conflicts_with_orphan(*job, task.task, now);
   // Ending conflicting allocations may have moved it.
   return *machine.find(task.task, task.attempt);
 }
@@ -240,7 +240,7 @@
   Allocation* allocation = machine.find(task.task, task.attempt);
   if (!allocation) return effects;
   if (error) failure_detector_.on_task_error(machine, job, allocations_.jobs(), now);
-  const bool soon = !ran_for(*allocation, kProvenRun, now);
+  const bool soon = !ran_for(*allocation, kStableRunTime, now);
   if (task.cause == ExitCause::no_room || task.cause == ExitCause::busy ||
       task.cause == ExitCause::unknown)
     note_refusal(machine, task, job, now);
--- a/src/dunlinknot/cluster/heartbeats.cpp
+++ b/src/dunlinknot/cluster/heartbeats.cpp
@@ -74,8 +74,8 @@
   effects |= changed;
   if (!may_start || machine.draining || machine.terminating) return response;
   allocations_.start_queued(machine, resources_per_gpu(), now);
-  response.run_likely =
-      worker_commands_.is_run_likely(machine, work_waits_ && (changed.schedule || !was_fenced));
+  response.run_likely = worker_commands_.is_run_likely(
+      machine, has_pending_work_ && (changed.schedule || !was_fenced));
   return response;
 }
 
@@ -87,7 +87,7 @@
     return response_of(HeartbeatResponse::Kind::stale);
   HeartbeatResponse response;
   response.commands = worker_commands_.take(*machine, heartbeat, may_start);
-  machine->last_answered = now;
+  machine->last_response = now;
   return response;
 }
 
--- a/src/dunlinknot/cluster/interruptions.cpp
+++ b/src/dunlinknot/cluster/interruptions.cpp
@@ -7,15 +7,16 @@
 
 // Saving starts earlier by this margin, which allows for the delivery of the stop and the report of
 // the saved checkpoint.
-constexpr Seconds kSaveSlack{4};
+constexpr Seconds kSaveMargin{4};
 
 }  // namespace
 
 // Whether a `run` would not reach the machine or must not be sent to it.
 bool Interruptions::gets_no_run(const Machine& machine, Instant now) const {
-  const Nanos silent = to_nanos(platform_.heartbeat_interval * 2 + Seconds(1));
+  const Nanos max_heartbeat_age = to_nanos(platform_.heartbeat_interval * 2 + Seconds(1));
   return machine.interruption_at || machine.draining || machine.terminating ||
-         machine.unreachable || (machine.has_heartbeat && now - machine.last_heartbeat >= silent);
+         machine.unreachable ||
+         (machine.has_heartbeat && now - machine.last_heartbeat >= max_heartbeat_age);
 }
 
 Effects Interruptions::tick(Machine& machine, Instant now) const {
@@ -58,14 +59,15 @@
     const Job* open_job = allocations_.job(allocation.task.job);
     if (!open_job || allocation.stopping() || open_job->spec().checkpoint <= Seconds(0)) continue;
     const Seconds save = open_job->spec().save;
-    if (left > save + kSaveSlack) continue;
+    if (left > save + kSaveMargin) continue;
     if (allocation.gang) {
       // A gang saves a checkpoint as a whole or not at all: all its tasks are stopped at the same
       // time, well within `gang_peer` of one another.
       allocations_.stop_gang(allocation.task.job, allocation.attempt, save + platform_.gang_peer,
                              now);
     } else {
-      allocations_.stop(machine, allocation, StopReason::interruption, save + kStopGraceSlack, now);
+      allocations_.stop(machine, allocation, StopReason::interruption, save + kStopGraceMargin,
+                        now);
     }
   }
 }
--- a/src/dunlinknot/cluster/job.cpp
+++ b/src/dunlinknot/cluster/job.cpp
@@ -28,8 +28,8 @@
     requeued_.pop_back();
     if (is_pending(index)) return index;
   }
-  while (next_fresh_ < spec_.tasks) {
-    const uint32_t index = next_fresh_++;
+  while (next_unpopped_ < spec_.tasks) {
+    const uint32_t index = next_unpopped_++;
     if (is_pending(index)) return index;
   }
   return std::nullopt;
@@ -60,7 +60,7 @@
   live_.erase(it);
   if (!done_[index]) {
     --unfinished_live_;
-    if (index < next_fresh_) requeued_.push_back(index);
+    if (index < next_unpopped_) requeued_.push_back(index);
   }
 }
 
@@ -69,18 +69,18 @@
 }
 
 bool Job::release_backed_off(Instant now) {
-  const size_t released = std::erase_if(backed_off_until_, [&](const auto& held) {
-    const auto& [index, until] = held;
+  const size_t released = std::erase_if(backed_off_until_, [&](const auto& entry) {
+    const auto& [index, until] = entry;
     if (now < until) return false;
-    if (index < next_fresh_) requeued_.push_back(index);
+    if (index < next_unpopped_) requeued_.push_back(index);
     return true;
   });
   return released > 0;
 }
 
 uint32_t Job::note_replica_end(uint32_t index, bool soon) {
-  if (soon) return ++quick_ends_[index];
-  quick_ends_.erase(index);
+  if (soon) return ++early_exits_[index];
+  early_exits_.erase(index);
   return 0;
 }
 
--- a/src/dunlinknot/cluster/job.hpp
+++ b/src/dunlinknot/cluster/job.hpp
@@ -87,7 +87,7 @@
   Nanos backoff{0};                 // the latest delay, if the job is failing
   Instant not_before{};             // no task may start before this time
   // Whether a replica of the service ran long enough not to have failed at its start.
-  bool proven = false;
+  bool has_stable_replica = false;
   // The job made progress, which shows that its tasks can succeed.
   void clear_failing() {
     failing = false;
@@ -118,13 +118,13 @@
   std::vector<bool> durable_;
   uint32_t done_count_ = 0;
   uint32_t unfinished_live_ = 0;                 // tasks that are live and not done
-  uint32_t next_fresh_ = 0;                      // tasks from this index on were never popped
+  uint32_t next_unpopped_ = 0;                   // tasks from this index on were never popped
   std::vector<uint32_t> requeued_;               // candidates; may have become live or done since
   std::unordered_map<uint32_t, uint32_t> live_;  // task -> number of allocations
   std::set<uint32_t> dirty_chunks_;
   uint32_t storable_in_chunk_;
   std::map<uint32_t, Instant> backed_off_until_;  // task -> end of its delay
-  std::map<uint32_t, uint32_t> quick_ends_;       // replica -> consecutive early exits
+  std::map<uint32_t, uint32_t> early_exits_;      // replica -> consecutive early exits
 };
 
 // By id. The order is part of the behaviour: decisions that iterate over all jobs are made in this
--- a/src/dunlinknot/cluster/machine.hpp
+++ b/src/dunlinknot/cluster/machine.hpp
@@ -38,7 +38,7 @@
 // Errors of tasks on a machine since the last task that completed there. Updated by
 // FailureDetector.
 struct TaskErrors {
-  uint32_t streak = 0;
+  uint32_t consecutive = 0;
   std::set<std::string> jobs;
 };
 
@@ -64,7 +64,7 @@
   // Its lease expired without a heartbeat. It is usable again only with a later incarnation.
   bool lost = false;
   Instant last_heartbeat{};
-  Instant last_answered{};
+  Instant last_response{};
   Instant incarnation_since{};  // when the current incarnation was first reported
   // Of the last heartbeat. `incarnation` and `sequence` may be newer, from the response to a
   // direct call.
@@ -91,7 +91,7 @@
   // --- resources and cached images
   std::vector<Allocation> allocations;
   Resources used;                   // by the allocations that are not queued
-  Resources held;                   // for nominations and headroom; not available to queued tasks
+  Resources reserved;               // for nominations and headroom; not available to queued tasks
   uint32_t queued_tasks = 0;        // allocations that are queued
   Instant idle_since{};             // when its last allocation ended
   std::vector<CachedImage> images;  // most recently used last; estimated from the placed tasks
@@ -103,7 +103,7 @@
   bool write_queued = false;       // is in the ordinary queue of RecordWriteQueue
   bool urgent = false;             // is in its urgent queue, which is served first
   bool shrunk = false;             // allocations ended since; rewritten at low priority
-  bool storing = false;            // a write of the record is in flight
+  bool write_in_flight = false;    // a write of the record is in flight
   std::vector<StoredAllocation> stored;
 
   Resources free() const { return size - used; }
--- a/src/dunlinknot/cluster/machine_record.cpp
+++ b/src/dunlinknot/cluster/machine_record.cpp
@@ -41,9 +41,9 @@
 }
 
 RecordCost machine_record_cost(const Job& job, uint64_t epoch) {
-  constexpr uint64_t kMostAttempts = (uint64_t{1} << kAttemptEpochShift) - 1;
+  constexpr uint64_t kMaxAttempt = (uint64_t{1} << kAttemptEpochShift) - 1;
   return {job.record_group_size(),
-          wire::machine_task_size(job.spec().tasks, epoch << kAttemptEpochShift | kMostAttempts)};
+          wire::machine_task_size(job.spec().tasks, epoch << kAttemptEpochShift | kMaxAttempt)};
 }
 
 }  // namespace dunlinknot::cluster
--- a/src/dunlinknot/cluster/placement_constraints.cpp
+++ b/src/dunlinknot/cluster/placement_constraints.cpp
@@ -42,9 +42,9 @@
   const bool any_elsewhere = tasks_by_zone_.size() > (any_here ? 1 : 0);
   if (spec_->one_zone && any_elsewhere) return 0;
   if (!spec_->spread) return std::numeric_limits<uint32_t>::max();
-  const uint32_t most = max_tasks_per_zone(*spec_);
+  const uint32_t max_tasks = max_tasks_per_zone(*spec_);
   const uint32_t used = any_here ? here->second : 0;
-  return used < most ? most - used : 0;
+  return used < max_tasks ? max_tasks - used : 0;
 }
 
 }  // namespace dunlinknot::cluster
--- a/src/dunlinknot/cluster/replica_backoff.cpp
+++ b/src/dunlinknot/cluster/replica_backoff.cpp
@@ -10,16 +10,15 @@
 namespace {
 
 // The number of early exits in a row after which a replica restarts without a delay.
-constexpr uint32_t kFreeRetries = 1;
-// Keeps the shift in range; `backoff_most` limits the delay.
-constexpr uint32_t kMostDoublings = 16;
+constexpr uint32_t kImmediateRestarts = 1;
+constexpr uint32_t kMaxDoublings = 16;  // keeps the shift in range; `backoff_most` limits the delay
 
 }  // namespace
 
 void ReplicaBackoff::on_replica_end(Job& job, uint32_t index, bool soon, Instant now) {
   const uint32_t ends = job.note_replica_end(index, soon);
-  if (ends <= kFreeRetries) return;
-  const uint32_t doublings = std::min(ends - kFreeRetries - 1, kMostDoublings);
+  if (ends <= kImmediateRestarts) return;
+  const uint32_t doublings = std::min(ends - kImmediateRestarts - 1, kMaxDoublings);
   const Nanos pause =
       std::min(to_nanos(op_.backoff_first) * (1 << doublings), to_nanos(op_.backoff_most));
   job.back_off(index, now + pause);
--- a/src/dunlinknot/cluster/team_usage.cpp
+++ b/src/dunlinknot/cluster/team_usage.cpp
@@ -21,8 +21,8 @@
   const auto index = static_cast<size_t>(team);
   Resources used = usage_[index].used + need;
   if (index < reserved_.size()) used += reserved_[index];
-  const auto over = [](double most, double in_use, double needed) {
-    return most > 0 && needed > 0 && in_use > most + Resources::kSlack;
+  const auto over = [](double max, double in_use, double needed) {
+    return max > 0 && needed > 0 && in_use > max + Resources::kSlack;
   };
   const settings::Team& limit = teams_[index];
   return !over(limit.cpus_max, used.cpus, need.cpus) && !over(limit.gpus_max, used.gpus, need.gpus);
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -109,7 +109,7 @@
   EXPECT_FALSE(machine.unreachable) << "too soon after the first";
   detector.on_response_lost(machine, kNow + seconds(10));
   EXPECT_EQ(FailureDetector::unreachable(machines), std::vector<std::string>{"vm-1"});
-  detector.on_run_obeyed(machine);
+  detector.on_run_executed(machine);
   EXPECT_TRUE(FailureDetector::unreachable(machines).empty());
 }
 
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -19,18 +19,18 @@
     box.size = {8, 0, 32};
     box.cache_gb = 50;
     box.zones = {"a", "b"};
-    c.begin_term(5, now);
-    c.set_catalog({box});
+    cluster_state.begin_term(5, now);
+    cluster_state.set_catalog({box});
   }
 
   Job& add(JobSpec spec) {
     const std::string id = spec.id;
-    c.load_job({std::move(spec), WallTime(Millis(1))}, 10, now);
-    return *c.job(id);
+    cluster_state.load_job({std::move(spec), WallTime(Millis(1))}, 10, now);
+    return *cluster_state.job(id);
   }
-  Heartbeat heartbeat(const std::string& vm = "vm-1") {
+  Heartbeat heartbeat(const std::string& machine_id = "vm-1") {
     Heartbeat heartbeat;
-    heartbeat.machine = vm;
+    heartbeat.machine = machine_id;
     heartbeat.address = "10.0.0.1:9000";
     heartbeat.type = "box";
     heartbeat.zone = "a";
@@ -41,27 +41,28 @@
   }
   std::vector<Command> send(const Heartbeat& heartbeat, bool may_start = true) {
     effects = Effects{};
-    return c.handle_heartbeat(heartbeat, now, may_start, effects).commands;
+    return cluster_state.handle_heartbeat(heartbeat, now, may_start, effects).commands;
   }
-  TaskStatus on(const Allocation& allocation, TaskState s = TaskState::running,
+  TaskStatus on(const Allocation& allocation, TaskState state = TaskState::running,
                 ExitCause cause = ExitCause::none) {
-    return {allocation.task, allocation.attempt, s, cause, false};
+    return {allocation.task, allocation.attempt, state, cause, false};
   }
   // Allocates one task of the job on vm-1 and makes it durable.
-  Allocation& durable(Job& job, const std::string& vm = "vm-1") {
-    Machine& machine = *c.find_machine(vm);
-    c.allocate(machine, job, *job.pop_pending(), c.next_attempt(), now);
+  Allocation& durable(Job& job, const std::string& machine_id = "vm-1") {
+    Machine& machine = *cluster_state.find_machine(machine_id);
+    cluster_state.allocate(machine, job, *job.pop_pending(), cluster_state.next_attempt(), now);
     Effects ignored;
-    c.machine_stored(machine, c.record_of(machine), ++mod_revision, ignored);
+    cluster_state.machine_stored(machine, cluster_state.record_of(machine), ++mod_revision,
+                                 ignored);
     return machine.allocations.back();
   }
-  size_t allocated(const std::string& vm = "vm-1") {
-    return c.find_machine(vm)->allocations.size();
+  size_t allocated(const std::string& machine_id = "vm-1") {
+    return cluster_state.find_machine(machine_id)->allocations.size();
   }
 
   settings::Platform platform = test::Site::platform(0, 1);
   settings::Operator op;
-  Cluster c{platform, op};
+  Cluster cluster_state{platform, op};
   Instant now{seconds(100)};
   uint64_t incarnation = 1, sequence = 0, fencing_token = 5, mod_revision = 20;
   Effects effects;
@@ -70,11 +71,12 @@
 TEST_F(ClusterTest, ARunGoesOutOnlyOnceItsAllocationIsDurable) {
   Job& open_job = add(job("run-000001", 2));
   send(heartbeat());
-  Machine& machine = *c.find_machine("vm-1");
-  c.allocate(machine, open_job, *open_job.pop_pending(), c.next_attempt(), now);
+  Machine& machine = *cluster_state.find_machine("vm-1");
+  cluster_state.allocate(machine, open_job, *open_job.pop_pending(), cluster_state.next_attempt(),
+                         now);
   EXPECT_TRUE(send(heartbeat()).empty());
   Effects ignored;
-  c.machine_stored(machine, c.record_of(machine), 21, ignored);
+  cluster_state.machine_stored(machine, cluster_state.record_of(machine), 21, ignored);
   EXPECT_TRUE(send(heartbeat(), false).empty()) << "without the key-value store nothing starts";
   const auto commands = send(heartbeat());
   ASSERT_EQ(commands.size(), 1u);
@@ -86,30 +88,32 @@
   Job& open_job = add(job("run-000001", 8));
   Heartbeat first = heartbeat();
   first.fencing_token = 4;
-  EXPECT_FALSE(c.apply_heartbeat(first, now, true, effects).run_likely)
+  EXPECT_FALSE(cluster_state.apply_heartbeat(first, now, true, effects).run_likely)
       << "does not bear our fencing token";
-  EXPECT_FALSE(c.apply_heartbeat(heartbeat(), now, true, effects).run_likely)
+  EXPECT_FALSE(cluster_state.apply_heartbeat(heartbeat(), now, true, effects).run_likely)
       << "nothing waits for a place";
-  c.set_has_pending_work(true);
-  EXPECT_FALSE(c.apply_heartbeat(heartbeat(), now, true, effects).run_likely)
+  cluster_state.set_has_pending_work(true);
+  EXPECT_FALSE(cluster_state.apply_heartbeat(heartbeat(), now, true, effects).run_likely)
       << "nothing changed there";
-  Machine& machine = *c.find_machine("vm-1");
-  c.allocate(machine, open_job, *open_job.pop_pending(), c.next_attempt(), now);
+  Machine& machine = *cluster_state.find_machine("vm-1");
+  cluster_state.allocate(machine, open_job, *open_job.pop_pending(), cluster_state.next_attempt(),
+                         now);
   const Heartbeat waiting = heartbeat();
-  EXPECT_TRUE(c.apply_heartbeat(waiting, now, true, effects).run_likely)
+  EXPECT_TRUE(cluster_state.apply_heartbeat(waiting, now, true, effects).run_likely)
       << "its allocation is being written";
   Effects ignored;
-  c.machine_stored(machine, c.record_of(machine), 21, ignored);
+  cluster_state.machine_stored(machine, cluster_state.record_of(machine), 21, ignored);
   EXPECT_TRUE(ignored.runs);
-  EXPECT_EQ(c.drain_runnable(), std::vector<std::string>{"vm-1"});
+  EXPECT_EQ(cluster_state.drain_runnable(), std::vector<std::string>{"vm-1"});
   const Heartbeat newer = heartbeat();  // its worker gave the answer up
-  EXPECT_FALSE(c.apply_heartbeat(newer, now, true, effects).run_likely) << "the run goes at once";
-  EXPECT_EQ(c.commands_for(waiting, now, true).kind, HeartbeatResponse::Kind::stale);
-  EXPECT_TRUE(c.commands_for(newer, now, false).commands.empty())
+  EXPECT_FALSE(cluster_state.apply_heartbeat(newer, now, true, effects).run_likely)
+      << "the run goes at once";
+  EXPECT_EQ(cluster_state.commands_for(waiting, now, true).kind, HeartbeatResponse::Kind::stale);
+  EXPECT_TRUE(cluster_state.commands_for(newer, now, false).commands.empty())
       << "the key-value store went meanwhile";
-  ASSERT_EQ(c.commands_for(newer, now, true).commands.size(), 1u);
-  c.remove_machine("vm-1", now);
-  EXPECT_EQ(c.commands_for(newer, now, true).kind, HeartbeatResponse::Kind::stale)
+  ASSERT_EQ(cluster_state.commands_for(newer, now, true).commands.size(), 1u);
+  cluster_state.remove_machine("vm-1", now);
+  EXPECT_EQ(cluster_state.commands_for(newer, now, true).kind, HeartbeatResponse::Kind::stale)
       << "deleted meanwhile";
 }
 
@@ -129,8 +133,8 @@
   send(heartbeat());
   const Heartbeat late = heartbeat();
   const Allocation& allocation = durable(open_job);
-  Heartbeat with = heartbeat();
-  send(with);
+  Heartbeat empty = heartbeat();
+  send(empty);
   Heartbeat running = heartbeat();
   running.tasks = {on(allocation)};
   send(running);
@@ -164,8 +168,8 @@
   Job& open_job = add(job("run-000001", 2));
   wire::MachineRecord record{
       "box", "a", "10.0.0.1:9000", false, {{"run-000001", "red", {2, 0, 4}, false, {{0, 3}}}}};
-  c.load_machine("vm-1", record, 7, now);
-  EXPECT_EQ(c.usage(0).used.cpus, 2);
+  cluster_state.load_machine("vm-1", record, 7, now);
+  EXPECT_EQ(cluster_state.usage(0).used.cpus, 2);
   EXPECT_EQ(open_job.pending(), 1u) << "task 0 may run there and may not be started elsewhere";
   fencing_token = 4;
   send(heartbeat());
@@ -183,18 +187,18 @@
   send(heartbeat());
   const Instant answered = now;
   now = answered + seconds(14);
-  c.expire_leases(now);
+  cluster_state.expire_leases(now);
   EXPECT_EQ(allocated(), 1u) << "clocks drift: not on the second";
   now = answered + leadership::worker_lease_bound(platform);
-  c.expire_leases(now);
+  cluster_state.expire_leases(now);
   EXPECT_EQ(allocated(), 0u);
-  EXPECT_TRUE(c.find_machine("vm-1")->lost);
+  EXPECT_TRUE(cluster_state.find_machine("vm-1")->lost);
   // A heartbeat of the old incarnation that was held up on its way brings nothing back.
-  EXPECT_EQ(c.handle_heartbeat(heartbeat(), now, true, effects).kind,
+  EXPECT_EQ(cluster_state.handle_heartbeat(heartbeat(), now, true, effects).kind,
             HeartbeatResponse::Kind::stale);
   incarnation = 2;
   sequence = 0;
-  EXPECT_EQ(c.handle_heartbeat(heartbeat(), now, true, effects).kind,
+  EXPECT_EQ(cluster_state.handle_heartbeat(heartbeat(), now, true, effects).kind,
             HeartbeatResponse::Kind::accept);
 }
 
@@ -202,12 +206,12 @@
   add(job("run-000001"));
   wire::MachineRecord record{
       "box", "a", "10.0.0.1:9000", false, {{"run-000001", "red", {2, 0, 4}, false, {{0, 3}}}}};
-  c.load_machine("vm-1", record, 7, now);
+  cluster_state.load_machine("vm-1", record, 7, now);
   const Nanos wait =
       leadership::renewal_window(platform) + leadership::worker_lease_bound(platform);
-  c.expire_leases(now + wait - Millis(1));
+  cluster_state.expire_leases(now + wait - Millis(1));
   EXPECT_EQ(allocated(), 1u);
-  c.expire_leases(now + wait + seconds(1));
+  cluster_state.expire_leases(now + wait + seconds(1));
   EXPECT_EQ(allocated(), 0u);
   // blind window + lease + margin stay inside the time a cancellation has.
   EXPECT_LT(wait + seconds(1), to_nanos(platform.cancel));
@@ -217,13 +221,13 @@
   Job& open_job = add(job("run-000001"));
   send(heartbeat());
   durable(open_job);
-  c.remove_machine("vm-1", now);
+  cluster_state.remove_machine("vm-1", now);
   EXPECT_EQ(open_job.pending(), 1u);
-  EXPECT_EQ(c.usage(0).used.cpus, 0);
-  EXPECT_EQ(c.handle_heartbeat(heartbeat(), now, true, effects).kind,
+  EXPECT_EQ(cluster_state.usage(0).used.cpus, 0);
+  EXPECT_EQ(cluster_state.handle_heartbeat(heartbeat(), now, true, effects).kind,
             HeartbeatResponse::Kind::stale);
-  EXPECT_EQ(c.find_machine("vm-1"), nullptr);
-  EXPECT_EQ(c.drain_dead_records().size(), 1u);
+  EXPECT_EQ(cluster_state.find_machine("vm-1"), nullptr);
+  EXPECT_EQ(cluster_state.drain_obsolete_records().size(), 1u);
 }
 
 TEST_F(ClusterTest, ANewIncarnationEndsWhatWasSentInTheOldOne) {
@@ -260,29 +264,29 @@
   send(heartbeat());
   const Allocation running = durable(open_job);
   send(heartbeat());
-  Heartbeat b = heartbeat();
-  b.tasks = {on(running)};
-  send(b);
+  Heartbeat status = heartbeat();
+  status.tasks = {on(running)};
+  send(status);
   durable(open_job);  // its run has not gone out
-  c.close_job("run-000001", true, now);
+  cluster_state.close_job("run-000001", true, now);
   EXPECT_EQ(allocated(), 1u);
-  EXPECT_EQ(c.usage(0).used.cpus, 2) << "its team's limit counts it until it is gone";
-  const auto calls = c.drain_stop_calls();
+  EXPECT_EQ(cluster_state.usage(0).used.cpus, 2) << "its team's limit counts it until it is gone";
+  const auto calls = cluster_state.drain_stop_calls();
   ASSERT_EQ(calls.size(), 1u);
   EXPECT_EQ(calls[0].commands[0].grace, Seconds(0));
-  b.sequence = ++sequence;
-  const auto commands = send(b);
+  status.sequence = ++sequence;
+  const auto commands = send(status);
   ASSERT_EQ(commands.size(), 1u);
   EXPECT_EQ(commands[0].op, Command::Op::stop);
   send(heartbeat());
   EXPECT_EQ(allocated(), 0u);
-  EXPECT_EQ(c.usage(0).used.cpus, 0);
+  EXPECT_EQ(cluster_state.usage(0).used.cpus, 0);
 }
 
 TEST_F(ClusterTest, AReturningMachineWithTasksOfAClosedJobIsToldToStopThem) {
-  Heartbeat b = heartbeat();
-  b.tasks = {{{"run-000009", 0}, 3, TaskState::running, ExitCause::none, false}};
-  const auto commands = send(b);
+  Heartbeat status = heartbeat();
+  status.tasks = {{{"run-000009", 0}, 3, TaskState::running, ExitCause::none, false}};
+  const auto commands = send(status);
   ASSERT_EQ(commands.size(), 1u);
   EXPECT_EQ(commands[0].op, Command::Op::stop);
   EXPECT_EQ(commands[0].grace, Seconds(0));
@@ -295,24 +299,25 @@
   Job& job = add(spec);
   send(heartbeat("vm-1"));
   send(heartbeat("vm-2"));
-  const uint64_t attempt = c.next_attempt();
-  Machine& h1 = *c.find_machine("vm-1");
-  Machine& h2 = *c.find_machine("vm-2");
-  c.allocate(h1, job, *job.pop_pending(), attempt, now);
-  c.allocate(h2, job, *job.pop_pending(), attempt, now);
+  const uint64_t attempt = cluster_state.next_attempt();
+  Machine& first_machine = *cluster_state.find_machine("vm-1");
+  Machine& second_machine = *cluster_state.find_machine("vm-2");
+  cluster_state.allocate(first_machine, job, *job.pop_pending(), attempt, now);
+  cluster_state.allocate(second_machine, job, *job.pop_pending(), attempt, now);
   Effects ignored;
-  c.machine_stored(h1, c.record_of(h1), 21, ignored);
+  cluster_state.machine_stored(first_machine, cluster_state.record_of(first_machine), 21, ignored);
   EXPECT_TRUE(send(heartbeat("vm-1")).empty()) << "the other allocation does not stand yet";
-  c.machine_stored(h2, c.record_of(h2), 22, ignored);
+  cluster_state.machine_stored(second_machine, cluster_state.record_of(second_machine), 22,
+                               ignored);
   EXPECT_EQ(send(heartbeat("vm-1")).size(), 1u);
   EXPECT_EQ(send(heartbeat("vm-2")).size(), 1u);
-  Heartbeat b1 = heartbeat("vm-1");
-  b1.tasks = {on(h1.allocations[0], TaskState::waiting)};
-  send(b1);
+  Heartbeat status = heartbeat("vm-1");
+  status.tasks = {on(first_machine.allocations[0], TaskState::waiting)};
+  send(status);
   // One machine goes: the rest is stopped at once, and nothing starts before all of it is gone.
-  c.remove_machine("vm-2", now);
+  cluster_state.remove_machine("vm-2", now);
   EXPECT_TRUE(job.any_live());
-  const auto calls = c.drain_stop_calls();
+  const auto calls = cluster_state.drain_stop_calls();
   ASSERT_EQ(calls.size(), 1u);
   EXPECT_EQ(calls[0].machine, "vm-1");
   send(heartbeat("vm-1"));
@@ -323,16 +328,16 @@
 TEST_F(ClusterTest, AJobFailingEverywhereBacksOffAndItsMachinesAreNotBlamed) {
   Job& open_job = add(job("run-000001", 10));
   for (int i = 1; i <= 3; ++i) {
-    const std::string vm = "vm-" + std::to_string(i);
+    const std::string machine_id = "vm-" + std::to_string(i);
     for (int k = 0; k < 3; ++k) {
-      send(heartbeat(vm));
-      const Allocation allocation = durable(open_job, vm);
-      send(heartbeat(vm));
-      Heartbeat ended = heartbeat(vm);
+      send(heartbeat(machine_id));
+      const Allocation allocation = durable(open_job, machine_id);
+      send(heartbeat(machine_id));
+      Heartbeat ended = heartbeat(machine_id);
       ended.tasks = {on(allocation, TaskState::exited, ExitCause::error)};
       send(ended);
     }
-    EXPECT_FALSE(c.find_machine(vm)->draining) << vm;
+    EXPECT_FALSE(cluster_state.find_machine(machine_id)->draining) << machine_id;
   }
   EXPECT_TRUE(open_job.failing);
   EXPECT_GT(open_job.not_before, now);
@@ -341,11 +346,11 @@
 TEST_F(ClusterTest, AMachineFailingWhatOthersCompleteIsDrained) {
   Job& open_job = add(job("run-000001", 10));
   send(heartbeat("vm-2"));
-  const Allocation fine = durable(open_job, "vm-2");
+  const Allocation completed = durable(open_job, "vm-2");
   send(heartbeat("vm-2"));
-  Heartbeat ok = heartbeat("vm-2");
-  ok.tasks = {on(fine, TaskState::exited, ExitCause::done)};
-  send(ok);
+  Heartbeat done = heartbeat("vm-2");
+  done.tasks = {on(completed, TaskState::exited, ExitCause::done)};
+  send(done);
   for (int k = 0; k < 3; ++k) {
     send(heartbeat());
     const Allocation allocation = durable(open_job);
@@ -354,36 +359,36 @@
     ended.tasks = {on(allocation, TaskState::exited, ExitCause::error)};
     send(ended);
   }
-  EXPECT_TRUE(c.find_machine("vm-1")->draining);
-  EXPECT_FALSE(c.find_machine("vm-2")->draining);
+  EXPECT_TRUE(cluster_state.find_machine("vm-1")->draining);
+  EXPECT_FALSE(cluster_state.find_machine("vm-2")->draining);
 }
 
 TEST_F(ClusterTest, WhatWasNotSentToAMachineThatWillNotGetItGoesElsewhere) {
   // Found on days of our own: a job waited for good beside free machines, for an allocation that
   // was durable, and unsent, when its machine was drained. So with one that is unreachable, or
   // silent.
-  for (const int why : {0, 1, 2, 3}) {
-    const std::string vm = "vm-" + std::to_string(why + 1);
-    Job& open_job = add(job("run-00000" + std::to_string(why + 1), 2));
-    send(heartbeat(vm));
-    durable(open_job, vm);
-    Machine& machine = *c.find_machine(vm);
-    c.allocate(machine, open_job, *open_job.pop_pending(), c.next_attempt(),
-               now);  // not even written down
-    if (why == 0) machine.draining = true;
-    if (why == 1) machine.unreachable = true;
-    if (why == 2) machine.terminating = true;
-    if (why == 3) now += seconds(5);
-    const Effects ignored = c.tick(now);
+  for (const int cause : {0, 1, 2, 3}) {
+    const std::string machine_id = "vm-" + std::to_string(cause + 1);
+    Job& open_job = add(job("run-00000" + std::to_string(cause + 1), 2));
+    send(heartbeat(machine_id));
+    durable(open_job, machine_id);
+    Machine& machine = *cluster_state.find_machine(machine_id);
+    cluster_state.allocate(machine, open_job, *open_job.pop_pending(), cluster_state.next_attempt(),
+                           now);  // not even written down
+    if (cause == 0) machine.draining = true;
+    if (cause == 1) machine.unreachable = true;
+    if (cause == 2) machine.terminating = true;
+    if (cause == 3) now += seconds(5);
+    const Effects ignored = cluster_state.tick(now);
     EXPECT_TRUE(ignored.schedule);
-    EXPECT_EQ(allocated(vm), 0u) << why;
-    EXPECT_EQ(open_job.pending(), 2u) << why;
+    EXPECT_EQ(allocated(machine_id), 0u) << cause;
+    EXPECT_EQ(open_job.pending(), 2u) << cause;
   }
 }
 
 TEST_F(ClusterTest, AHigherTokenInAHeartbeatSupersedesUs) {
   fencing_token = 6;
-  EXPECT_EQ(c.handle_heartbeat(heartbeat(), now, true, effects).kind,
+  EXPECT_EQ(cluster_state.handle_heartbeat(heartbeat(), now, true, effects).kind,
             HeartbeatResponse::Kind::superseded);
 }
 
@@ -395,15 +400,15 @@
   send(heartbeat());
   const Allocation allocation = durable(job);
   send(heartbeat());
-  Heartbeat r = heartbeat();
-  r.tasks = {on(allocation)};
-  r.interruption_notice = Seconds(12);
-  send(r);
-  c.tick(now);
-  EXPECT_TRUE(c.drain_stop_calls().empty()) << "it works on while there is time";
+  Heartbeat status = heartbeat();
+  status.tasks = {on(allocation)};
+  status.interruption_notice = Seconds(12);
+  send(status);
+  cluster_state.tick(now);
+  EXPECT_TRUE(cluster_state.drain_stop_calls().empty()) << "it works on while there is time";
   now += seconds(6);
-  c.tick(now);
-  const auto calls = c.drain_stop_calls();
+  cluster_state.tick(now);
+  const auto calls = cluster_state.drain_stop_calls();
   ASSERT_EQ(calls.size(), 1u);
   EXPECT_GE(calls[0].commands[0].grace, spec.save);
 }
@@ -414,29 +419,29 @@
   spec.checkpoint = Seconds(10);
   spec.save = Seconds(3);
   Job& job = add(spec);
-  const uint64_t attempt = c.next_attempt();
-  for (const char* vm : {"vm-1", "vm-2"}) {
-    send(heartbeat(vm));
-    Allocation& allocation =
-        *c.allocate(*c.find_machine(vm), job, *job.pop_pending(), attempt, now);
+  const uint64_t attempt = cluster_state.next_attempt();
+  for (const char* machine_id : {"vm-1", "vm-2"}) {
+    send(heartbeat(machine_id));
+    Allocation& allocation = *cluster_state.allocate(*cluster_state.find_machine(machine_id), job,
+                                                     *job.pop_pending(), attempt, now);
     allocation.phase = AllocationPhase::seen;
     allocation.state = TaskState::running;
   }
-  Heartbeat r = heartbeat("vm-1");
-  r.tasks = {on(c.find_machine("vm-1")->allocations[0])};
-  r.interruption_notice = Seconds(6);
-  send(r);
-  c.tick(now);
-  const auto calls = c.drain_stop_calls();
+  Heartbeat status = heartbeat("vm-1");
+  status.tasks = {on(cluster_state.find_machine("vm-1")->allocations[0])};
+  status.interruption_notice = Seconds(6);
+  send(status);
+  cluster_state.tick(now);
+  const auto calls = cluster_state.drain_stop_calls();
   ASSERT_EQ(calls.size(), 2u) << "both in the same moment";
   for (const auto& call : calls) EXPECT_GE(call.commands[0].grace, spec.save);
   // The first that has saved and gone does not have the rest cut short.
-  r.tasks[0].state = TaskState::exited;
-  r.tasks[0].cause = ExitCause::stopped;
-  r.tasks[0].saved = true;
-  r.sequence = ++sequence;
-  send(r);
-  EXPECT_TRUE(c.drain_stop_calls().empty());
+  status.tasks[0].state = TaskState::exited;
+  status.tasks[0].cause = ExitCause::stopped;
+  status.tasks[0].saved = true;
+  status.sequence = ++sequence;
+  send(status);
+  EXPECT_TRUE(cluster_state.drain_stop_calls().empty());
   EXPECT_TRUE(job.any_live());
 }
 
@@ -445,24 +450,25 @@
   spec.need = {0.001, 0, 0.001};
   Job& job = add(spec);
   send(heartbeat());
-  Machine& machine = *c.find_machine("vm-1");
-  size_t n = 0;
+  Machine& machine = *cluster_state.find_machine("vm-1");
+  size_t planned = 0;
   const auto room_for_one_more = [&] {
-    const Cluster::RecordCost cost = c.record_cost(job);
-    return c.record_size(machine) + cost.group_bytes + cost.task_bytes <= c.record_limit();
+    const Cluster::RecordCost cost = cluster_state.record_cost(job);
+    return cluster_state.record_size(machine) + cost.group_bytes + cost.task_bytes <=
+           cluster_state.record_limit();
   };
-  while (room_for_one_more() && n < 10'000) {
-    c.allocate(machine, job, *job.pop_pending(), c.next_attempt(), now);
-    ++n;
+  while (room_for_one_more() && planned < 10'000) {
+    cluster_state.allocate(machine, job, *job.pop_pending(), cluster_state.next_attempt(), now);
+    ++planned;
   }
-  EXPECT_GT(n, 50u);
+  EXPECT_GT(planned, 50u);
   // As the platform counts it, in JSON; and the bound that was planned with is none too low.
-  const std::string written = wire::write_machine_record(c.record_of(machine));
+  const std::string written = wire::write_machine_record(cluster_state.record_of(machine));
   const size_t size = wire::json_size(wire::Document::parse(written)->root());
-  EXPECT_LE(size, c.record_size(machine));
-  EXPECT_LE(c.record_size(machine), c.record_limit());
-  EXPECT_LT(c.record_limit(), platform.store_limits.value_bytes);
-  EXPECT_LT(wire::write_machine_record(c.record_of(machine)).size(),
+  EXPECT_LE(size, cluster_state.record_size(machine));
+  EXPECT_LE(cluster_state.record_size(machine), cluster_state.record_limit());
+  EXPECT_LT(cluster_state.record_limit(), platform.store_limits.value_bytes);
+  EXPECT_LT(wire::write_machine_record(cluster_state.record_of(machine)).size(),
             platform.store_limits.value_bytes);
 }
 
@@ -470,33 +476,35 @@
   // Found on the grown deployment: one write a task used the key-value store's budget up.
   Job& open_job = add(job("run-000001", 2));
   send(heartbeat());
-  Machine& machine = *c.find_machine("vm-1");
+  Machine& machine = *cluster_state.find_machine("vm-1");
   open_job.mod_revision = 10;
   JobSpec big = job("run-000002", 1);
   big.need = {8, 0, 4};
-  Job& whole = add(big);
-  const Allocation first = durable(whole);
-  c.queue_on(machine, open_job, *open_job.pop_pending(), c.next_attempt(), {0, 1}, now);
-  c.queue_on(machine, open_job, *open_job.pop_pending(), c.next_attempt(), {0, 0}, now);
+  Job& whole_machine_job = add(big);
+  const Allocation first = durable(whole_machine_job);
+  cluster_state.queue_on(machine, open_job, *open_job.pop_pending(), cluster_state.next_attempt(),
+                         {0, 1}, now);
+  cluster_state.queue_on(machine, open_job, *open_job.pop_pending(), cluster_state.next_attempt(),
+                         {0, 0}, now);
   Effects ignored;
-  c.machine_stored(machine, c.record_of(machine), ++mod_revision, ignored);
+  cluster_state.machine_stored(machine, cluster_state.record_of(machine), ++mod_revision, ignored);
   EXPECT_EQ(machine.used.cpus, 8) << "what waits takes no room";
-  EXPECT_EQ(c.usage(0).used.cpus, 8);
+  EXPECT_EQ(cluster_state.usage(0).used.cpus, 8);
   EXPECT_EQ(open_job.pending(), 0u);
   ASSERT_EQ(send(heartbeat()).size(), 1u) << "the machine is full";
-  Heartbeat b = heartbeat();
-  b.tasks = {on(first)};
-  EXPECT_TRUE(send(b).empty());
+  Heartbeat status = heartbeat();
+  status.tasks = {on(first)};
+  EXPECT_TRUE(send(status).empty());
   // The room is there; some of it is promised to a preemptor.
-  c.set_reserved({{"vm-1", {5, 0, 4}}}, {});
-  b = heartbeat();
-  b.tasks = {on(first, TaskState::exited, ExitCause::done)};
-  const auto commands = send(b);
+  cluster_state.set_reserved({{"vm-1", {5, 0, 4}}}, {});
+  status = heartbeat();
+  status.tasks = {on(first, TaskState::exited, ExitCause::done)};
+  const auto commands = send(status);
   ASSERT_EQ(commands.size(), 1u);
   EXPECT_EQ(commands[0].op, Command::Op::start);
   EXPECT_EQ(commands[0].task.index, 1u) << "the one whose turn comes first";
   EXPECT_EQ(machine.used.cpus, 2);
-  EXPECT_EQ(c.usage(0).used.cpus, 2) << "counted from here on";
+  EXPECT_EQ(cluster_state.usage(0).used.cpus, 2) << "counted from here on";
 }
 
 TEST_F(ClusterTest, AMachineThatGoesLeavesNothingHeldBehind) {
@@ -504,11 +512,11 @@
   // sanitizer).
   send(heartbeat());
   send(heartbeat("vm-2"));
-  c.set_reserved({{"vm-1", {5, 0, 4}}, {"vm-2", {1, 0, 1}}}, {});
-  c.remove_machine("vm-1", now);
-  c.set_reserved({}, {});
-  EXPECT_EQ(c.find_machine("vm-2")->held.cpus, 0);
-  EXPECT_FALSE(c.find_machine("vm-1"));
+  cluster_state.set_reserved({{"vm-1", {5, 0, 4}}, {"vm-2", {1, 0, 1}}}, {});
+  cluster_state.remove_machine("vm-1", now);
+  cluster_state.set_reserved({}, {});
+  EXPECT_EQ(cluster_state.find_machine("vm-2")->reserved.cpus, 0);
+  EXPECT_FALSE(cluster_state.find_machine("vm-1"));
 }
 
 TEST_F(ClusterTest, AQueuedTaskRespectsItsTeamsLimit) {
@@ -516,29 +524,30 @@
   spec.team = "tiny";  // at most 4 cpus
   Job& job = add(spec);
   send(heartbeat());
-  Machine& machine = *c.find_machine("vm-1");
+  Machine& machine = *cluster_state.find_machine("vm-1");
   for (int i = 0; i < 3; ++i) {
-    c.queue_on(machine, job, *job.pop_pending(), c.next_attempt(), {}, now);
+    cluster_state.queue_on(machine, job, *job.pop_pending(), cluster_state.next_attempt(), {}, now);
   }
   Effects ignored;
-  c.machine_stored(machine, c.record_of(machine), ++mod_revision, ignored);
+  cluster_state.machine_stored(machine, cluster_state.record_of(machine), ++mod_revision, ignored);
   EXPECT_EQ(send(heartbeat()).size(), 2u);
   // Saved up for a gang of the team: nothing more of it is given away.
-  c.set_reserved({}, {Resources{}, Resources{}, Resources{4, 0, 0}});
+  cluster_state.set_reserved({}, {Resources{}, Resources{}, Resources{4, 0, 0}});
   EXPECT_EQ(job.queued_tasks, 1u);
 }
 
 TEST_F(ClusterTest, AQueuedTaskLeavesAMachineThatNothingIsHeardOf) {
   Job& open_job = add(job("run-000001", 2));
   send(heartbeat());
-  Machine& machine = *c.find_machine("vm-1");
-  c.queue_on(machine, open_job, *open_job.pop_pending(), c.next_attempt(), {}, now);
+  Machine& machine = *cluster_state.find_machine("vm-1");
+  cluster_state.queue_on(machine, open_job, *open_job.pop_pending(), cluster_state.next_attempt(),
+                         {}, now);
   EXPECT_EQ(open_job.pending(), 1u);
   now += seconds(1);
-  c.tick(now);
+  cluster_state.tick(now);
   EXPECT_EQ(open_job.pending(), 1u);
   now += seconds(5);
-  c.tick(now);
+  cluster_state.tick(now);
   EXPECT_EQ(open_job.pending(), 2u) << "its run never went out, so it may go elsewhere at once";
   EXPECT_TRUE(machine.allocations.empty());
 }
@@ -556,15 +565,16 @@
   send(running);
   for (int i = 0; i < 20; ++i) {
     now += seconds(1);
-    EXPECT_EQ(c.handle_heartbeat(i % 2 ? answered : running, now, true, effects).kind,
+    EXPECT_EQ(cluster_state.handle_heartbeat(i % 2 ? answered : running, now, true, effects).kind,
               HeartbeatResponse::Kind::stale);
-    c.expire_leases(now);
+    cluster_state.expire_leases(now);
   }
-  EXPECT_TRUE(c.find_machine("vm-1")->lost);
+  EXPECT_TRUE(cluster_state.find_machine("vm-1")->lost);
   EXPECT_EQ(allocated(), 0u);
   // And it stays lost, however many copies come.
-  EXPECT_EQ(c.handle_heartbeat(running, now, true, effects).kind, HeartbeatResponse::Kind::stale);
-  EXPECT_TRUE(c.find_machine("vm-1")->lost);
+  EXPECT_EQ(cluster_state.handle_heartbeat(running, now, true, effects).kind,
+            HeartbeatResponse::Kind::stale);
+  EXPECT_TRUE(cluster_state.find_machine("vm-1")->lost);
 }
 
 TEST_F(ClusterTest, AMachineThatOurAnswersDoNotReachIsFoundOut) {
@@ -574,15 +584,15 @@
   send(heartbeat("vm-2"));
   durable(open_job);
   for (int i = 0; i < 8; ++i) {
-    EXPECT_TRUE(c.unreachable_machines().empty() || i > 2);
+    EXPECT_TRUE(cluster_state.unreachable_machines().empty() || i > 2);
     send(heartbeat());
     now += Millis(1500);
   }
-  EXPECT_EQ(c.unreachable_machines(), std::vector<std::string>{"vm-1"});
+  EXPECT_EQ(cluster_state.unreachable_machines(), std::vector<std::string>{"vm-1"});
   EXPECT_EQ(allocated(), 1u) << "its allocation ends safely only with the machine";
-  c.tick(now);
+  cluster_state.tick(now);
   EXPECT_EQ(allocated(), 1u);
-  c.remove_machine("vm-1", now);
+  cluster_state.remove_machine("vm-1", now);
   EXPECT_EQ(open_job.pending(), 1u);
 }
 
@@ -595,8 +605,8 @@
     send(heartbeat());
     now += Millis(1500);
   }
-  ASSERT_TRUE(c.find_machine("vm-1")->unreachable);
-  c.tick(now);
+  ASSERT_TRUE(cluster_state.find_machine("vm-1")->unreachable);
+  cluster_state.tick(now);
   const auto heartbeats_for = [&](Nanos time) {
     for (Nanos t{0}; t < time; t += Millis(1500)) {
       now += Millis(1500);
@@ -605,13 +615,13 @@
   };
   ++incarnation;  // its lease ran out: still deaf
   heartbeats_for(seconds(13));
-  EXPECT_TRUE(c.find_machine("vm-1")->unreachable);
+  EXPECT_TRUE(cluster_state.find_machine("vm-1")->unreachable);
   ++incarnation;
   heartbeats_for(seconds(13));
-  EXPECT_TRUE(c.find_machine("vm-1")->unreachable);
+  EXPECT_TRUE(cluster_state.find_machine("vm-1")->unreachable);
   heartbeats_for(
       seconds(4));  // the same incarnation for longer than a lease: some answer renewed it
-  EXPECT_FALSE(c.find_machine("vm-1")->unreachable);
+  EXPECT_FALSE(cluster_state.find_machine("vm-1")->unreachable);
 }
 
 TEST_F(ClusterTest, AMachineThatObeysLateIsNotTakenForDeaf) {
@@ -625,8 +635,8 @@
   Heartbeat running = heartbeat();
   running.tasks = {on(allocation)};
   send(running);
-  EXPECT_EQ(c.find_machine("vm-1")->lost_responses.suspicions, 0u);
-  EXPECT_TRUE(c.unreachable_machines().empty());
+  EXPECT_EQ(cluster_state.find_machine("vm-1")->lost_responses.suspicions, 0u);
+  EXPECT_TRUE(cluster_state.unreachable_machines().empty());
 }
 
 TEST_F(ClusterTest, WhenManySeemDeafItIsOurAnswersThatAreLate) {
@@ -634,16 +644,16 @@
   JobSpec spec = job("run-000001", 12);
   Job& job = add(spec);
   for (int m = 0; m < 12; ++m) {
-    const std::string vm = "vm-" + std::to_string(m);
-    send(heartbeat(vm));
-    durable(job, vm);
+    const std::string machine_id = "vm-" + std::to_string(m);
+    send(heartbeat(machine_id));
+    durable(job, machine_id);
   }
   for (int i = 0; i < 10; ++i) {
     for (int m = 0; m < 12; ++m) send(heartbeat("vm-" + std::to_string(m)));
     now += Millis(1500);
   }
-  EXPECT_TRUE(c.find_machine("vm-3")->unreachable);
-  EXPECT_TRUE(c.unreachable_machines().empty());
+  EXPECT_TRUE(cluster_state.find_machine("vm-3")->unreachable);
+  EXPECT_TRUE(cluster_state.unreachable_machines().empty());
 }
 
 TEST_F(ClusterTest, AMachineBackWithinAFractionOfASecondHasANewIncarnationAndNoTasks) {
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -19,189 +19,191 @@
 }
 
 // One service on a site with machines in two zones; replicas run for an hour unless a test says so.
-struct Replicas : testing::Test {
-  Site s{3};
+struct ReplicaTest : testing::Test {
+  Site site{3};
   const JobSpec api = service("run-000001", 4);
   void SetUp() override {
-    s.cloud.capacity = {{"box/a/ordinary", 3}, {"box/b/ordinary", 3}};
-    s.on_worker = [](ScriptedWorker& worker) {
+    site.cloud.capacity = {{"box/a/ordinary", 3}, {"box/b/ordinary", 3}};
+    site.on_worker = [](ScriptedWorker& worker) {
       worker.run_time = [](const TaskRef&) { return std::chrono::hours(1); };
     };
-    s.run_for(seconds(2));
-    ASSERT_TRUE(s.leader());
+    site.run_for(seconds(2));
+    ASSERT_TRUE(site.leader());
   }
   void start() {
-    ASSERT_EQ(s.submit(api).status, 201);
-    s.run_for(seconds(20));
+    ASSERT_EQ(site.submit(api).status, 201);
+    site.run_for(seconds(20));
     ASSERT_EQ(running(api), api.tasks);
   }
   size_t running(const JobSpec& spec) const {
-    size_t n = 0;
-    for (uint32_t i = 0; i < spec.tasks; ++i) n += s.copies({spec.id, i});
-    return n;
+    size_t count = 0;
+    for (uint32_t i = 0; i < spec.tasks; ++i) count += site.copies({spec.id, i});
+    return count;
   }
   ScriptedWorker& machine_of(uint32_t replica) {
-    for (auto& [id, w] : s.workers) {
-      for (const auto& [key, task] : w->tasks) {
-        if (key.first == TaskRef{api.id, replica} && task.state == TaskState::running) return *w;
+    for (auto& [id, worker] : site.workers) {
+      for (const auto& [key, task] : worker->tasks) {
+        if (key.first == TaskRef{api.id, replica} && task.state == TaskState::running)
+          return *worker;
       }
     }
     throw std::runtime_error("the replica runs nowhere");
   }
 };
 
-TEST_F(Replicas, RunUntilTheyAreCancelled) {
+TEST_F(ReplicaTest, RunUntilTheyAreCancelled) {
   start();
-  s.run_for(seconds(300));
-  const std::string standing = s.job_state(api.id);  // the links that carry progress are not played
+  site.run_for(seconds(300));
+  // The links that carry progress are not played.
+  const std::string standing = site.job_state(api.id);
   EXPECT_TRUE(standing == "running" || standing == "queued") << standing;
-  EXPECT_EQ(s.starts, api.tasks) << "none was started twice";
-  EXPECT_EQ(s.submit(api).status, 200) << "repeated";
-  EXPECT_EQ(s.cancel(api.id).status, 200);
-  s.run_for(seconds(5));
+  EXPECT_EQ(site.starts, api.tasks) << "none was started twice";
+  EXPECT_EQ(site.submit(api).status, 200) << "repeated";
+  EXPECT_EQ(site.cancel(api.id).status, 200);
+  site.run_for(seconds(5));
   EXPECT_EQ(running(api), 0u);
-  EXPECT_EQ(s.job_state(api.id), "cancelled");
-  expect_no_violations(s);
+  EXPECT_EQ(site.job_state(api.id), "cancelled");
+  expect_no_violations(site);
 }
 
-TEST_F(Replicas, AllCountTogetherAgainstTheTeamsLimit) {
+TEST_F(ReplicaTest, AllCountTogetherAgainstTheTeamsLimit) {
   JobSpec spec = service("run-000002", 2);
   spec.team = "tiny";  // at most 4 cpus, two replicas
-  EXPECT_EQ(s.submit(spec).status, 201) << "just at the limit";
+  EXPECT_EQ(site.submit(spec).status, 201) << "just at the limit";
   spec.id = "run-000003";
   spec.tasks = 3;
-  EXPECT_EQ(s.submit(spec).status, 422);
+  EXPECT_EQ(site.submit(spec).status, 422);
   spec.service = false;
-  EXPECT_EQ(s.submit(spec).status, 201) << "an array's tasks may run one after the other";
+  EXPECT_EQ(site.submit(spec).status, 201) << "an array's tasks may run one after the other";
 }
 
-TEST_F(Replicas, ThatReportTheirCompletionRunAgainAndAreNeverDone) {
-  for (auto& n : s.nodes) ASSERT_FALSE(n->crashed);
-  s.on_worker = [](ScriptedWorker& worker) {
+TEST_F(ReplicaTest, ThatReportTheirCompletionRunAgainAndAreNeverDone) {
+  for (auto& node : site.nodes) ASSERT_FALSE(node->crashed);
+  site.on_worker = [](ScriptedWorker& worker) {
     worker.run_time = [](const TaskRef&) { return seconds(40); };
   };
-  ASSERT_EQ(s.submit(api).status, 201);
-  s.run_for(seconds(60));
-  const size_t old = *s.leader();
-  s.crash(old);
+  ASSERT_EQ(site.submit(api).status, 201);
+  site.run_for(seconds(60));
+  const size_t crashed = *site.leader();
+  site.crash(crashed);
   for (int k = 0; k < 30; ++k) {
-    s.run_for(seconds(10));
-    EXPECT_NE(s.job_state(api.id, (old + 1) % 3), "done");
+    site.run_for(seconds(10));
+    EXPECT_NE(site.job_state(api.id, (crashed + 1) % 3), "done");
   }
-  EXPECT_GT(s.starts, 5 * api.tasks);
-  expect_no_violations(s);
+  EXPECT_GT(site.starts, 5 * api.tasks);
+  expect_no_violations(site);
 }
 
-TEST_F(Replicas, ThatFailAtTheirStartWaitLongerEachTime) {
-  s.on_worker = [](ScriptedWorker& worker) {
+TEST_F(ReplicaTest, ThatFailAtTheirStartWaitLongerEachTime) {
+  site.on_worker = [](ScriptedWorker& worker) {
     worker.run_time = [](const TaskRef&) { return seconds(1); };
     worker.fails = [](const TaskRef&) { return true; };
   };
-  ASSERT_EQ(s.submit(api).status, 201);
-  s.run_for(seconds(60));
-  const size_t first_minute = s.starts;
+  ASSERT_EQ(site.submit(api).status, 201);
+  site.run_for(seconds(60));
+  const size_t first_minute = site.starts;
   EXPECT_GE(first_minute, api.tasks);
-  s.run_for(seconds(240));
-  EXPECT_LT(s.starts - first_minute, first_minute * 4) << "no tight loop";
-  EXPECT_LT(s.starts, 15 * api.tasks);
-  EXPECT_EQ(s.cancel(api.id).status, 200);
-  s.run_for(seconds(10));
-  expect_no_violations(s);
+  site.run_for(seconds(240));
+  EXPECT_LT(site.starts - first_minute, first_minute * 4) << "no tight loop";
+  EXPECT_LT(site.starts, 15 * api.tasks);
+  EXPECT_EQ(site.cancel(api.id).status, 200);
+  site.run_for(seconds(10));
+  expect_no_violations(site);
 }
 
-TEST_F(Replicas, OfALostMachineRunElsewhereAndInOnePlaceOnly) {
+TEST_F(ReplicaTest, OfALostMachineRunElsewhereAndInOnePlaceOnly) {
   start();
   ScriptedWorker& lost = machine_of(0);
   lost.isolated = true;
-  s.run_for(seconds(30));
-  for (uint32_t i = 0; i < api.tasks; ++i) EXPECT_EQ(s.copies({api.id, i}), 1u) << i;
+  site.run_for(seconds(30));
+  for (uint32_t i = 0; i < api.tasks; ++i) EXPECT_EQ(site.copies({api.id, i}), 1u) << i;
   lost.isolated = false;
-  s.run_for(seconds(30));
+  site.run_for(seconds(30));
   EXPECT_EQ(running(api), api.tasks);
-  expect_no_violations(s);
+  expect_no_violations(site);
 }
 
-TEST_F(Replicas, LeaveAnInterruptedMachineBeforeItGoes) {
+TEST_F(ReplicaTest, LeaveAnInterruptedMachineBeforeItGoes) {
   start();
   ScriptedWorker& interrupted = machine_of(0);
   const auto on_it = [&] {
-    size_t n = 0;
+    size_t count = 0;
     for (uint32_t i = 0; i < api.tasks; ++i) {
       for (const auto& [key, task] : interrupted.tasks) {
-        n += key.first == TaskRef{api.id, i} && task.state == TaskState::running;
+        count += key.first == TaskRef{api.id, i} && task.state == TaskState::running;
       }
     }
-    return n;
+    return count;
   };
   const size_t before = on_it();
   for (int left = 12; left > 4; --left) {
     interrupted.interruption_notice = Seconds(left);
-    s.run_for(seconds(1));
+    site.run_for(seconds(1));
     EXPECT_EQ(on_it(), before) << "it stays as long as is safe";
   }
   for (int left = 4; left > 0; --left) {
     interrupted.interruption_notice = Seconds(left);
-    s.run_for(seconds(1));
+    site.run_for(seconds(1));
   }
   EXPECT_EQ(on_it(), 0u);
   EXPECT_EQ(running(api), api.tasks) << "all run elsewhere before it is gone";
-  expect_no_violations(s);
+  expect_no_violations(site);
 }
 
-TEST_F(Replicas, KeepToTheirSpreadWhileAZoneIsLost) {
+TEST_F(ReplicaTest, KeepToTheirSpreadWhileAZoneIsLost) {
   JobSpec spread = service("run-000002", 5);
   spread.spread = true;
-  ASSERT_EQ(s.submit(spread).status, 201);
-  s.run_for(seconds(20));
+  ASSERT_EQ(site.submit(spread).status, 201);
+  site.run_for(seconds(20));
   ASSERT_EQ(running(spread), spread.tasks);
-  s.cloud.unavailable = true;  // nor can the zone's machines be replaced
-  for (auto& [id, m] : s.cloud.machines) {
-    if (m.zone == "b" && s.workers.contains(id)) s.workers.at(id)->isolated = true;
+  site.cloud.unavailable = true;  // nor can the zone's machines be replaced
+  for (auto& [id, machine] : site.cloud.machines) {
+    if (machine.zone == "b" && site.workers.contains(id)) site.workers.at(id)->isolated = true;
   }
-  s.run_for(seconds(40));
+  site.run_for(seconds(40));
   EXPECT_EQ(running(spread), cluster::max_tasks_per_zone(spread));
-  for (auto& [id, w] : s.workers) w->isolated = false;
-  s.cloud.unavailable = false;
-  s.run_for(seconds(90));
+  for (auto& [id, worker] : site.workers) worker->isolated = false;
+  site.cloud.unavailable = false;
+  site.run_for(seconds(90));
   EXPECT_EQ(running(spread), spread.tasks);
-  expect_no_violations(s);
+  expect_no_violations(site);
 }
 
-TEST_F(Replicas, AreNotAllOnOneMachineWhereAnotherHasRoom) {
+TEST_F(ReplicaTest, AreNotAllOnOneMachineWhereAnotherHasRoom) {
   const JobSpec before = service("run-000009", 8);
-  ASSERT_EQ(s.submit(before).status, 201);
-  s.run_for(seconds(20));
-  ASSERT_EQ(s.cancel(before.id).status, 200);
-  s.run_for(seconds(3));  // two machines are up and free
+  ASSERT_EQ(site.submit(before).status, 201);
+  site.run_for(seconds(20));
+  ASSERT_EQ(site.cancel(before.id).status, 200);
+  site.run_for(seconds(3));  // two machines are up and free
   start();
   std::map<std::string, size_t> by_machine;
   for (uint32_t i = 0; i < api.tasks; ++i) ++by_machine[machine_of(i).id];
-  for (const auto& [id, n] : by_machine) EXPECT_LE(n, api.tasks / 2) << id;
+  for (const auto& [id, replicas] : by_machine) EXPECT_LE(replicas, api.tasks / 2) << id;
 }
 
-TEST_F(Replicas, StartBeforeWorkOfLowerPriorityWhereNothingCanBeLaunched) {
-  s.cloud.capacity = {{"box/a/ordinary", 1}};
+TEST_F(ReplicaTest, StartBeforeWorkOfLowerPriorityWhereNothingCanBeLaunched) {
+  site.cloud.capacity = {{"box/a/ordinary", 1}};
   JobSpec batch = job("run-000005", 40);
-  ASSERT_EQ(s.submit(batch).status, 201);
-  s.run_for(seconds(20));
-  ASSERT_EQ(s.submit(api).status, 201);
-  s.run_for(seconds(12));
+  ASSERT_EQ(site.submit(batch).status, 201);
+  site.run_for(seconds(20));
+  ASSERT_EQ(site.submit(api).status, 201);
+  site.run_for(seconds(12));
   EXPECT_EQ(running(api), api.tasks);
-  expect_no_violations(s);
+  expect_no_violations(site);
 }
 
 // --- the decisions behind it
 
-struct ReplicaDecisions : testing::Test {
-  ReplicaDecisions() {
+struct ReplicaDecisionTest : testing::Test {
+  ReplicaDecisionTest() {
     MachineType box;
     box.name = "box";
     box.size = {8, 0, 32};
     box.zones = {"a", "b"};
     box.price = 1;
     box.boot = Seconds(20);
-    c.begin_term(1, now);
-    c.set_catalog({box});
+    cluster_state.begin_term(1, now);
+    cluster_state.set_catalog({box});
   }
   cluster::Machine& machine(const std::string& id) {
     Heartbeat heartbeat;
@@ -211,28 +213,29 @@
     heartbeat.incarnation = 1;
     heartbeat.sequence = ++sequence;
     heartbeat.fencing_token = 1;
-    (void)c.handle_heartbeat(heartbeat, now, false, effects);
-    return *c.find_machine(id);
+    (void)cluster_state.handle_heartbeat(heartbeat, now, false, effects);
+    return *cluster_state.find_machine(id);
   }
   cluster::Job& add(JobSpec spec) {
     const std::string id = spec.id;
-    c.load_job({std::move(spec), wall}, 10, now);
-    return *c.job(id);
+    cluster_state.load_job({std::move(spec), wall}, 10, now);
+    return *cluster_state.job(id);
   }
   cluster::Allocation& run(cluster::Machine& machine, cluster::Job& job) {
-    cluster::Allocation& allocation =
-        *c.allocate(machine, job, *job.pop_pending(), c.next_attempt(), now);
+    cluster::Allocation& allocation = *cluster_state.allocate(machine, job, *job.pop_pending(),
+                                                              cluster_state.next_attempt(), now);
     allocation.phase = cluster::AllocationPhase::seen;
     allocation.state = TaskState::running;
     allocation.running_since = now;
     return allocation;
   }
   scheduler::Plan plan() {
-    return scheduler::plan(c, nominations, cloud_capacity, platform, op, wall + Millis(100), now);
+    return scheduler::plan(cluster_state, nominations, cloud_capacity, platform, op,
+                           wall + Millis(100), now);
   }
   settings::Platform platform = Site::platform(0, 1);
   settings::Operator op;
-  cluster::Cluster c{platform, op};
+  cluster::Cluster cluster_state{platform, op};
   preemption::Nominations nominations;
   scheduler::CloudCapacity cloud_capacity;
   cluster::Effects effects;
@@ -241,7 +244,7 @@
   uint64_t sequence = 0;
 };
 
-TEST_F(ReplicaDecisions, RoomIsLaunchedForAllAtOnceSinceNoPlaceIsUsedTwice) {
+TEST_F(ReplicaDecisionTest, RoomIsLaunchedForAllAtOnceSinceNoPlaceIsUsedTwice) {
   JobSpec spec = service("run-000001", 16);  // four fit on a machine
   add(spec);
   uint32_t machines = 0;
@@ -249,11 +252,11 @@
   EXPECT_EQ(machines, 4u);
 }
 
-TEST_F(ReplicaDecisions, NoRoomIsKeptWhereOnlyReplicasWouldHaveToEnd) {
+TEST_F(ReplicaDecisionTest, NoRoomIsKeptWhereOnlyReplicasWouldHaveToEnd) {
   cloud_capacity.refused_offers = {{"box", "a", false}, {"box", "b", false}};
-  cluster::Machine& taken = machine("vm-1");
+  cluster::Machine& full = machine("vm-1");
   cluster::Job& api = add(service("run-000001", 4));
-  for (int i = 0; i < 4; ++i) run(taken, api);
+  for (int i = 0; i < 4; ++i) run(full, api);
   JobSpec gang = job("run-000002", 2);
   gang.gang = true;
   add(gang);
@@ -263,41 +266,42 @@
   EXPECT_EQ(result_plan.waiting_jobs[0].cause, scheduler::WaitCause::no_room);
 }
 
-TEST_F(ReplicaDecisions, AReplicaIsNoVictimOfAnEqualAndCostsItsGapHoweverLongItRan) {
+TEST_F(ReplicaDecisionTest, AReplicaIsNoVictimOfAnEqualAndCostsItsGapHoweverLongItRan) {
   cluster::Machine& this_machine = machine("vm-1");
   cluster::Job& api = add(service("run-000001", 1));
   const cluster::Allocation& allocation = run(this_machine, api);
-  const double soon = preemption::lost_work(allocation, &api, now);
-  EXPECT_EQ(preemption::lost_work(allocation, &api, now + std::chrono::hours(5)), soon);
-  EXPECT_GT(soon, 0);
+  const double initial_loss = preemption::lost_work(allocation, &api, now);
+  EXPECT_EQ(preemption::lost_work(allocation, &api, now + std::chrono::hours(5)), initial_loss);
+  EXPECT_GT(initial_loss, 0);
   preemption::Eligibility equal;
   equal.priority = Priority::production;
   const preemption::MachineCapacity capacity(this_machine, nominations, this_machine.size);
-  EXPECT_FALSE(preemption::simulate(capacity, nominations, c, {8, 0, 4}, 0, equal, now));
+  EXPECT_FALSE(
+      preemption::simulate(capacity, nominations, cluster_state, {8, 0, 4}, 0, equal, now));
 }
 
-TEST_F(ReplicaDecisions, AServiceIsNotOverdueForHavingRunForLong) {
+TEST_F(ReplicaDecisionTest, AServiceIsNotOverdueForHavingRunForLong) {
   // What goes before all else begins with a part of its tasks; replicas lost later start at once.
   cluster::Machine& this_machine = machine("vm-1");
   cluster::Job& api = add(service("run-000001", 4));
   run(this_machine, api);
   wall += std::chrono::hours(2);
   uint32_t placed = 0;
-  for (const auto& p : plan().placements) placed += p.count;
+  for (const auto& placement : plan().placements) placed += placement.count;
   EXPECT_EQ(placed, 3u);
 }
 
-TEST_F(ReplicaDecisions, ProgressThatAnotherVersionRecordedMakesNoReplicaDone) {
+TEST_F(ReplicaDecisionTest, ProgressThatAnotherVersionRecordedMakesNoReplicaDone) {
   cluster::Job& api = add(service("run-000001", 4));
   const std::string chunk = wire::write_done_chunk(std::vector<bool>(4, true), 0);
-  c.load_done("run-000001", 0, wire::Document::parse(chunk)->root(), 33);
+  cluster_state.load_progress("run-000001", 0, wire::Document::parse(chunk)->root(), 33);
   EXPECT_EQ(api.done_count(), 0u);
   EXPECT_EQ(api.pending(), 4u);
-  (void)c.close_job("run-000001", true, now);
-  ASSERT_EQ(c.drain_dead_records().size(), 1u) << "the record goes with the job";
+  (void)cluster_state.close_job("run-000001", true, now);
+  ASSERT_EQ(cluster_state.drain_obsolete_records().size(), 1u) << "the record goes with the job";
 }
 
-TEST_F(ReplicaDecisions, OneHeldBackIsPlacedAgainAfterItsTimeAndNotBefore) {
+TEST_F(ReplicaDecisionTest, OneHeldBackIsPlacedAgainAfterItsTimeAndNotBefore) {
   cluster::Job& api = add(service("run-000001", 2));
   (void)api.pop_pending();
   api.back_off(0, now + seconds(5));
@@ -312,32 +316,33 @@
   EXPECT_FALSE(api.any_backed_off());
 }
 
-TEST_F(ReplicaDecisions, AServiceWhoseReplicasRanIsNotTakenForOneThatFailsEverywhere) {
+TEST_F(ReplicaDecisionTest, AServiceWhoseReplicasRanIsNotTakenForOneThatFailsEverywhere) {
   cluster::Job& api = add(service("run-000001", 6));
-  cluster::Machine& sound = machine("vm-0");
-  run(sound, api);
+  cluster::Machine& working = machine("vm-0");
+  run(working, api);
   now += seconds(40);
-  Heartbeat alive;
-  alive.machine = "vm-0";
-  alive.type = "box";
-  alive.zone = "a";
-  alive.incarnation = 1;
-  alive.sequence = ++sequence;
-  alive.fencing_token = 1;
-  alive.tasks = {{sound.allocations[0].task, sound.allocations[0].attempt, TaskState::running}};
-  (void)c.handle_heartbeat(alive, now, false, effects);
-  EXPECT_TRUE(api.proven);
+  Heartbeat running;
+  running.machine = "vm-0";
+  running.type = "box";
+  running.zone = "a";
+  running.incarnation = 1;
+  running.sequence = ++sequence;
+  running.fencing_token = 1;
+  running.tasks = {
+      {working.allocations[0].task, working.allocations[0].attempt, TaskState::running}};
+  (void)cluster_state.handle_heartbeat(running, now, false, effects);
+  EXPECT_TRUE(api.has_stable_replica);
   for (int n = 1; n <= 5; ++n) {
-    cluster::Machine& sick = machine("vm-" + std::to_string(n));
-    const cluster::Allocation& allocation = run(sick, api);
-    Heartbeat failed = alive;
-    failed.machine = sick.id;
+    cluster::Machine& faulty = machine("vm-" + std::to_string(n));
+    const cluster::Allocation& allocation = run(faulty, api);
+    Heartbeat failed = running;
+    failed.machine = faulty.id;
     failed.sequence = ++sequence;
     failed.tasks = {{allocation.task, allocation.attempt, TaskState::exited, ExitCause::error}};
-    (void)c.handle_heartbeat(failed, now, false, effects);
+    (void)cluster_state.handle_heartbeat(failed, now, false, effects);
   }
   EXPECT_FALSE(api.failing);
-  EXPECT_EQ(c.replica_restarts().ended, 5u);
+  EXPECT_EQ(cluster_state.replica_restarts().ended, 5u);
 }
 
 }  // namespace
