--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -1,4 +1,4 @@
-// The types that `Cluster` is made of, each by itself.
+// Unit tests of the components of `Cluster`.
 #include <gtest/gtest.h>
 
 #include "dunlinknot/cluster/demand_forecasts.hpp"
@@ -43,7 +43,7 @@
   EXPECT_EQ(queue.next(machines), nullptr);
 }
 
-TEST(RecordWriteQueue, PassesOverMachinesThatAreGoneOrClean) {
+TEST(RecordWriteQueue, SkipsRemovedAndCleanMachines) {
   MachineTable machines;
   Machine& gone = add_machine(machines, "vm-1");
   Machine& clean = add_machine(machines, "vm-2");
@@ -56,7 +56,7 @@
   EXPECT_EQ(queue.size(), 0u);
 }
 
-TEST(RecordWriteQueue, PutsAMachineBackToTheFront) {
+TEST(RecordWriteQueue, RequeuePutsMachineAtFront) {
   MachineTable machines;
   Machine& first = add_machine(machines, "vm-1");
   Machine& second = add_machine(machines, "vm-2");
@@ -79,13 +79,14 @@
   forecasts.add(spec, start + std::chrono::minutes(3));
   EXPECT_EQ(forecasts.by_class().at("quick").arrivals.size(), 2u);
   forecasts.add(spec, start + std::chrono::minutes(5));
-  EXPECT_EQ(forecasts.by_class().at("quick").arrivals.size(), 2u) << "the first is too old";
+  EXPECT_EQ(forecasts.by_class().at("quick").arrivals.size(), 2u)
+      << "the first submission is too old";
   spec.job_class = "other";
   forecasts.add(spec, start);
   EXPECT_FALSE(forecasts.by_class().contains("other"));
 }
 
-TEST(TeamUsageTable, CountsWhatIsReservedAgainstTheLimit) {
+TEST(TeamUsageTable, CountsReservationsAgainstLimit) {
   std::vector<settings::Team> teams(1);
   teams[0].cpus_max = 4;
   TeamUsageTable usage(teams);
@@ -94,26 +95,26 @@
   usage.reserve({Resources{1, 0, 0}});
   EXPECT_FALSE(usage.allows(0, {2, 0, 1}));
   EXPECT_TRUE(usage.allows(0, {1, 0, 1}));
-  EXPECT_TRUE(usage.allows(-1, {100, 0, 1})) << "a team that is not known has no limit";
+  EXPECT_TRUE(usage.allows(-1, {100, 0, 1})) << "an unknown team has no limit";
   usage.remove(0, {2, 0, 1});
   EXPECT_TRUE(usage.allows(0, {2, 0, 1}));
 }
 
-TEST(FailureDetector, SuspectsAMachineUntilARunIsObeyed) {
+TEST(FailureDetector, MachineIsUnreachableUntilItExecutesRun) {
   const settings::Operator operator_settings;
   const FailureDetector detector(operator_settings, seconds(30));
   MachineTable machines;
   Machine& machine = add_machine(machines, "vm-1");
   machine.has_heartbeat = true;
   for (int i = 0; i < 3; ++i) detector.on_response_lost(machine, kNow + seconds(1) * i);
-  EXPECT_FALSE(machine.unreachable) << "too soon after the first";
+  EXPECT_FALSE(machine.unreachable) << "too soon after the first suspicion";
   detector.on_response_lost(machine, kNow + seconds(10));
   EXPECT_EQ(FailureDetector::unreachable(machines), std::vector<std::string>{"vm-1"});
   detector.on_run_executed(machine);
   EXPECT_TRUE(FailureDetector::unreachable(machines).empty());
 }
 
-TEST(FailureDetector, NamesNoMachineWhenManyAreUnreachable) {
+TEST(FailureDetector, ReportsNoMachineIfManyAreUnreachable) {
   MachineTable machines;
   for (const char* id : {"vm-1", "vm-2", "vm-3"}) {
     Machine& machine = add_machine(machines, id);
@@ -124,7 +125,7 @@
   EXPECT_EQ(FailureDetector::unreachable(machines).size(), 2u);
 }
 
-TEST(FailureDetector, DrainsAMachineThatFailsTwoJobsButNotForOneJobAlone) {
+TEST(FailureDetector, DrainsMachineAfterErrorsOfTwoJobsButNotOfOne) {
   const settings::Operator operator_settings;
   const FailureDetector detector(operator_settings, seconds(30));
   MachineTable machines;
@@ -133,12 +134,12 @@
   Job& one = add_job(jobs, test::job("job-1", 5));
   Job& two = add_job(jobs, test::job("job-2", 5));
   for (int i = 0; i < 3; ++i) detector.on_task_error(machine, &one, jobs, kNow);
-  EXPECT_FALSE(machine.draining) << "it may be the job";
+  EXPECT_FALSE(machine.draining) << "the errors may be caused by the job";
   detector.on_task_error(machine, &two, jobs, kNow);
   EXPECT_TRUE(machine.draining);
 }
 
-TEST(FailureDetector, BacksOffAJobThatFailsOnEveryMachine) {
+TEST(FailureDetector, BacksOffJobThatFailsOnEveryMachine) {
   const settings::Operator operator_settings;
   const FailureDetector detector(operator_settings, seconds(30));
   MachineTable machines;
@@ -154,7 +155,7 @@
   EXPECT_FALSE(job.failing);
 }
 
-TEST(ReplicaBackoff, DelaysReplicasThatExitEarlyTwiceInARow) {
+TEST(ReplicaBackoff, DelaysReplicaAfterTwoConsecutiveEarlyExits) {
   const settings::Operator operator_settings;
   ReplicaBackoff backoff(operator_settings);
   JobTable jobs;
@@ -162,7 +163,7 @@
   spec.service = true;
   Job& service = add_job(jobs, spec);
   backoff.on_replica_end(service, 0, true, kNow);
-  EXPECT_EQ(service.pending(), 1u) << "the first restart is free";
+  EXPECT_EQ(service.pending(), 1u) << "the first restart is not delayed";
   backoff.on_replica_end(service, 0, true, kNow);
   EXPECT_EQ(service.pending(), 0u);
   const Instant due = kNow + to_nanos(operator_settings.backoff_first);
@@ -182,7 +183,7 @@
   EXPECT_TRUE(holders.of("job-1").empty());
 }
 
-TEST(PendingStopCalls, LeavesOutMachinesThatCannotBeCalled) {
+TEST(PendingStopCalls, OmitsMachinesThatCannotBeCalled) {
   MachineTable machines;
   Machine& machine = add_machine(machines, "vm-1");
   Allocation allocation;
@@ -193,7 +194,7 @@
   machine.has_heartbeat = true;
   PendingStopCalls calls;
   calls.add(machine);
-  EXPECT_TRUE(calls.drain(machines).empty()) << "it has no address";
+  EXPECT_TRUE(calls.drain(machines).empty()) << "the machine has no address";
   EXPECT_FALSE(calls.any());
   machine.address = "10.0.0.1:9000";
   calls.add(machine);
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -1,4 +1,4 @@
-// The leader's view of the cluster: when an allocation begins and, above all, when it ends.
+// Tests of `Cluster`: when allocations are created and ended, and which commands workers are sent.
 #include "dunlinknot/cluster/cluster.hpp"
 
 #include <gtest/gtest.h>
@@ -47,7 +47,7 @@
                 ExitCause cause = ExitCause::none) {
     return {allocation.task, allocation.attempt, state, cause, false};
   }
-  // Allocates one task of the job on vm-1 and makes it durable.
+  // Allocates one task of the job on the machine and makes the allocation durable.
   Allocation& durable(Job& job, const std::string& machine_id = "vm-1") {
     Machine& machine = *cluster_state.find_machine(machine_id);
     cluster_state.allocate(machine, job, *job.pop_pending(), cluster_state.next_attempt(), now);
@@ -68,7 +68,7 @@
   Effects effects;
 };
 
-TEST_F(ClusterTest, ARunGoesOutOnlyOnceItsAllocationIsDurable) {
+TEST_F(ClusterTest, RunIsSentOnlyAfterAllocationIsDurable) {
   Job& open_job = add(job("run-000001", 2));
   send(heartbeat());
   Machine& machine = *cluster_state.find_machine("vm-1");
@@ -77,58 +77,60 @@
   EXPECT_TRUE(send(heartbeat()).empty());
   Effects ignored;
   cluster_state.machine_stored(machine, cluster_state.record_of(machine), 21, ignored);
-  EXPECT_TRUE(send(heartbeat(), false).empty()) << "without the key-value store nothing starts";
+  EXPECT_TRUE(send(heartbeat(), false).empty()) << "no task starts without the key-value store";
   const auto commands = send(heartbeat());
   ASSERT_EQ(commands.size(), 1u);
   EXPECT_EQ(commands[0].op, Command::Op::start);
 }
 
-TEST_F(ClusterTest, AnAnswerWaitsOnlyWhereARunMayComeAndNeverOutlivesItsHeartbeat) {
-  // A `run` travels only in answers, and on a large cluster the next one is seconds away.
+TEST_F(ClusterTest, ResponseIsDelayedOnlyIfRunIsLikelyAndIsStaleAfterNewerHeartbeat) {
+  // A `run` is sent only in responses to heartbeats. On a large cluster the next heartbeat is
+  // seconds away, so a response sent too early delays the start of the task.
   Job& open_job = add(job("run-000001", 8));
   Heartbeat first = heartbeat();
   first.fencing_token = 4;
   EXPECT_FALSE(cluster_state.apply_heartbeat(first, now, true, effects).run_likely)
-      << "does not bear our fencing token";
+      << "the heartbeat does not have our fencing token";
   EXPECT_FALSE(cluster_state.apply_heartbeat(heartbeat(), now, true, effects).run_likely)
-      << "nothing waits for a place";
+      << "there are no pending tasks";
   cluster_state.set_has_pending_work(true);
   EXPECT_FALSE(cluster_state.apply_heartbeat(heartbeat(), now, true, effects).run_likely)
-      << "nothing changed there";
+      << "nothing changed on the machine";
   Machine& machine = *cluster_state.find_machine("vm-1");
   cluster_state.allocate(machine, open_job, *open_job.pop_pending(), cluster_state.next_attempt(),
                          now);
   const Heartbeat waiting = heartbeat();
   EXPECT_TRUE(cluster_state.apply_heartbeat(waiting, now, true, effects).run_likely)
-      << "its allocation is being written";
+      << "an allocation on the machine is being written";
   Effects ignored;
   cluster_state.machine_stored(machine, cluster_state.record_of(machine), 21, ignored);
   EXPECT_TRUE(ignored.runs);
   EXPECT_EQ(cluster_state.drain_runnable(), std::vector<std::string>{"vm-1"});
-  const Heartbeat newer = heartbeat();  // its worker gave the answer up
+  const Heartbeat newer = heartbeat();  // the worker timed out waiting for the response
   EXPECT_FALSE(cluster_state.apply_heartbeat(newer, now, true, effects).run_likely)
-      << "the run goes at once";
+      << "the run is sent immediately";
   EXPECT_EQ(cluster_state.commands_for(waiting, now, true).kind, HeartbeatResponse::Kind::stale);
   EXPECT_TRUE(cluster_state.commands_for(newer, now, false).commands.empty())
-      << "the key-value store went meanwhile";
+      << "the key-value store became unavailable meanwhile";
   ASSERT_EQ(cluster_state.commands_for(newer, now, true).commands.size(), 1u);
   cluster_state.remove_machine("vm-1", now);
   EXPECT_EQ(cluster_state.commands_for(newer, now, true).kind, HeartbeatResponse::Kind::stale)
-      << "deleted meanwhile";
+      << "the machine was removed meanwhile";
 }
 
-TEST_F(ClusterTest, ALostResponseIsSaidAgainAndTheAllocationStays) {
+TEST_F(ClusterTest, RunIsResentAfterLostResponse) {
   Job& open_job = add(job("run-000001"));
   send(heartbeat());
   durable(open_job);
   ASSERT_EQ(send(heartbeat()).size(), 1u);
-  const auto again = send(heartbeat());  // newer, and without the task: the response was dropped
+  // The newer heartbeat does not list the task, so the response was lost.
+  const auto again = send(heartbeat());
   ASSERT_EQ(again.size(), 1u);
   EXPECT_EQ(again[0].op, Command::Op::start);
   EXPECT_EQ(allocated(), 1u);
 }
 
-TEST_F(ClusterTest, ALateHeartbeatChangesNothing) {
+TEST_F(ClusterTest, OutdatedHeartbeatIsIgnored) {
   Job& open_job = add(job("run-000001"));
   send(heartbeat());
   const Heartbeat late = heartbeat();
@@ -147,7 +149,7 @@
   EXPECT_EQ(allocated(), 1u);
 }
 
-TEST_F(ClusterTest, ATaskThatVanishesEndsItsAllocationOnlyUnderOurFencingToken) {
+TEST_F(ClusterTest, UnlistedTaskEndsAllocationOnlyWithCurrentFencingToken) {
   Job& open_job = add(job("run-000001"));
   send(heartbeat());
   const Allocation& allocation = durable(open_job);
@@ -155,7 +157,7 @@
   Heartbeat running = heartbeat();
   running.tasks = {on(allocation)};
   send(running);
-  fencing_token = 4;  // an older leader's fencing token: its commands may still count there
+  fencing_token = 4;  // the token of a former leader: the worker may still execute its commands
   send(heartbeat());
   EXPECT_EQ(allocated(), 1u);
   fencing_token = 5;
@@ -164,13 +166,14 @@
   EXPECT_EQ(open_job.pending(), 1u);
 }
 
-TEST_F(ClusterTest, InheritedAllocationsStayUntilAHeartbeatBearsOurFencingToken) {
+TEST_F(ClusterTest, InheritedAllocationIsKeptUntilHeartbeatWithCurrentFencingToken) {
   Job& open_job = add(job("run-000001", 2));
   wire::MachineRecord record{
       "box", "a", "10.0.0.1:9000", false, {{"run-000001", "red", {2, 0, 4}, false, {{0, 3}}}}};
   cluster_state.load_machine("vm-1", record, 7, now);
   EXPECT_EQ(cluster_state.usage(0).used.cpus, 2);
-  EXPECT_EQ(open_job.pending(), 1u) << "task 0 may run there and may not be started elsewhere";
+  EXPECT_EQ(open_job.pending(), 1u)
+      << "task 0 may be running on the machine and must not start elsewhere";
   fencing_token = 4;
   send(heartbeat());
   EXPECT_EQ(allocated(), 1u) << "the former leader's `run` may still arrive";
@@ -180,7 +183,7 @@
   EXPECT_EQ(open_job.pending(), 2u);
 }
 
-TEST_F(ClusterTest, ASilentWorkerIsTimedOutFromWhatWeAnsweredLast) {
+TEST_F(ClusterTest, LeaseExpiryIsCountedFromLastResponse) {
   Job& open_job = add(job("run-000001"));
   send(heartbeat());
   durable(open_job);
@@ -188,12 +191,12 @@
   const Instant answered = now;
   now = answered + seconds(14);
   cluster_state.expire_leases(now);
-  EXPECT_EQ(allocated(), 1u) << "clocks drift: not on the second";
+  EXPECT_EQ(allocated(), 1u) << "the bound allows for clock drift";
   now = answered + leadership::worker_lease_bound(platform);
   cluster_state.expire_leases(now);
   EXPECT_EQ(allocated(), 0u);
   EXPECT_TRUE(cluster_state.find_machine("vm-1")->lost);
-  // A heartbeat of the old incarnation that was held up on its way brings nothing back.
+  // A delayed heartbeat of the old incarnation is rejected.
   EXPECT_EQ(cluster_state.handle_heartbeat(heartbeat(), now, true, effects).kind,
             HeartbeatResponse::Kind::stale);
   incarnation = 2;
@@ -202,7 +205,7 @@
             HeartbeatResponse::Kind::accept);
 }
 
-TEST_F(ClusterTest, ANewLeaderWaitsForTheBlindWindowOfTheOldOne) {
+TEST_F(ClusterTest, NewLeaderExpiresLeasesOnlyAfterFormerRenewalWindow) {
   add(job("run-000001"));
   wire::MachineRecord record{
       "box", "a", "10.0.0.1:9000", false, {{"run-000001", "red", {2, 0, 4}, false, {{0, 3}}}}};
@@ -213,11 +216,12 @@
   EXPECT_EQ(allocated(), 1u);
   cluster_state.expire_leases(now + wait + seconds(1));
   EXPECT_EQ(allocated(), 0u);
-  // blind window + lease + margin stay inside the time a cancellation has.
+  // The renewal window, the lease and a margin together must be shorter than the time limit of a
+  // cancellation.
   EXPECT_LT(wait + seconds(1), to_nanos(platform.cancel));
 }
 
-TEST_F(ClusterTest, DeletingAMachineEndsWhatWasOnItAndItsLateHeartbeatsAreNotBelieved) {
+TEST_F(ClusterTest, RemovedMachineLosesAllocationsAndLateHeartbeatsAreRejected) {
   Job& open_job = add(job("run-000001"));
   send(heartbeat());
   durable(open_job);
@@ -230,7 +234,7 @@
   EXPECT_EQ(cluster_state.drain_obsolete_records().size(), 1u);
 }
 
-TEST_F(ClusterTest, ANewIncarnationEndsWhatWasSentInTheOldOne) {
+TEST_F(ClusterTest, NewIncarnationEndsAllocationsSentToPreviousOne) {
   Job& open_job = add(job("run-000001", 2));
   send(heartbeat());
   durable(open_job);
@@ -242,7 +246,7 @@
   EXPECT_EQ(open_job.pending(), 2u);
 }
 
-TEST_F(ClusterTest, ADoneTaskIsForgottenOnlyWhenItsCompletionIsDurable) {
+TEST_F(ClusterTest, ForgetIsSentOnlyAfterCompletionIsDurable) {
   Job& open_job = add(job("run-000001", 2));
   send(heartbeat());
   const Allocation allocation = durable(open_job);
@@ -259,7 +263,7 @@
   EXPECT_EQ(commands[0].op, Command::Op::forget);
 }
 
-TEST_F(ClusterTest, ACancelledJobIsStoppedEverywhereAndStaysAllocatedUntilGone) {
+TEST_F(ClusterTest, CancelledJobIsStoppedAndStaysAllocatedUntilTasksEnd) {
   Job& open_job = add(job("run-000001", 3));
   send(heartbeat());
   const Allocation running = durable(open_job);
@@ -267,10 +271,11 @@
   Heartbeat status = heartbeat();
   status.tasks = {on(running)};
   send(status);
-  durable(open_job);  // its run has not gone out
+  durable(open_job);  // its `run` is not sent
   cluster_state.close_job("run-000001", true, now);
   EXPECT_EQ(allocated(), 1u);
-  EXPECT_EQ(cluster_state.usage(0).used.cpus, 2) << "its team's limit counts it until it is gone";
+  EXPECT_EQ(cluster_state.usage(0).used.cpus, 2)
+      << "the task counts towards its team's limit until it has ended";
   const auto calls = cluster_state.drain_stop_calls();
   ASSERT_EQ(calls.size(), 1u);
   EXPECT_EQ(calls[0].commands[0].grace, Seconds(0));
@@ -283,7 +288,7 @@
   EXPECT_EQ(cluster_state.usage(0).used.cpus, 0);
 }
 
-TEST_F(ClusterTest, AReturningMachineWithTasksOfAClosedJobIsToldToStopThem) {
+TEST_F(ClusterTest, ReportedTaskOfClosedJobIsStopped) {
   Heartbeat status = heartbeat();
   status.tasks = {{{"run-000009", 0}, 3, TaskState::running, ExitCause::none, false}};
   const auto commands = send(status);
@@ -293,7 +298,7 @@
   EXPECT_EQ(allocated(), 1u);
 }
 
-TEST_F(ClusterTest, AGangStartsWhenAllItsAllocationsStandAndBreaksAsAWhole) {
+TEST_F(ClusterTest, GangStartsOnceAllAllocationsAreDurableAndBreaksAsAWhole) {
   JobSpec spec = job("run-000001", 2);
   spec.gang = true;
   Job& job = add(spec);
@@ -306,7 +311,7 @@
   cluster_state.allocate(second_machine, job, *job.pop_pending(), attempt, now);
   Effects ignored;
   cluster_state.machine_stored(first_machine, cluster_state.record_of(first_machine), 21, ignored);
-  EXPECT_TRUE(send(heartbeat("vm-1")).empty()) << "the other allocation does not stand yet";
+  EXPECT_TRUE(send(heartbeat("vm-1")).empty()) << "the other allocation is not durable yet";
   cluster_state.machine_stored(second_machine, cluster_state.record_of(second_machine), 22,
                                ignored);
   EXPECT_EQ(send(heartbeat("vm-1")).size(), 1u);
@@ -314,7 +319,8 @@
   Heartbeat status = heartbeat("vm-1");
   status.tasks = {on(first_machine.allocations[0], TaskState::waiting)};
   send(status);
-  // One machine goes: the rest is stopped at once, and nothing starts before all of it is gone.
+  // One machine is removed: the other tasks are stopped immediately, and no task is pending before
+  // all of them have ended.
   cluster_state.remove_machine("vm-2", now);
   EXPECT_TRUE(job.any_live());
   const auto calls = cluster_state.drain_stop_calls();
@@ -325,7 +331,7 @@
   EXPECT_EQ(job.pending(), 2u);
 }
 
-TEST_F(ClusterTest, AJobFailingEverywhereBacksOffAndItsMachinesAreNotBlamed) {
+TEST_F(ClusterTest, JobFailingOnEveryMachineBacksOffWithoutDrainingMachines) {
   Job& open_job = add(job("run-000001", 10));
   for (int i = 1; i <= 3; ++i) {
     const std::string machine_id = "vm-" + std::to_string(i);
@@ -343,7 +349,7 @@
   EXPECT_GT(open_job.not_before, now);
 }
 
-TEST_F(ClusterTest, AMachineFailingWhatOthersCompleteIsDrained) {
+TEST_F(ClusterTest, MachineFailingTasksThatCompleteElsewhereIsDrained) {
   Job& open_job = add(job("run-000001", 10));
   send(heartbeat("vm-2"));
   const Allocation completed = durable(open_job, "vm-2");
@@ -363,10 +369,10 @@
   EXPECT_FALSE(cluster_state.find_machine("vm-2")->draining);
 }
 
-TEST_F(ClusterTest, WhatWasNotSentToAMachineThatWillNotGetItGoesElsewhere) {
-  // Found on days of our own: a job waited for good beside free machines, for an allocation that
-  // was durable, and unsent, when its machine was drained. So with one that is unreachable, or
-  // silent.
+TEST_F(ClusterTest, UnsentAllocationsOnUnusableMachineAreEnded) {
+  // Guards against a job that never starts although machines are free (found in simulated days):
+  // its allocation was durable but unsent when its machine was drained. The same can happen on
+  // machines that are unreachable, are terminating or send no heartbeats.
   for (const int cause : {0, 1, 2, 3}) {
     const std::string machine_id = "vm-" + std::to_string(cause + 1);
     Job& open_job = add(job("run-00000" + std::to_string(cause + 1), 2));
@@ -374,7 +380,7 @@
     durable(open_job, machine_id);
     Machine& machine = *cluster_state.find_machine(machine_id);
     cluster_state.allocate(machine, open_job, *open_job.pop_pending(), cluster_state.next_attempt(),
-                           now);  // not even written down
+                           now);  // not durable
     if (cause == 0) machine.draining = true;
     if (cause == 1) machine.unreachable = true;
     if (cause == 2) machine.terminating = true;
@@ -386,13 +392,13 @@
   }
 }
 
-TEST_F(ClusterTest, AHigherTokenInAHeartbeatSupersedesUs) {
+TEST_F(ClusterTest, HigherFencingTokenSupersedesLeader) {
   fencing_token = 6;
   EXPECT_EQ(cluster_state.handle_heartbeat(heartbeat(), now, true, effects).kind,
             HeartbeatResponse::Kind::superseded);
 }
 
-TEST_F(ClusterTest, ACheckpointingTaskIsSavedBeforeAnInterruption) {
+TEST_F(ClusterTest, TaskWithCheckpointIsSavedBeforeInterruption) {
   JobSpec spec = job("run-000001");
   spec.checkpoint = Seconds(10);
   spec.save = Seconds(3);
@@ -405,7 +411,8 @@
   status.interruption_notice = Seconds(12);
   send(status);
   cluster_state.tick(now);
-  EXPECT_TRUE(cluster_state.drain_stop_calls().empty()) << "it works on while there is time";
+  EXPECT_TRUE(cluster_state.drain_stop_calls().empty())
+      << "the task keeps running while there is time";
   now += seconds(6);
   cluster_state.tick(now);
   const auto calls = cluster_state.drain_stop_calls();
@@ -413,7 +420,7 @@
   EXPECT_GE(calls[0].commands[0].grace, spec.save);
 }
 
-TEST_F(ClusterTest, AGangOnAnInterruptedMachineIsToldToSaveAsAWhole) {
+TEST_F(ClusterTest, GangOnInterruptedMachineSavesCheckpointAsAWhole) {
   JobSpec spec = job("run-000001", 2);
   spec.gang = true;
   spec.checkpoint = Seconds(10);
@@ -433,9 +440,9 @@
   send(status);
   cluster_state.tick(now);
   const auto calls = cluster_state.drain_stop_calls();
-  ASSERT_EQ(calls.size(), 2u) << "both in the same moment";
+  ASSERT_EQ(calls.size(), 2u) << "both tasks are stopped at the same time";
   for (const auto& call : calls) EXPECT_GE(call.commands[0].grace, spec.save);
-  // The first that has saved and gone does not have the rest cut short.
+  // The exit of the first task after saving must not interrupt the saving of the other task.
   status.tasks[0].state = TaskState::exited;
   status.tasks[0].cause = ExitCause::stopped;
   status.tasks[0].saved = true;
@@ -445,7 +452,7 @@
   EXPECT_TRUE(job.any_live());
 }
 
-TEST_F(ClusterTest, AnOverlongRecordIsNeverPlanned) {
+TEST_F(ClusterTest, PlannedRecordStaysWithinSizeLimit) {
   JobSpec spec = job("run-000001", 10'000);
   spec.need = {0.001, 0, 0.001};
   Job& job = add(spec);
@@ -462,7 +469,8 @@
     ++planned;
   }
   EXPECT_GT(planned, 50u);
-  // As the platform counts it, in JSON; and the bound that was planned with is none too low.
+  // The size of the record in JSON, as counted by the platform, must not exceed the bound used for
+  // planning.
   const std::string written = wire::write_machine_record(cluster_state.record_of(machine));
   const size_t size = wire::json_size(wire::Document::parse(written)->root());
   EXPECT_LE(size, cluster_state.record_size(machine));
@@ -472,8 +480,9 @@
             platform.store_limits.value_bytes);
 }
 
-TEST_F(ClusterTest, AQueuedTaskStartsWithTheHeartbeatThatTellsOfTheRoom) {
-  // Found on the grown deployment: one write a task used the key-value store's budget up.
+TEST_F(ClusterTest, QueuedTaskStartsWithHeartbeatThatFreesResources) {
+  // Queueing tasks on machines avoids one record write per task, which exhausted the write budget
+  // of the key-value store on a large deployment.
   Job& open_job = add(job("run-000001", 2));
   send(heartbeat());
   Machine& machine = *cluster_state.find_machine("vm-1");
@@ -488,28 +497,30 @@
                          {0, 0}, now);
   Effects ignored;
   cluster_state.machine_stored(machine, cluster_state.record_of(machine), ++mod_revision, ignored);
-  EXPECT_EQ(machine.used.cpus, 8) << "what waits takes no room";
+  EXPECT_EQ(machine.used.cpus, 8) << "queued tasks use no resources";
   EXPECT_EQ(cluster_state.usage(0).used.cpus, 8);
   EXPECT_EQ(open_job.pending(), 0u);
   ASSERT_EQ(send(heartbeat()).size(), 1u) << "the machine is full";
   Heartbeat status = heartbeat();
   status.tasks = {on(first)};
   EXPECT_TRUE(send(status).empty());
-  // The room is there; some of it is promised to a preemptor.
+  // The machine has free resources, but some are reserved for a nomination.
   cluster_state.set_reserved({{"vm-1", {5, 0, 4}}}, {});
   status = heartbeat();
   status.tasks = {on(first, TaskState::exited, ExitCause::done)};
   const auto commands = send(status);
   ASSERT_EQ(commands.size(), 1u);
   EXPECT_EQ(commands[0].op, Command::Op::start);
-  EXPECT_EQ(commands[0].task.index, 1u) << "the one whose turn comes first";
+  EXPECT_EQ(commands[0].task.index, 1u) << "the task with the first queue position";
   EXPECT_EQ(machine.used.cpus, 2);
-  EXPECT_EQ(cluster_state.usage(0).used.cpus, 2) << "counted from here on";
+  EXPECT_EQ(cluster_state.usage(0).used.cpus, 2)
+      << "the task counts towards the limit from its start";
 }
 
-TEST_F(ClusterTest, AMachineThatGoesLeavesNothingHeldBehind) {
-  // The next cycle clears what the last one held: not on a machine that is gone (address
-  // sanitizer).
+TEST_F(ClusterTest, RemovedMachineLeavesNoReservation) {
+  // Guards against a use after free (found by the address sanitizer): a scheduling cycle clears the
+  // reservations of the previous one, and a machine with a reservation may have been destroyed
+  // meanwhile.
   send(heartbeat());
   send(heartbeat("vm-2"));
   cluster_state.set_reserved({{"vm-1", {5, 0, 4}}, {"vm-2", {1, 0, 1}}}, {});
@@ -519,9 +530,9 @@
   EXPECT_FALSE(cluster_state.find_machine("vm-1"));
 }
 
-TEST_F(ClusterTest, AQueuedTaskRespectsItsTeamsLimit) {
+TEST_F(ClusterTest, QueuedTasksRespectTeamLimit) {
   JobSpec spec = job("run-000001", 3);
-  spec.team = "tiny";  // at most 4 cpus
+  spec.team = "tiny";  // limit: 4 cpus
   Job& job = add(spec);
   send(heartbeat());
   Machine& machine = *cluster_state.find_machine("vm-1");
@@ -531,12 +542,12 @@
   Effects ignored;
   cluster_state.machine_stored(machine, cluster_state.record_of(machine), ++mod_revision, ignored);
   EXPECT_EQ(send(heartbeat()).size(), 2u);
-  // Saved up for a gang of the team: nothing more of it is given away.
+  // Resources reserved for a gang of the team are not available to its queued task.
   cluster_state.set_reserved({}, {Resources{}, Resources{}, Resources{4, 0, 0}});
   EXPECT_EQ(job.queued_tasks, 1u);
 }
 
-TEST_F(ClusterTest, AQueuedTaskLeavesAMachineThatNothingIsHeardOf) {
+TEST_F(ClusterTest, QueuedTaskIsMovedOffMachineWithoutHeartbeats) {
   Job& open_job = add(job("run-000001", 2));
   send(heartbeat());
   Machine& machine = *cluster_state.find_machine("vm-1");
@@ -548,13 +559,14 @@
   EXPECT_EQ(open_job.pending(), 1u);
   now += seconds(5);
   cluster_state.tick(now);
-  EXPECT_EQ(open_job.pending(), 2u) << "its run never went out, so it may go elsewhere at once";
+  EXPECT_EQ(open_job.pending(), 2u)
+      << "no run was sent, so the task can be placed elsewhere immediately";
   EXPECT_TRUE(machine.allocations.empty());
 }
 
-TEST_F(ClusterTest, ACopyOfAnAnsweredHeartbeatIsNoSignOfLife) {
-  // Copies of heartbeats may come seconds or more than a lease late. One kept a dead machine's
-  // allocations, because whatever was answered counted as a renewal.
+TEST_F(ClusterTest, DuplicateHeartbeatDoesNotRenewLease) {
+  // Duplicates of heartbeats can arrive seconds or more than a lease late. When every response
+  // counted as a renewal, a duplicate kept the allocations of a lost machine.
   Job& open_job = add(job("run-000001"));
   send(heartbeat());
   const Allocation& allocation = durable(open_job);
@@ -571,14 +583,15 @@
   }
   EXPECT_TRUE(cluster_state.find_machine("vm-1")->lost);
   EXPECT_EQ(allocated(), 0u);
-  // And it stays lost, however many copies come.
+  // The machine stays lost when further duplicates arrive.
   EXPECT_EQ(cluster_state.handle_heartbeat(running, now, true, effects).kind,
             HeartbeatResponse::Kind::stale);
   EXPECT_TRUE(cluster_state.find_machine("vm-1")->lost);
 }
 
-TEST_F(ClusterTest, AMachineThatOurAnswersDoNotReachIsFoundOut) {
-  // Its heartbeats come, so it never falls silent; whatever it is given is lost.
+TEST_F(ClusterTest, MachineNotReachedByResponsesBecomesUnreachable) {
+  // The heartbeats of the machine arrive, so its lease does not expire here, but no command reaches
+  // it.
   Job& open_job = add(job("run-000001"));
   send(heartbeat());
   send(heartbeat("vm-2"));
@@ -589,15 +602,16 @@
     now += Millis(1500);
   }
   EXPECT_EQ(cluster_state.unreachable_machines(), std::vector<std::string>{"vm-1"});
-  EXPECT_EQ(allocated(), 1u) << "its allocation ends safely only with the machine";
+  EXPECT_EQ(allocated(), 1u) << "the allocation may end only when the machine is removed";
   cluster_state.tick(now);
   EXPECT_EQ(allocated(), 1u);
   cluster_state.remove_machine("vm-1", now);
   EXPECT_EQ(open_job.pending(), 1u);
 }
 
-TEST_F(ClusterTest, AMachineThatWasDeafIsUsedAgainOnceItsIncarnationOutlivesALease) {
-  // Found by random scenarios: nothing was sent to it that it could obey, and it stayed marked.
+TEST_F(ClusterTest, UnreachableMachineIsReusedAfterIncarnationOutlivesLease) {
+  // Guards against a machine that stays unreachable forever (found by random scenarios): it was
+  // sent no `run` that it could execute.
   Job& open_job = add(job("run-000001"));
   send(heartbeat());
   durable(open_job);
@@ -613,18 +627,17 @@
       send(heartbeat());
     }
   };
-  ++incarnation;  // its lease ran out: still deaf
+  ++incarnation;  // its lease expired: responses still do not reach it
   heartbeats_for(seconds(13));
   EXPECT_TRUE(cluster_state.find_machine("vm-1")->unreachable);
   ++incarnation;
   heartbeats_for(seconds(13));
   EXPECT_TRUE(cluster_state.find_machine("vm-1")->unreachable);
-  heartbeats_for(
-      seconds(4));  // the same incarnation for longer than a lease: some answer renewed it
+  heartbeats_for(seconds(4));  // the incarnation lasted longer than a lease: a response renewed it
   EXPECT_FALSE(cluster_state.find_machine("vm-1")->unreachable);
 }
 
-TEST_F(ClusterTest, AMachineThatObeysLateIsNotTakenForDeaf) {
+TEST_F(ClusterTest, MachineExecutingRunLateIsNotUnreachable) {
   Job& open_job = add(job("run-000001"));
   send(heartbeat());
   const Allocation& allocation = durable(open_job);
@@ -639,8 +652,8 @@
   EXPECT_TRUE(cluster_state.unreachable_machines().empty());
 }
 
-TEST_F(ClusterTest, WhenManySeemDeafItIsOurAnswersThatAreLate) {
-  // A leader that answers too late would else delete its whole cluster.
+TEST_F(ClusterTest, NoMachineIsReportedUnreachableIfManyAre) {
+  // Otherwise a leader that responds too late would delete its whole cluster.
   JobSpec spec = job("run-000001", 12);
   Job& job = add(spec);
   for (int m = 0; m < 12; ++m) {
@@ -656,7 +669,7 @@
   EXPECT_TRUE(cluster_state.unreachable_machines().empty());
 }
 
-TEST_F(ClusterTest, AMachineBackWithinAFractionOfASecondHasANewIncarnationAndNoTasks) {
+TEST_F(ClusterTest, RestartedMachineHasNewIncarnationAndNoTasks) {
   Job& open_job = add(job("run-000001"));
   send(heartbeat());
   const Allocation& allocation = durable(open_job);
@@ -670,7 +683,7 @@
   send(heartbeat());
   EXPECT_EQ(allocated(), 0u);
   EXPECT_EQ(open_job.pending(), 1u);
-  EXPECT_TRUE(send(running).empty()) << "a copy from its former life";
+  EXPECT_TRUE(send(running).empty()) << "a duplicate from the previous incarnation";
   EXPECT_EQ(allocated(), 0u);
 }
 
--- a/tests/replicas_test.cpp
+++ b/tests/replicas_test.cpp
@@ -1,5 +1,5 @@
-// Services: their replicas run until they are cancelled, are never done, and run again elsewhere
-// whatever ends them.
+// Tests of services: their replicas run until the service is cancelled, are never done, and are
+// restarted after any exit or loss.
 #include <gtest/gtest.h>
 
 #include "dunlinknot/cluster/cluster.hpp"
@@ -18,7 +18,8 @@
   return spec;
 }
 
-// One service on a site with machines in two zones; replicas run for an hour unless a test says so.
+// One service on a site with machines in two zones. Replicas run for an hour unless a test sets
+// another duration.
 struct ReplicaTest : testing::Test {
   Site site{3};
   const JobSpec api = service("run-000001", 4);
@@ -51,14 +52,14 @@
   }
 };
 
-TEST_F(ReplicaTest, RunUntilTheyAreCancelled) {
+TEST_F(ReplicaTest, ReplicasRunUntilCancelled) {
   start();
   site.run_for(seconds(300));
-  // The links that carry progress are not played.
+  // The test site does not simulate the connections that deliver progress.
   const std::string standing = site.job_state(api.id);
   EXPECT_TRUE(standing == "running" || standing == "queued") << standing;
-  EXPECT_EQ(site.starts, api.tasks) << "none was started twice";
-  EXPECT_EQ(site.submit(api).status, 200) << "repeated";
+  EXPECT_EQ(site.starts, api.tasks) << "no replica was started twice";
+  EXPECT_EQ(site.submit(api).status, 200) << "repeated submission";
   EXPECT_EQ(site.cancel(api.id).status, 200);
   site.run_for(seconds(5));
   EXPECT_EQ(running(api), 0u);
@@ -66,18 +67,18 @@
   expect_no_violations(site);
 }
 
-TEST_F(ReplicaTest, AllCountTogetherAgainstTheTeamsLimit) {
+TEST_F(ReplicaTest, AllReplicasCountTogetherAgainstTeamLimit) {
   JobSpec spec = service("run-000002", 2);
-  spec.team = "tiny";  // at most 4 cpus, two replicas
-  EXPECT_EQ(site.submit(spec).status, 201) << "just at the limit";
+  spec.team = "tiny";  // limit: 4 cpus, that is two replicas
+  EXPECT_EQ(site.submit(spec).status, 201) << "exactly at the limit";
   spec.id = "run-000003";
   spec.tasks = 3;
   EXPECT_EQ(site.submit(spec).status, 422);
   spec.service = false;
-  EXPECT_EQ(site.submit(spec).status, 201) << "an array's tasks may run one after the other";
+  EXPECT_EQ(site.submit(spec).status, 201) << "tasks of an array may run one after another";
 }
 
-TEST_F(ReplicaTest, ThatReportTheirCompletionRunAgainAndAreNeverDone) {
+TEST_F(ReplicaTest, CompletedReplicasRestartAndServiceIsNeverDone) {
   for (auto& node : site.nodes) ASSERT_FALSE(node->crashed);
   site.on_worker = [](ScriptedWorker& worker) {
     worker.run_time = [](const TaskRef&) { return seconds(40); };
@@ -94,7 +95,7 @@
   expect_no_violations(site);
 }
 
-TEST_F(ReplicaTest, ThatFailAtTheirStartWaitLongerEachTime) {
+TEST_F(ReplicaTest, ReplicasFailingAtStartBackOff) {
   site.on_worker = [](ScriptedWorker& worker) {
     worker.run_time = [](const TaskRef&) { return seconds(1); };
     worker.fails = [](const TaskRef&) { return true; };
@@ -104,14 +105,14 @@
   const size_t first_minute = site.starts;
   EXPECT_GE(first_minute, api.tasks);
   site.run_for(seconds(240));
-  EXPECT_LT(site.starts - first_minute, first_minute * 4) << "no tight loop";
+  EXPECT_LT(site.starts - first_minute, first_minute * 4) << "replicas restart with a delay";
   EXPECT_LT(site.starts, 15 * api.tasks);
   EXPECT_EQ(site.cancel(api.id).status, 200);
   site.run_for(seconds(10));
   expect_no_violations(site);
 }
 
-TEST_F(ReplicaTest, OfALostMachineRunElsewhereAndInOnePlaceOnly) {
+TEST_F(ReplicaTest, ReplicasOfLostMachineRunElsewhereExactlyOnce) {
   start();
   ScriptedWorker& lost = machine_of(0);
   lost.isolated = true;
@@ -123,7 +124,7 @@
   expect_no_violations(site);
 }
 
-TEST_F(ReplicaTest, LeaveAnInterruptedMachineBeforeItGoes) {
+TEST_F(ReplicaTest, ReplicasLeaveInterruptedMachineInTime) {
   start();
   ScriptedWorker& interrupted = machine_of(0);
   const auto on_it = [&] {
@@ -139,24 +140,25 @@
   for (int left = 12; left > 4; --left) {
     interrupted.interruption_notice = Seconds(left);
     site.run_for(seconds(1));
-    EXPECT_EQ(on_it(), before) << "it stays as long as is safe";
+    EXPECT_EQ(on_it(), before) << "the replicas run as long as is safe";
   }
   for (int left = 4; left > 0; --left) {
     interrupted.interruption_notice = Seconds(left);
     site.run_for(seconds(1));
   }
   EXPECT_EQ(on_it(), 0u);
-  EXPECT_EQ(running(api), api.tasks) << "all run elsewhere before it is gone";
+  EXPECT_EQ(running(api), api.tasks)
+      << "all replicas run elsewhere before the machine is taken back";
   expect_no_violations(site);
 }
 
-TEST_F(ReplicaTest, KeepToTheirSpreadWhileAZoneIsLost) {
+TEST_F(ReplicaTest, SpreadIsKeptWhileZoneIsLost) {
   JobSpec spread = service("run-000002", 5);
   spread.spread = true;
   ASSERT_EQ(site.submit(spread).status, 201);
   site.run_for(seconds(20));
   ASSERT_EQ(running(spread), spread.tasks);
-  site.cloud.unavailable = true;  // nor can the zone's machines be replaced
+  site.cloud.unavailable = true;  // the zone's machines cannot be replaced either
   for (auto& [id, machine] : site.cloud.machines) {
     if (machine.zone == "b" && site.workers.contains(id)) site.workers.at(id)->isolated = true;
   }
@@ -169,19 +171,19 @@
   expect_no_violations(site);
 }
 
-TEST_F(ReplicaTest, AreNotAllOnOneMachineWhereAnotherHasRoom) {
+TEST_F(ReplicaTest, ReplicasAreDistributedOverMachinesWithRoom) {
   const JobSpec before = service("run-000009", 8);
   ASSERT_EQ(site.submit(before).status, 201);
   site.run_for(seconds(20));
   ASSERT_EQ(site.cancel(before.id).status, 200);
-  site.run_for(seconds(3));  // two machines are up and free
+  site.run_for(seconds(3));  // two machines are running and free
   start();
   std::map<std::string, size_t> by_machine;
   for (uint32_t i = 0; i < api.tasks; ++i) ++by_machine[machine_of(i).id];
   for (const auto& [id, replicas] : by_machine) EXPECT_LE(replicas, api.tasks / 2) << id;
 }
 
-TEST_F(ReplicaTest, StartBeforeWorkOfLowerPriorityWhereNothingCanBeLaunched) {
+TEST_F(ReplicaTest, ReplicasStartBeforeLowerPriorityTasksWithoutCloudCapacity) {
   site.cloud.capacity = {{"box/a/ordinary", 1}};
   JobSpec batch = job("run-000005", 40);
   ASSERT_EQ(site.submit(batch).status, 201);
@@ -192,7 +194,7 @@
   expect_no_violations(site);
 }
 
-// --- the decisions behind it
+// --- scheduling and preemption decisions about replicas
 
 struct ReplicaDecisionTest : testing::Test {
   ReplicaDecisionTest() {
@@ -244,7 +246,7 @@
   uint64_t sequence = 0;
 };
 
-TEST_F(ReplicaDecisionTest, RoomIsLaunchedForAllAtOnceSinceNoPlaceIsUsedTwice) {
+TEST_F(ReplicaDecisionTest, CapacityIsRequestedForAllReplicasAtOnce) {
   JobSpec spec = service("run-000001", 16);  // four fit on a machine
   add(spec);
   uint32_t machines = 0;
@@ -252,7 +254,7 @@
   EXPECT_EQ(machines, 4u);
 }
 
-TEST_F(ReplicaDecisionTest, NoRoomIsKeptWhereOnlyReplicasWouldHaveToEnd) {
+TEST_F(ReplicaDecisionTest, NoRoomIsReservedOnMachineFullOfReplicas) {
   cloud_capacity.refused_offers = {{"box", "a", false}, {"box", "b", false}};
   cluster::Machine& full = machine("vm-1");
   cluster::Job& api = add(service("run-000001", 4));
@@ -261,12 +263,12 @@
   gang.gang = true;
   add(gang);
   const scheduler::Plan result_plan = plan();
-  EXPECT_TRUE(result_plan.reserved_room.empty()) << "a replica never ends by itself";
+  EXPECT_TRUE(result_plan.reserved_room.empty()) << "replicas do not end by themselves";
   ASSERT_EQ(result_plan.waiting_jobs.size(), 1u);
   EXPECT_EQ(result_plan.waiting_jobs[0].cause, scheduler::WaitCause::no_room);
 }
 
-TEST_F(ReplicaDecisionTest, AReplicaIsNoVictimOfAnEqualAndCostsItsGapHoweverLongItRan) {
+TEST_F(ReplicaDecisionTest, ReplicaIsNoVictimOfEqualPriorityAndLostWorkIgnoresRunTime) {
   cluster::Machine& this_machine = machine("vm-1");
   cluster::Job& api = add(service("run-000001", 1));
   const cluster::Allocation& allocation = run(this_machine, api);
@@ -280,8 +282,9 @@
       preemption::simulate(capacity, nominations, cluster_state, {8, 0, 4}, 0, equal, now));
 }
 
-TEST_F(ReplicaDecisionTest, AServiceIsNotOverdueForHavingRunForLong) {
-  // What goes before all else begins with a part of its tasks; replicas lost later start at once.
+TEST_F(ReplicaDecisionTest, LongRunningServiceIsNotOverdue) {
+  // Only part of the tasks of an overdue job are placed at first. The lost replicas of a service
+  // must all be placed immediately.
   cluster::Machine& this_machine = machine("vm-1");
   cluster::Job& api = add(service("run-000001", 4));
   run(this_machine, api);
@@ -291,17 +294,18 @@
   EXPECT_EQ(placed, 3u);
 }
 
-TEST_F(ReplicaDecisionTest, ProgressThatAnotherVersionRecordedMakesNoReplicaDone) {
+TEST_F(ReplicaDecisionTest, StoredProgressMakesNoReplicaDone) {
   cluster::Job& api = add(service("run-000001", 4));
   const std::string chunk = wire::write_done_chunk(std::vector<bool>(4, true), 0);
   cluster_state.load_progress("run-000001", 0, wire::Document::parse(chunk)->root(), 33);
   EXPECT_EQ(api.done_count(), 0u);
   EXPECT_EQ(api.pending(), 4u);
   (void)cluster_state.close_job("run-000001", true, now);
-  ASSERT_EQ(cluster_state.drain_obsolete_records().size(), 1u) << "the record goes with the job";
+  ASSERT_EQ(cluster_state.drain_obsolete_records().size(), 1u)
+      << "the progress record becomes obsolete with the job";
 }
 
-TEST_F(ReplicaDecisionTest, OneHeldBackIsPlacedAgainAfterItsTimeAndNotBefore) {
+TEST_F(ReplicaDecisionTest, BackedOffReplicaBecomesPendingAfterDelay) {
   cluster::Job& api = add(service("run-000001", 2));
   (void)api.pop_pending();
   api.back_off(0, now + seconds(5));
@@ -311,12 +315,12 @@
   EXPECT_TRUE(api.release_backed_off(now + seconds(5)));
   EXPECT_EQ(api.pop_pending(), 0u);
   api.back_off(1, now + seconds(5));
-  api.add_allocation(1);  // found on a machine meanwhile
+  api.add_allocation(1);  // reported by a machine meanwhile
   EXPECT_EQ(api.pending(), 1u);
   EXPECT_FALSE(api.any_backed_off());
 }
 
-TEST_F(ReplicaDecisionTest, AServiceWhoseReplicasRanIsNotTakenForOneThatFailsEverywhere) {
+TEST_F(ReplicaDecisionTest, ServiceWithStableReplicaIsNotTreatedAsFailing) {
   cluster::Job& api = add(service("run-000001", 6));
   cluster::Machine& working = machine("vm-0");
   run(working, api);
