--- a/src/dunlinknot/cluster/allocation_store/machine_record_writer.hpp
+++ b/src/dunlinknot/cluster/allocation_store/machine_record_writer.hpp
@@ -33,7 +33,7 @@
     size_t bytes = 0;            // estimated size of the values in JSON
     kv::Transaction txn;
   };
-  struct Applied {  // the follow-up work after a transaction
+  struct Applied {  // the follow-up work that the result of a transaction requires
     Effects effects;
     std::vector<std::string> changed_jobs;  // jobs whose record had an unexpected mod revision
   };
--- a/src/dunlinknot/cluster/allocation_table.hpp
+++ b/src/dunlinknot/cluster/allocation_table.hpp
@@ -45,7 +45,7 @@
   const ReplicaRestarts& replica_restarts() const { return replica_restarts_; }
   PendingStopCalls& stop_calls() { return stop_calls_; }
 
-  // --- adding
+  // --- adding. Updates all counts.
   Allocation& add(Machine& machine, Allocation allocation);
   // Adds the existing allocations of a job that has just been opened, such as an orphan's, to the
   // job's counts, so that those tasks are not placed again.
--- a/src/dunlinknot/cluster/failure_detector.cpp
+++ b/src/dunlinknot/cluster/failure_detector.cpp
@@ -105,8 +105,7 @@
   machine.draining = true;
   machine.drain_reason = "fails the tasks that it starts";
   spdlog::info(
-      "machine {} drained: {} consecutive task errors, of {} jobs that do not fail on every "
-      "machine",
+      "machine {} drained: {} consecutive task errors, attributed to it because of {} jobs",
       machine.id, machine.task_errors.consecutive, attributed_jobs);
 }
 
--- a/src/dunlinknot/cluster/heartbeat_reconciler.cpp
+++ b/src/dunlinknot/cluster/heartbeat_reconciler.cpp
@@ -240,7 +240,7 @@
   Allocation* allocation = machine.find(task.task, task.attempt);
   if (!allocation) return effects;
   if (error) failure_detector_.on_task_error(machine, job, allocations_.jobs(), now);
-  const bool soon = !ran_for(*allocation, kStableRunTime, now);
+  const bool early = !ran_for(*allocation, kStableRunTime, now);
   if (task.cause == ExitCause::no_room || task.cause == ExitCause::busy ||
       task.cause == ExitCause::unknown)
     note_refusal(machine, task, job, now);
@@ -250,7 +250,7 @@
   effects |= allocations_.end(machine, static_cast<size_t>(allocation - machine.allocations.data()),
                               now, saved ? GangEffect::survives : GangEffect::breaks);
   if (job && job->spec().service && (error || done))
-    replica_backoff_.on_replica_end(*job, task.task.index, soon, now);
+    replica_backoff_.on_replica_end(*job, task.task.index, early, now);
   return effects;
 }
 
--- a/src/dunlinknot/cluster/heartbeat_reconciler.hpp
+++ b/src/dunlinknot/cluster/heartbeat_reconciler.hpp
@@ -33,6 +33,7 @@
         failure_detector_(failure_detector),
         lease_(lease) {}
 
+  // Applies the status to the machine, its allocations and their jobs.
   void apply(Machine& machine, const ReceivedStatus& status, Effects& effects);
 
  private:
--- a/src/dunlinknot/cluster/job.cpp
+++ b/src/dunlinknot/cluster/job.cpp
@@ -78,8 +78,8 @@
   return released > 0;
 }
 
-uint32_t Job::note_replica_end(uint32_t index, bool soon) {
-  if (soon) return ++early_exits_[index];
+uint32_t Job::note_replica_end(uint32_t index, bool early) {
+  if (early) return ++early_exits_[index];
   early_exits_.erase(index);
   return 0;
 }
--- a/src/dunlinknot/cluster/job.hpp
+++ b/src/dunlinknot/cluster/job.hpp
@@ -16,7 +16,7 @@
 
 // Owned by `Cluster` and guarded by the leader state's lock. Each task (of a service: replica) that
 // is not done is in one of three states:
-// live         it has allocations, on one or more machines
+//   live         it has allocations, on one or more machines
 //   backed off   delayed after failures, by `back_off`
 //   pending      neither: it can be taken with `pop_pending` and allocated
 // A task that was popped but not allocated must be returned with `requeue`.
@@ -46,7 +46,7 @@
   // index.
   std::optional<uint32_t> pop_pending();
   void requeue(uint32_t index) { requeued_.push_back(index); }
-  // Delays a task that is neither done nor live. Otherwise does nothing.
+  // Delays the task, unless it is done or live.
   void back_off(uint32_t index, Instant until);
   // Makes the tasks pending whose delay has passed. Returns whether there were any.
   bool release_backed_off(Instant now);
@@ -93,9 +93,9 @@
     failing = false;
     backoff = Nanos(0);
   }
-  // A replica of a service exited; `soon`: shortly after its start. Returns the number of
-  // consecutive early exits of the replica.
-  uint32_t note_replica_end(uint32_t index, bool soon);
+  // Counts the exit of a replica of a service. `early`: it exited shortly after its start. Returns
+  // the number of consecutive early exits of the replica, which a later exit resets to 0.
+  uint32_t note_replica_end(uint32_t index, bool early);
 
   // --- Counts over its allocations (AllocationTable)
   uint32_t queued_tasks = 0;    // allocations queued on machines
--- a/src/dunlinknot/cluster/replica_backoff.cpp
+++ b/src/dunlinknot/cluster/replica_backoff.cpp
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-void ReplicaBackoff::on_replica_end(Job& job, uint32_t index, bool soon, Instant now) {
-  const uint32_t ends = job.note_replica_end(index, soon);
+void ReplicaBackoff::on_replica_end(Job& job, uint32_t index, bool early, Instant now) {
+  const uint32_t ends = job.note_replica_end(index, early);
   if (ends <= kImmediateRestarts) return;
   const uint32_t doublings = std::min(ends - kImmediateRestarts - 1, kMaxDoublings);
   const Nanos pause =
--- a/src/dunlinknot/cluster/replica_backoff.hpp
+++ b/src/dunlinknot/cluster/replica_backoff.hpp
@@ -16,9 +16,9 @@
  public:
   explicit ReplicaBackoff(const settings::Operator& operator_settings) : op_(operator_settings) {}
 
-  // To be called when a replica exited by itself and its allocation ended. `soon`: it exited
+  // To be called when a replica exited by itself and its allocation ended. `early`: it exited
   // shortly after its start.
-  void on_replica_end(Job& job, uint32_t index, bool soon, Instant now);
+  void on_replica_end(Job& job, uint32_t index, bool early, Instant now);
   // Makes the replicas pending whose delay has passed. Returns whether there were any.
   bool release_due(const JobTable& jobs, Instant now);
   void clear() { jobs_.clear(); }
