--- a/src/dunlinknot/cluster/allocation_store/progress_writer.cpp
+++ b/src/dunlinknot/cluster/allocation_store/progress_writer.cpp
@@ -1,4 +1,4 @@
-// Writing how far jobs are, and how they ended.
+// Collecting, writing and rereading the progress and the completion of jobs.
 #include "dunlinknot/cluster/allocation_store/progress_writer.hpp"
 
 #include <algorithm>
@@ -9,11 +9,15 @@
 
 using http::Outcome;
 
-constexpr auto kLongestWait = std::chrono::seconds(1);  // for a signal that there is progress
-constexpr Millis kRereadPause{30};                      // before a reread batch is written again
-constexpr size_t kWritesOfEnd = 2;   // the final record, and deleting the open one
-constexpr double kOpenShare = 0.15;  // of the write budget, for the progress of open jobs
-constexpr Seconds kOpenPause{1};     // after there was no such progress to write
+constexpr auto kMaxWait = std::chrono::seconds(1);  // upper bound of the wait for a notification
+// The delay before a batch is written again after rereading.
+constexpr Millis kRereadDelay{30};
+// Completing a job writes its final record and deletes its open record.
+constexpr size_t kWritesPerCompletion = 2;
+// The share of the write budget for the progress of open jobs.
+constexpr double kOpenJobsBudgetShare = 0.15;
+// The delay until the next check if there was no progress of open jobs to write.
+constexpr Seconds kOpenJobsCheckInterval{1};
 
 }  // namespace
 
@@ -21,12 +25,12 @@
   LeaderContext& context = access_.context;
   while (context.in_term(term)) {
     (void)co_await context.store_progress.wait_until(
-        std::max(next_open_, context.loop.now() + kLongestWait));
+        std::max(next_open_, context.loop.now() + kMaxWait));
     for (bool more = true; more && context.in_term(term);) more = co_await write_some(term);
   }
 }
 
-void ProgressWriter::add_end(Batch& batch, const Job& job) const {
+void ProgressWriter::add_completion(Batch& batch, const Job& job) const {
   const std::string& id = job.spec().id;
   batch.jobs.insert(id);
   batch.txn.compares.push_back({wire::job_key(id), job.mod_revision});
@@ -53,22 +57,24 @@
   }
 }
 
-// The ends of jobs and, with `include_open`, the progress of open jobs: first that of the jobs
-// after the one that was the last to be written, so that all of them are reached.
+// Collects the completion of jobs and, with `include_open`, the progress of open jobs. Open jobs
+// are taken in round-robin order, starting after the job that was written last, so that none is
+// starved.
 ProgressWriter::Batch ProgressWriter::collect(const Cluster& cluster, bool include_open) const {
   Batch batch;
   batch.txn.compares.push_back(access_.context.epoch_compare());
   std::vector<const Job*> open;
-  size_t up_to_last = 0;
+  size_t first_after_last = 0;
   for (const auto& [id, job] : cluster.jobs()) {
     if (job->all_done()) {
-      if (batch.txn.writes.size() + kWritesOfEnd <= access_.max_writes()) add_end(batch, *job);
+      if (batch.txn.writes.size() + kWritesPerCompletion <= access_.max_writes())
+        add_completion(batch, *job);
     } else if (include_open && !job->dirty_chunks().empty()) {
       open.push_back(job.get());
-      if (id <= last_open_job_) ++up_to_last;
+      if (id <= last_open_job_) ++first_after_last;
     }
   }
-  std::rotate(open.begin(), open.begin() + static_cast<ptrdiff_t>(up_to_last), open.end());
+  std::rotate(open.begin(), open.begin() + static_cast<ptrdiff_t>(first_after_last), open.end());
   for (const Job* job : open) {
     if (batch.txn.writes.size() >= access_.max_writes()) break;
     add_chunks(batch, *job);
@@ -76,18 +82,19 @@
   return batch;
 }
 
-// The progress of open jobs keeps to its share of the budget, batch by batch. Found with the
-// key-value store's limits lowered: transactions had become so small that the first jobs had new
-// progress before the last were reached, and allocations were not written for half a minute.
+// Delays the next write of progress of open jobs, so that these writes keep to their share of the
+// write budget. Without this limit, and with lowered limits of the key-value store, transactions
+// were so small that the first jobs had new progress before the last ones were written, and no
+// allocations were written for half a minute.
 void ProgressWriter::schedule_next_open(const Batch& batch) {
   if (batch.chunks.empty()) return;
   last_open_job_ = batch.chunks.back().job;
-  const double rate = access_.store.write_burst() * kOpenShare;
+  const double rate = access_.store.write_burst() * kOpenJobsBudgetShare;
   const Seconds pause(static_cast<double>(batch.chunks.size()) / rate);
   next_open_ = access_.context.loop.now() + to_nanos(pause);
 }
 
-// The batch is durable.
+// Applies a batch that is durable.
 void ProgressWriter::apply_stored(const Batch& batch, uint64_t revision) const {
   LeaderContext& context = access_.context;
   Effects effects;
@@ -123,13 +130,13 @@
   });
 }
 
-// The transaction's outcome is unknown, or a mod revision was not what we thought: reads the
-// records in question. False when the term ended.
+// Rereads the records concerned after a transaction with an unknown outcome or a failed compare.
+// Returns false if the term ended.
 Task<bool> ProgressWriter::reread(uint64_t term, Batch batch, kv::TransactionResult result) const {
   for (const ChunkWrite& chunk : batch.chunks) {
     const std::string key = wire::done_key(chunk.job, chunk.chunk);
     if (result.outcome == Outcome::ok && !result.compare_failed(key)) continue;
-    const kv::GetResult got = co_await access_.store.get(key, StoreAccess::kCommitTime);
+    const kv::GetResult got = co_await access_.store.get(key, StoreAccess::kCallTimeout);
     if (!access_.context.in_term(term)) co_return false;
     if (got.outcome == Outcome::ok) apply_reread(chunk, got);
   }
@@ -143,17 +150,17 @@
   co_return true;
 }
 
-// Returns whether there may be more to write at once.
+// Writes a batch. Returns whether there may be more to write immediately.
 Task<bool> ProgressWriter::write_some(uint64_t term) {
   LeaderContext& context = access_.context;
-  // A job's end is written at once. The progress of an open job need not be: until it is durable
-  // the workers keep what they completed. On a large cluster a write for each task would use up the
-  // budget.
+  // The completion of a job is written immediately. The progress of open jobs can be delayed,
+  // because workers keep their completed tasks until the completion is durable. On a large cluster,
+  // one write per task would exhaust the write budget.
   const bool include_open = context.loop.now() >= next_open_;
   Batch batch = context.leader_state.with(
       [&](LeaderState& leader) { return collect(leader.cluster, include_open); });
   if (batch.txn.writes.empty()) {
-    if (include_open) next_open_ = context.loop.now() + to_nanos(kOpenPause);
+    if (include_open) next_open_ = context.loop.now() + to_nanos(kOpenJobsCheckInterval);
     co_return false;
   }
   schedule_next_open(batch);
@@ -162,19 +169,19 @@
   }
   if (!context.in_term(term)) co_return false;
   kv::TransactionResult result =
-      co_await access_.store.commit(std::move(batch.txn), StoreAccess::kCommitTime);
+      co_await access_.store.commit(std::move(batch.txn), StoreAccess::kCallTimeout);
   if (!context.in_term(term) || access_.superseded(result)) co_return false;
   if (result.applied) {
     apply_stored(batch, result.revision);
     co_return true;
   }
   if (result.outcome == Outcome::refused) {
-    co_await context.loop.sleep(StoreAccess::kRetry);
+    co_await context.loop.sleep(StoreAccess::kRetryDelay);
     co_return true;
   }
   const bool reread_all = co_await reread(term, std::move(batch), std::move(result));
   if (!reread_all) co_return false;
-  co_await context.loop.sleep(kRereadPause);
+  co_await context.loop.sleep(kRereadDelay);
   co_return true;
 }
 
--- a/src/dunlinknot/cluster/allocation_store/state_loader.cpp
+++ b/src/dunlinknot/cluster/allocation_store/state_loader.cpp
@@ -1,4 +1,4 @@
-// Reading a new leader's state from the key-value store.
+// Listing the records and applying them to the new leader's state.
 #include "dunlinknot/cluster/allocation_store/state_loader.hpp"
 
 #include <spdlog/spdlog.h>
@@ -9,7 +9,8 @@
 
 namespace {
 
-constexpr auto kPageTime = std::chrono::seconds(3);  // a page is larger than what else is read
+// The timeout is longer than for other reads, because a page is larger.
+constexpr auto kPageTimeout = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -17,13 +18,13 @@
                                                     Visit visit) const {
   LeaderContext& context = access_.context;
   std::optional<ListingStart> start;
-  kv::Pager pager(access_.store, std::move(prefix), kPageTime);
+  kv::Pager pager(access_.store, std::move(prefix), kPageTimeout);
   while (!pager.done()) {
     const Instant sent = context.loop.now();
     const kv::ListResult page = co_await pager.next();
     if (!context.in_term(term)) co_return std::nullopt;
     if (page.outcome != kv::Outcome::ok) {
-      co_await context.loop.sleep(StoreAccess::kRetry);
+      co_await context.loop.sleep(StoreAccess::kRetryDelay);
       if (!context.in_term(term)) co_return std::nullopt;
       continue;
     }
@@ -33,7 +34,8 @@
   co_return start;
 }
 
-// Jobs come first: progress is applied to them, and without its job it is dead.
+// Jobs are listed first, because progress is applied to them, and progress without an open job is
+// obsolete.
 Task<std::optional<ListingStart>> StateLoader::load(uint64_t term) {
   const Visit job = [this](const kv::KeyValue& item) { jobs_.apply(item); };
   const auto jobs = co_await list(term, std::string(wire::kJobPrefix), job);
@@ -53,7 +55,7 @@
   if (!key) return;
   const bool open = access_.context.leader_state.with([&](LeaderState& leader) {
     if (!leader.cluster.job(key->first)) return false;
-    leader.cluster.load_done(key->first, key->second, item.value, item.mod_revision);
+    leader.cluster.load_progress(key->first, key->second, item.value, item.mod_revision);
     return true;
   });
   if (!open) cleaner_.add({item.key, item.mod_revision});
@@ -63,7 +65,7 @@
   const std::string id(wire::after_prefix(item.key, wire::kMachinePrefix));
   const auto record = wire::read_machine_record(item.value);
   if (!record) {
-    spdlog::error("the record {} cannot be read and is left alone", item.key);
+    spdlog::error("cannot decode the machine record {}: ignoring it", item.key);
     return;
   }
   const Instant now = access_.context.loop.now();
--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -1,4 +1,4 @@
-// Taking over, jobs, machines, and the expiry of workers' leases.
+// Failover, jobs, machines, and the expiry of workers' leases.
 #include "dunlinknot/cluster/cluster.hpp"
 
 #include <spdlog/spdlog.h>
@@ -13,11 +13,13 @@
 
 namespace {
 
-constexpr auto kRememberRemoved = std::chrono::minutes(5);  // well beyond any heartbeat in flight
-constexpr size_t kOrphanShare = 16;  // one part in so many of a record is left to orphans
+// How long removed machines are remembered. This is far longer than a heartbeat can be in flight.
+constexpr auto kRemovedMachineRetention = std::chrono::minutes(5);
+// 1/16 of the maximum record size is reserved for orphans.
+constexpr size_t kOrphanReserveDivisor = 16;
 
-// The smaller of what the key-value store accepts now and later.
-size_t smallest_value(const settings::Platform& platform) {
+// The smaller of the value size limits of the key-value store, the current and the next one.
+size_t min_value_bytes(const settings::Platform& platform) {
   return kv::Limits(platform.store_limits, platform.next_store_limits).value_bytes();
 }
 
@@ -25,10 +27,10 @@
 
 Cluster::Cluster(const settings::Platform& platform, const settings::Operator& operator_settings)
     : platform_(platform),
-      former_leader_window_(leadership::former_leader_renewal_window(platform)),
+      former_leader_renewal_window_(leadership::former_leader_renewal_window(platform)),
       lease_(leadership::worker_lease_bound(platform)),
-      storable_in_chunk_(wire::storable_chunk_tasks(smallest_value(platform))),
-      record_limit_(smallest_value(platform) - smallest_value(platform) / kOrphanShare),
+      storable_in_chunk_(wire::storable_chunk_tasks(min_value_bytes(platform))),
+      record_limit_(min_value_bytes(platform) - min_value_bytes(platform) / kOrphanReserveDivisor),
       allocations_(platform),
       forecasts_(platform),
       replica_backoff_(operator_settings),
@@ -37,8 +39,8 @@
       worker_commands_(allocations_),
       interruptions_(platform, allocations_) {}
 
-// The catalog, the last cycle's `work_waits_` and the count of refused allocations are not a
-// term's.
+// The catalog, `has_pending_work_` of the last scheduling cycle and the count of refused
+// allocations are kept across terms.
 void Cluster::begin_term(uint64_t epoch, Instant now) {
   epoch_ = epoch;
   attempts_ = 0;
@@ -49,9 +51,9 @@
   replica_backoff_.clear();
   terminating_.clear();
   removed_.clear();
-  dead_records_.clear();
+  obsolete_records_.clear();
   runnable_.clear();
-  held_machines_.clear();
+  reserved_machines_.clear();
 }
 
 uint64_t Cluster::next_attempt() {
@@ -79,16 +81,16 @@
   allocations_.count_earlier_allocations(*loaded);
 }
 
-void Cluster::load_done(const std::string& id, uint32_t chunk, wire::View value,
-                        uint64_t mod_revision) {
+void Cluster::load_progress(const std::string& id, uint32_t chunk, wire::View value,
+                            uint64_t mod_revision) {
   Job* open_job = job(id);
   if (!open_job) return;
   std::vector<bool> bits(open_job->spec().tasks);
   if (wire::read_done_chunk(value, chunk, bits)) open_job->load_chunk(chunk, bits, mod_revision);
 }
 
-// Safety 1: a new leader allocates everything that any former leader allocated. Which of it really
-// runs is for the workers to report, under our fencing token.
+// Safety 1, no task runs twice: a new leader adopts every allocation that a former leader stored.
+// Whether their tasks are running is determined from heartbeats with our fencing token.
 void Cluster::load_machine(const std::string& id, const wire::MachineRecord& record,
                            uint64_t mod_revision, Instant now) {
   Machine& machine = register_machine(id, record.type, record.zone, record.spot, now);
@@ -99,7 +101,7 @@
     const Job* open_job = job(group.job);
     for (const auto& [index, attempt] : group.tasks) {
       Allocation allocation;
-      // The record decides where both say something: the job may be closed.
+      // Fields in the record override those of the job, which may be closed.
       if (open_job) allocation.copy_from(*open_job);
       allocation.task = TaskRef{group.job, index};
       allocation.attempt = attempt;
@@ -121,12 +123,12 @@
   const auto it = jobs.find(id);
   if (it == jobs.end()) return effects;
   for (const auto& [chunk, mod_revision] : it->second->chunk_mod_revisions)
-    dead_records_.push_back({wire::done_key(id, chunk), mod_revision});
+    obsolete_records_.push_back({wire::done_key(id, chunk), mod_revision});
   jobs.erase(it);
   effects.schedule = true;
-  // Safety 3: nothing of a closed job starts, and all of a cancelled one is stopped everywhere.
-  // Allocations whose `run` was never sent by us are simply undone; the others remain until their
-  // tasks are gone.
+  // Safety 3: no task of a closed job starts, and all tasks of a cancelled job are stopped on all
+  // machines. Allocations for which this leader sent no `run` end immediately; the others are kept
+  // until their tasks have ended.
   for (Machine* machine : std::vector(holders(id))) {
     for (size_t i = machine->allocations.size(); i-- > 0;) {
       Allocation& allocation = machine->allocations[i];
@@ -191,11 +193,13 @@
   Machine& machine = *it->second;
   effects |= allocations_.end_all(machine, now);
   if (machine.mod_revision != 0 || !machine.mod_revision_known)
-    dead_records_.push_back({wire::machine_key(id), machine.mod_revision});
-  std::erase(held_machines_, &machine);  // else `set_reserved` writes to a machine that is gone
+    obsolete_records_.push_back({wire::machine_key(id), machine.mod_revision});
+  // Prevents `set_reserved` from writing to a destroyed machine.
+  std::erase(reserved_machines_, &machine);
   machines().erase(it);
-  std::erase_if(removed_,
-                [&](const auto& removed) { return now - removed.second > kRememberRemoved; });
+  std::erase_if(removed_, [&](const auto& removed) {
+    return now - removed.second > kRemovedMachineRetention;
+  });
   removed_[id] = now;
   effects.schedule = true;
   return effects;
@@ -205,26 +209,27 @@
   return FailureDetector::unreachable(machines());
 }
 
-Instant Cluster::lease_counted_from(const Machine& machine) const {
-  // Safety 1: a worker that never bore our fencing token may still be answered by the leader before
-  // us, until that one's window is over.
-  return machine.fenced ? machine.last_answered
-                        : std::max(machine.last_answered, term_since_ + former_leader_window_);
+Instant Cluster::latest_possible_renewal(const Machine& machine) const {
+  // Safety 1, no task runs twice: the former leader may still renew the lease of a worker that has
+  // not yet sent our fencing token, until its renewal window ends.
+  return machine.fenced
+             ? machine.last_response
+             : std::max(machine.last_response, term_since_ + former_leader_renewal_window_);
 }
 
 Instant Cluster::lease_expiry(const Machine& machine) const {
-  return lease_counted_from(machine) + lease_;
+  return latest_possible_renewal(machine) + lease_;
 }
 
 Effects Cluster::expire_leases(Instant now) {
   Effects effects;
   for (auto& [id, machine] : machines()) {
     if (machine->lost) continue;
-    // Nothing of ours was ever there.
+    // There is nothing to end on a machine without heartbeats and allocations.
     if (!machine->has_heartbeat && machine->allocations.empty()) continue;
     if (now < lease_expiry(*machine)) continue;
-    spdlog::info("machine {}: its lease expired, {} allocations end", machine->id,
-                 machine->allocations.size());
+    spdlog::info("machine {}: the lease of its worker expired; ending its {} allocations",
+                 machine->id, machine->allocations.size());
     machine->lost = machine->has_heartbeat;
     machine->images.clear();
     effects |= allocations_.end_all(*machine, now);
--- a/src/dunlinknot/cluster/failure_detector.cpp
+++ b/src/dunlinknot/cluster/failure_detector.cpp
@@ -1,4 +1,5 @@
-// Suspicions against machines, and backing off of jobs that fail everywhere.
+// Suspicions against machines, draining of faulty machines, and backoff of jobs that fail on every
+// machine.
 #include "dunlinknot/cluster/failure_detector.hpp"
 
 #include <spdlog/spdlog.h>
@@ -9,14 +10,14 @@
 
 namespace {
 
-constexpr size_t kMaxFailedOn = 32;      // machines remembered for each job, to bound memory
-constexpr uint32_t kSuspicions = 3;      // lost responses before a machine is unreachable
-constexpr size_t kFewUnreachable = 2;    // may be unreachable at once in a cluster of any size
-constexpr size_t kUnreachableShare = 8;  // and one in so many of those that report
+constexpr size_t kMaxFailedMachinesPerJob = 32;  // machine ids stored per job; bounds memory
+constexpr uint32_t kSuspicionThreshold = 3;      // lost responses until a machine is unreachable
+constexpr size_t kMinUnreachableLimit = 2;       // lower bound of the limit, for small clusters
+constexpr size_t kUnreachableDivisor = 8;        // the limit is 1/8 of the machines with a lease
 
 }  // namespace
 
-void FailureDetector::on_run_obeyed(Machine& machine) const {
+void FailureDetector::on_run_executed(Machine& machine) const {
   machine.lost_responses.suspicions = 0;
   machine.unreachable = false;
 }
@@ -27,23 +28,26 @@
     machine.lost_responses.first = now;
   }
   machine.lost_responses.last = now;
-  if (++machine.lost_responses.suspicions < kSuspicions ||
+  if (++machine.lost_responses.suspicions < kSuspicionThreshold ||
       now - machine.lost_responses.first < lease_ / 3 || machine.unreachable)
     return;
   machine.unreachable = true;
-  spdlog::info("machine {}: its heartbeats arrive, but our responses do not reach it", machine.id);
+  spdlog::info(
+      "machine {}: marked as unreachable: its heartbeats arrive, but our responses do not reach it",
+      machine.id);
 }
 
-// An incarnation that outlives a lease since the last suspicion shows that our responses renew it.
-// Found by random scenarios: machines that had been unreachable for a while got no `run` that they
-// could obey, were too many to be deleted, and the only job that fitted them waited for ever.
+// If an incarnation lasts longer than a lease since the last suspicion, our responses must have
+// renewed that lease. Without this rule (found by random scenarios), machines that had been
+// unreachable for a while never became reachable: they were sent no `run` that they could execute,
+// there were too many of them to be deleted, and the only job that fitted them waited forever.
 void FailureDetector::on_heartbeat(Machine& machine, Instant now) const {
   if (!machine.unreachable ||
       now - std::max(machine.incarnation_since, machine.lost_responses.last) < lease_)
     return;
   machine.lost_responses.suspicions = 0;
   machine.unreachable = false;
-  spdlog::info("machine {}: our responses reach it again", machine.id);
+  spdlog::info("machine {}: reachable again: our responses renewed its lease", machine.id);
 }
 
 std::vector<std::string> FailureDetector::unreachable(const MachineTable& machines) {
@@ -54,7 +58,7 @@
     ++reporting;
     if (machine->unreachable) found.push_back(id);
   }
-  if (found.size() > std::max(kFewUnreachable, reporting / kUnreachableShare)) found.clear();
+  if (found.size() > std::max(kMinUnreachableLimit, reporting / kUnreachableDivisor)) found.clear();
   return found;
 }
 
@@ -62,44 +66,47 @@
   machine.task_errors = {};
 }
 
-// Safety 6: a machine that fails what other machines complete is drained; a job that fails on
-// every machine backs off.
+// Safety 6: a machine on which tasks fail that complete on other machines is drained; a job that
+// fails on every machine backs off.
 void FailureDetector::on_task_error(Machine& machine, Job* job, const JobTable& jobs,
                                     Instant now) const {
-  ++machine.task_errors.streak;
+  ++machine.task_errors.consecutive;
   if (!job) return;
-  if (job->failed_on.size() < kMaxFailedOn) job->failed_on.insert(machine.id);
+  if (job->failed_on.size() < kMaxFailedMachinesPerJob) job->failed_on.insert(machine.id);
   machine.task_errors.jobs.insert(job->spec().id);
   back_off_if_failing(*job, now);
   drain_if_faulty(machine, *job, jobs);
 }
 
 void FailureDetector::back_off_if_failing(Job& job, Instant now) const {
-  if (job.failed_on.size() < op_.failing_machines || job.done_count() > 0 || job.proven) return;
-  if (!job.failing) spdlog::info("job {} fails on every machine: backing off", job.spec().id);
+  if (job.failed_on.size() < op_.failing_machines || job.done_count() > 0 || job.has_stable_replica)
+    return;
+  if (!job.failing)
+    spdlog::info("job {} fails on every machine: delaying its next start", job.spec().id);
   job.failing = true;
   job.backoff = job.backoff == Nanos(0) ? to_nanos(op_.backoff_first)
                                         : std::min(job.backoff * 2, to_nanos(op_.backoff_most));
   job.not_before = now + job.backoff;
 }
 
-// Errors of jobs that fail everywhere say nothing about the machine. One job's errors do when the
-// job is known to succeed elsewhere, two jobs' errors in any case.
+// Errors of jobs that fail on every machine are not attributed to the machine. Errors of one job
+// are attributed to it if the job is known to succeed elsewhere, errors of two jobs in any case.
 void FailureDetector::drain_if_faulty(Machine& machine, const Job& job,
                                       const JobTable& jobs) const {
   if (machine.draining) return;
-  size_t blamed = 0;
+  size_t attributed_jobs = 0;
   for (const std::string& id : machine.task_errors.jobs) {
     const auto it = jobs.find(id);
-    if (it == jobs.end() || !it->second->failing) ++blamed;
+    if (it == jobs.end() || !it->second->failing) ++attributed_jobs;
   }
-  const bool completed_elsewhere = job.done_count() > 0 || job.proven;
-  if (machine.task_errors.streak < op_.faults_to_drain) return;
-  if (blamed < 2 && !(blamed == 1 && completed_elsewhere)) return;
+  const bool completed_elsewhere = job.done_count() > 0 || job.has_stable_replica;
+  if (machine.task_errors.consecutive < op_.faults_to_drain) return;
+  if (attributed_jobs < 2 && !(attributed_jobs == 1 && completed_elsewhere)) return;
   machine.draining = true;
   machine.drain_reason = "fails the tasks that it starts";
-  spdlog::info("machine {} drained: {} errors in a row, {} jobs", machine.id,
-               machine.task_errors.streak, blamed);
+  spdlog::info(
+      "machine {} drained: {} consecutive task errors, attributed to it because of {} jobs",
+      machine.id, machine.task_errors.consecutive, attributed_jobs);
 }
 
 }  // namespace dunlinknot::cluster
--- a/src/dunlinknot/cluster/job.cpp
+++ b/src/dunlinknot/cluster/job.cpp
@@ -1,4 +1,4 @@
-// The states of a job's tasks and their records.
+// The state transitions of a job's tasks, and their records.
 #include "dunlinknot/cluster/job.hpp"
 
 #include <algorithm>
@@ -28,8 +28,8 @@
     requeued_.pop_back();
     if (is_pending(index)) return index;
   }
-  while (next_fresh_ < spec_.tasks) {
-    const uint32_t index = next_fresh_++;
+  while (next_unpopped_ < spec_.tasks) {
+    const uint32_t index = next_unpopped_++;
     if (is_pending(index)) return index;
   }
   return std::nullopt;
@@ -60,7 +60,7 @@
   live_.erase(it);
   if (!done_[index]) {
     --unfinished_live_;
-    if (index < next_fresh_) requeued_.push_back(index);
+    if (index < next_unpopped_) requeued_.push_back(index);
   }
 }
 
@@ -69,24 +69,24 @@
 }
 
 bool Job::release_backed_off(Instant now) {
-  const size_t released = std::erase_if(backed_off_until_, [&](const auto& held) {
-    const auto& [index, until] = held;
+  const size_t released = std::erase_if(backed_off_until_, [&](const auto& entry) {
+    const auto& [index, until] = entry;
     if (now < until) return false;
-    if (index < next_fresh_) requeued_.push_back(index);
+    if (index < next_unpopped_) requeued_.push_back(index);
     return true;
   });
   return released > 0;
 }
 
-uint32_t Job::note_replica_end(uint32_t index, bool soon) {
-  if (soon) return ++quick_ends_[index];
-  quick_ends_.erase(index);
+uint32_t Job::note_replica_end(uint32_t index, bool early) {
+  if (early) return ++early_exits_[index];
+  early_exits_.erase(index);
   return 0;
 }
 
 void Job::load_chunk(uint32_t chunk, const std::vector<bool>& done, uint64_t record_mod_revision) {
   chunk_mod_revisions[chunk] = record_mod_revision;
-  if (spec_.service) return;  // nothing that anyone recorded makes a replica done
+  if (spec_.service) return;  // replicas are never done, whatever the record contains
   const size_t begin = size_t{chunk} * wire::kChunkTasks;
   const size_t end = std::min<size_t>(done.size(), begin + wire::kChunkTasks);
   for (size_t i = begin; i < end; ++i) {
