--- a/src/dunlinknot/wire/cloud_api.cpp
+++ b/src/dunlinknot/wire/cloud_api.cpp
@@ -1,4 +1,4 @@
-// Targets and answers of the cloud's interface.
+// Builds request targets of the cloud API and recognizes its no-capacity error.
 #include "dunlinknot/wire/cloud_api.hpp"
 
 #include "dunlinknot/wire/pack.hpp"
--- a/src/dunlinknot/wire/messages.cpp
+++ b/src/dunlinknot/wire/messages.cpp
@@ -1,4 +1,5 @@
-// The platform's messages: the only place that knows their field names.
+// Encodes and decodes the messages of messages.hpp. Their field names on the wire are used only
+// here.
 #include "dunlinknot/wire/messages.hpp"
 
 #include <algorithm>
@@ -51,22 +52,23 @@
 
 template <class E, size_t N>
 std::string_view name_of(const Names<E, N>& names, E value) {
-  for (const auto& [v, name] : names) {
-    if (v == value) return name;
+  for (const auto& [candidate, name] : names) {
+    if (candidate == value) return name;
   }
   return "";
 }
 
-// Text that goes into keys or onto other wires: short, printable, no spaces.
-bool plain_text(std::string_view s, size_t most) {
-  return !s.empty() && s.size() <= most && std::all_of(s.begin(), s.end(), [](char c) {
-    return static_cast<unsigned char>(c) > ' ' && c != 0x7f;
-  });
+// Whether `text` may be used in keys and in other messages: not empty, at most `max_length` bytes,
+// no spaces and no control characters.
+bool is_plain_text(std::string_view text, size_t max_length) {
+  return !text.empty() && text.size() <= max_length &&
+         std::all_of(text.begin(), text.end(),
+                     [](char c) { return static_cast<unsigned char>(c) > ' ' && c != 0x7f; });
 }
 
-std::optional<double> positive(wire::View value) {
-  const auto d = value.amount();
-  return d && *d >= 0 ? d : std::nullopt;
+std::optional<double> non_negative(wire::View value) {
+  const auto number = value.amount();
+  return number && *number >= 0 ? number : std::nullopt;
 }
 
 }  // namespace
@@ -76,8 +78,10 @@
   if (slash == std::string_view::npos) return std::nullopt;
   TaskRef task;
   task.job = text.substr(0, slash);
-  const auto r = std::from_chars(text.data() + slash + 1, text.data() + text.size(), task.index);
-  if (r.ec != std::errc{} || r.ptr != text.data() + text.size() || slash + 1 == text.size()) {
+  const auto result =
+      std::from_chars(text.data() + slash + 1, text.data() + text.size(), task.index);
+  if (result.ec != std::errc{} || result.ptr != text.data() + text.size() ||
+      slash + 1 == text.size()) {
     return std::nullopt;
   }
   if (!wire::valid_job_id(task.job) || task.index >= kMaxTasks) return std::nullopt;
@@ -100,80 +104,80 @@
   return std::string(*id);
 }
 
-std::optional<JobSpec> read_job(View root, std::string& why) {
+std::optional<JobSpec> read_job(View root, std::string& error) {
   JobSpec spec;
-  const auto bad = [&](const char* field) {
-    why = std::string("missing or invalid: ") + field;
+  const auto invalid = [&](const char* field) {
+    error = std::string("missing or invalid: ") + field;
     return std::nullopt;
   };
-  if (!root.is_map()) return bad("body");
+  if (!root.is_map()) return invalid("body");
   const auto id = submitted_id(root);
-  if (!id) return bad("id");
+  if (!id) return invalid("id");
   spec.id = *id;
-  const auto name = [&](const char* field, std::string& into) {
-    const auto t = root[field].text();
-    if (!t || !plain_text(*t, 120)) return false;
-    into = *t;
+  const auto name = [&](const char* field, std::string& target) {
+    const auto text = root[field].text();
+    if (!text || !is_plain_text(*text, 120)) return false;
+    target = *text;
     return true;
   };
-  if (!name("docket", spec.job_class)) return bad("docket");
-  if (!name("crew", spec.team)) return bad("crew");
-  if (!name("bundle", spec.image)) return bad("bundle");
+  if (!name("docket", spec.job_class)) return invalid("docket");
+  if (!name("crew", spec.team)) return invalid("crew");
+  if (!name("bundle", spec.image)) return invalid("bundle");
   const auto shape = root["shape"].text();
   if (!shape || (*shape != "batch" && *shape != "ensemble" && *shape != "service")) {
-    return bad("shape");
+    return invalid("shape");
   }
   spec.gang = *shape == "ensemble";
   spec.service = *shape == "service";
-  const auto rank = value_of(kPriorities, root["rank"].text());
-  if (!rank) return bad("rank");
-  spec.priority = *rank;
-  const auto pieces = root["pieces"].count();
-  if (!pieces || *pieces < 1 || *pieces > kMaxTasks) return bad("pieces");
-  spec.tasks = static_cast<uint32_t>(*pieces);
-  const auto amount = [&](const char* field, double& into) {
-    const auto d = positive(root[field]);
-    if (!d || *d > 1e9) return false;
-    into = *d;
+  const auto priority = value_of(kPriorities, root["rank"].text());
+  if (!priority) return invalid("rank");
+  spec.priority = *priority;
+  const auto tasks = root["pieces"].count();
+  if (!tasks || *tasks < 1 || *tasks > kMaxTasks) return invalid("pieces");
+  spec.tasks = static_cast<uint32_t>(*tasks);
+  const auto amount = [&](const char* field, double& target) {
+    const auto number = non_negative(root[field]);
+    if (!number || *number > 1e9) return false;
+    target = *number;
     return true;
   };
-  if (!amount("cores", spec.need.cpus)) return bad("cores");
-  if (!amount("gpus", spec.need.gpus)) return bad("gpus");
-  if (!amount("ramGb", spec.need.memory_gb)) return bad("ramGb");
-  if (!amount("sizeGb", spec.image_gb)) return bad("sizeGb");
-  double s = 0;
-  if (!amount("reckonS", s)) return bad("reckonS");
-  spec.estimate = Seconds(s);
-  if (!amount("markEveryS", s)) return bad("markEveryS");
-  spec.checkpoint = Seconds(s);
-  if (!amount("markCostS", s)) return bad("markCostS");
-  spec.save = Seconds(s);
+  if (!amount("cores", spec.need.cpus)) return invalid("cores");
+  if (!amount("gpus", spec.need.gpus)) return invalid("gpus");
+  if (!amount("ramGb", spec.need.memory_gb)) return invalid("ramGb");
+  if (!amount("sizeGb", spec.image_gb)) return invalid("sizeGb");
+  double seconds = 0;
+  if (!amount("reckonS", seconds)) return invalid("reckonS");
+  spec.estimate = Seconds(seconds);
+  if (!amount("markEveryS", seconds)) return invalid("markEveryS");
+  spec.checkpoint = Seconds(seconds);
+  if (!amount("markCostS", seconds)) return invalid("markCostS");
+  spec.save = Seconds(seconds);
   if (!root["dueS"].null()) {
-    if (!amount("dueS", s)) return bad("dueS");
-    spec.deadline = Seconds(s);
+    if (!amount("dueS", seconds)) return invalid("dueS");
+    spec.deadline = Seconds(seconds);
   }
-  if (const View rigs = root["rigs"]; !rigs.null()) {
-    if (!rigs.is_list() || rigs.size() == 0 || rigs.size() > 32) return bad("rigs");
-    for (size_t i = 0; i < rigs.size(); ++i) {
-      const auto t = rigs.at(i).text();
-      if (!t || !plain_text(*t, 80)) return bad("rigs");
-      spec.types.emplace_back(*t);
+  if (const View types = root["rigs"]; !types.null()) {
+    if (!types.is_list() || types.size() == 0 || types.size() > 32) return invalid("rigs");
+    for (size_t i = 0; i < types.size(); ++i) {
+      const auto text = types.at(i).text();
+      if (!text || !is_plain_text(*text, 80)) return invalid("rigs");
+      spec.types.emplace_back(*text);
     }
   }
-  if (const View yard = root["yard"]; !yard.null()) {
-    const auto t = yard.text();
-    if (!t || !plain_text(*t, 120)) return bad("yard");
-    spec.zone = std::string(*t);
+  if (const View zone = root["yard"]; !zone.null()) {
+    const auto text = zone.text();
+    if (!text || !is_plain_text(*text, 120)) return invalid("yard");
+    spec.zone = std::string(*text);
   }
-  const auto flag = [&](const char* field, bool& into) {
-    const auto f = root[field].flag();
-    if (!f) return false;
-    into = *f;
+  const auto flag = [&](const char* field, bool& target) {
+    const auto value = root[field].flag();
+    if (!value) return false;
+    target = *value;
     return true;
   };
-  if (!flag("together", spec.one_zone)) return bad("together");
-  if (!flag("apart", spec.spread)) return bad("apart");
-  if (!flag("loaners", spec.spot)) return bad("loaners");
+  if (!flag("together", spec.one_zone)) return invalid("together");
+  if (!flag("apart", spec.spread)) return invalid("apart");
+  if (!flag("loaners", spec.spot)) return invalid("loaners");
   return spec;
 }
 
@@ -191,7 +195,7 @@
     writer.null();
   } else {
     writer.list(spec.types.size());
-    for (const auto& t : spec.types) writer.text(t);
+    for (const auto& type : spec.types) writer.text(type);
   }
   writer.key("yard");
   spec.zone ? writer.text(*spec.zone) : writer.null();
@@ -210,14 +214,14 @@
   spec.deadline ? writer.amount(spec.deadline->count()) : writer.null();
 }
 
-std::string write_job_status(const JobStatus& standing, bool with_counts) {
+std::string write_job_status(const JobStatus& status, bool with_counts) {
   Writer writer;
   writer.map(with_counts ? 4 : 2)
       .key("id")
-      .text(standing.id)
+      .text(status.id)
       .key("standing")
-      .text(name_of(kJobStates, standing.state));
-  if (with_counts) writer.key("done").count(standing.done).key("running").count(standing.running);
+      .text(name_of(kJobStates, status.state));
+  if (with_counts) writer.key("done").count(status.done).key("running").count(status.running);
   return writer.take();
 }
 
@@ -228,53 +232,54 @@
 }
 
 std::optional<Heartbeat> read_heartbeat(std::string_view body) {
-  const auto doc = Document::parse(body);
-  if (!doc) return std::nullopt;
-  const View view = doc->root();
+  const auto document = Document::parse(body);
+  if (!document) return std::nullopt;
+  const View root = document->root();
   Heartbeat heartbeat;
-  const auto name = [&](const char* field, std::string& into) {
-    const auto t = view[field].text();
-    if (!t || !plain_text(*t, 150)) return false;
-    into = *t;
+  const auto name = [&](const char* field, std::string& target) {
+    const auto text = root[field].text();
+    if (!text || !is_plain_text(*text, 150)) return false;
+    target = *text;
     return true;
   };
   if (!name("host", heartbeat.machine) || !name("address", heartbeat.address) ||
       !name("rig", heartbeat.type) || !name("yard", heartbeat.zone)) {
     return std::nullopt;
   }
-  const auto spot = view["loaners"].flag();
-  const auto incarnation = view["shift"].count();
-  const auto sequence = view["tally"].count();
+  const auto spot = root["loaners"].flag();
+  const auto incarnation = root["shift"].count();
+  const auto sequence = root["tally"].count();
   if (!spot || !incarnation || !sequence) return std::nullopt;
   heartbeat.spot = *spot;
   heartbeat.incarnation = *incarnation;
   heartbeat.sequence = *sequence;
-  heartbeat.fencing_token = view["baton"].count().value_or(0);
-  if (!view["recallS"].null()) {
-    const auto s = view["recallS"].amount();
-    if (!s) return std::nullopt;
-    heartbeat.interruption_notice = Seconds(std::max(0.0, *s));
+  heartbeat.fencing_token = root["baton"].count().value_or(0);
+  if (!root["recallS"].null()) {
+    const auto seconds = root["recallS"].amount();
+    if (!seconds) return std::nullopt;
+    heartbeat.interruption_notice = Seconds(std::max(0.0, *seconds));
   }
-  const View tasks = view["pieces"];
+  const View tasks = root["pieces"];
   if (!tasks.null() && !tasks.is_list()) return std::nullopt;
   heartbeat.tasks.reserve(tasks.size());
   for (size_t i = 0; i < tasks.size(); ++i) {
     const View value = tasks.at(i);
-    TaskStatus out;
-    const auto ref = value["piece"].text();
-    const auto parsed = ref ? TaskRef::parse(*ref) : std::nullopt;
+    TaskStatus status;
+    const auto task_text = value["piece"].text();
+    const auto task = task_text ? TaskRef::parse(*task_text) : std::nullopt;
     const auto attempt = value["try"].count();
     const auto state = value_of(kTaskStates, value["standing"].text());
-    // A heartbeat that can't be read in full proves nothing about what is not in it: drop it whole.
-    if (!parsed || !attempt || !state) return std::nullopt;
-    out.task = *parsed;
-    out.attempt = *attempt;
-    out.state = *state;
+    // Tasks that are not listed count as absent from the machine, so a heartbeat with an unreadable
+    // entry is discarded entirely.
+    if (!task || !attempt || !state) return std::nullopt;
+    status.task = *task;
+    status.attempt = *attempt;
+    status.state = *state;
     if (*state == TaskState::exited) {
-      out.cause = value_of(kCauses, value["cause"].text()).value_or(ExitCause::error);
+      status.cause = value_of(kCauses, value["cause"].text()).value_or(ExitCause::error);
     }
-    out.saved = value["stored"].flag().value_or(false);
-    heartbeat.tasks.push_back(std::move(out));
+    status.saved = value["stored"].flag().value_or(false);
+    heartbeat.tasks.push_back(std::move(status));
   }
   return heartbeat;
 }
@@ -302,11 +307,12 @@
   heartbeat.interruption_notice ? writer.amount(heartbeat.interruption_notice->count())
                                 : writer.null();
   writer.key("pieces").list(heartbeat.tasks.size());
-  for (const auto& t : heartbeat.tasks) {
-    const bool ended = t.state == TaskState::exited;
-    writer.map(ended ? 5 : 3).key("piece").text(t.task.text()).key("try").count(t.attempt);
-    writer.key("standing").text(name_of(kTaskStates, t.state));
-    if (ended) writer.key("cause").text(name_of(kCauses, t.cause)).key("stored").flag(t.saved);
+  for (const auto& task : heartbeat.tasks) {
+    const bool exited = task.state == TaskState::exited;
+    writer.map(exited ? 5 : 3).key("piece").text(task.task.text()).key("try").count(task.attempt);
+    writer.key("standing").text(name_of(kTaskStates, task.state));
+    if (exited)
+      writer.key("cause").text(name_of(kCauses, task.cause)).key("stored").flag(task.saved);
   }
   return writer.take();
 }
@@ -317,11 +323,15 @@
   writer.map(incarnation ? 3 : 2).key("baton").count(fencing_token);
   if (incarnation) writer.key("shift").count(*incarnation);
   writer.key("orders").list(commands.size());
-  for (const auto& c : commands) {
-    const bool stop = c.op == Command::Op::stop;
-    writer.map(stop ? 4 : 3).key("verb").text(name_of(kOps, c.op)).key("piece").text(c.task.text());
-    writer.key("try").count(c.attempt);
-    if (stop) writer.key("windDownS").amount(c.grace.count());
+  for (const auto& command : commands) {
+    const bool stop = command.op == Command::Op::stop;
+    writer.map(stop ? 4 : 3)
+        .key("verb")
+        .text(name_of(kOps, command.op))
+        .key("piece")
+        .text(command.task.text());
+    writer.key("try").count(command.attempt);
+    if (stop) writer.key("windDownS").amount(command.grace.count());
   }
   return writer.take();
 }
@@ -334,65 +344,65 @@
 }
 
 std::optional<std::vector<MachineType>> read_catalog(std::string_view body) {
-  const auto doc = Document::parse(body);
-  return doc ? read_catalog(doc->root()) : std::nullopt;
+  const auto document = Document::parse(body);
+  return document ? read_catalog(document->root()) : std::nullopt;
 }
 
 std::optional<std::vector<MachineType>> read_catalog(View root) {
-  const View rigs = root["rigs"];
-  if (!rigs.is_list()) return std::nullopt;
-  std::vector<MachineType> out;
-  for (size_t i = 0; i < rigs.size(); ++i) {
-    const View value = rigs.at(i);
+  const View entries = root["rigs"];
+  if (!entries.is_list()) return std::nullopt;
+  std::vector<MachineType> types;
+  for (size_t i = 0; i < entries.size(); ++i) {
+    const View value = entries.at(i);
     const auto name = value["label"].text();
-    const auto cpus = positive(value["cores"]);
-    const auto memory = positive(value["ramGb"]);
-    if (!name || !plain_text(*name, 80) || !cpus || !memory) return std::nullopt;
+    const auto cpus = non_negative(value["cores"]);
+    const auto memory = non_negative(value["ramGb"]);
+    if (!name || !is_plain_text(*name, 80) || !cpus || !memory) return std::nullopt;
     MachineType machine_type;
     machine_type.name = *name;
-    machine_type.size = Resources{*cpus, positive(value["gpus"]).value_or(0), *memory};
-    machine_type.cache_gb = positive(value["cacheGb"]).value_or(0);
-    machine_type.fetch_gb_per_s = positive(value["fetchGbPerS"]).value_or(0);
-    machine_type.price = positive(value["rate"]).value_or(0);
-    machine_type.spot_price = positive(value["lowPrice"]).value_or(machine_type.price);
-    machine_type.boot = Seconds(positive(value["startupS"]).value_or(60));
-    const View yards = value["yards"];
-    for (size_t k = 0; k < yards.size(); ++k) {
-      if (const auto z = yards.at(k).text()) machine_type.zones.emplace_back(*z);
+    machine_type.size = Resources{*cpus, non_negative(value["gpus"]).value_or(0), *memory};
+    machine_type.cache_gb = non_negative(value["cacheGb"]).value_or(0);
+    machine_type.fetch_gb_per_s = non_negative(value["fetchGbPerS"]).value_or(0);
+    machine_type.price = non_negative(value["rate"]).value_or(0);
+    machine_type.spot_price = non_negative(value["lowPrice"]).value_or(machine_type.price);
+    machine_type.boot = Seconds(non_negative(value["startupS"]).value_or(60));
+    const View zones = value["yards"];
+    for (size_t j = 0; j < zones.size(); ++j) {
+      if (const auto zone = zones.at(j).text()) machine_type.zones.emplace_back(*zone);
     }
-    out.push_back(std::move(machine_type));
+    types.push_back(std::move(machine_type));
   }
-  if (out.empty()) return std::nullopt;
-  return out;
+  if (types.empty()) return std::nullopt;
+  return types;
 }
 
 std::string write_catalog(const std::vector<MachineType>& types) {
   Writer writer;
   writer.map(1).key("rigs").list(types.size());
-  for (const auto& t : types) {
-    writer.map(10).key("label").text(t.name).key("cores").amount(t.size.cpus);
-    writer.key("gpus").amount(t.size.gpus).key("ramGb").amount(t.size.memory_gb);
-    writer.key("cacheGb").amount(t.cache_gb).key("fetchGbPerS").amount(t.fetch_gb_per_s);
-    writer.key("rate").amount(t.price).key("lowPrice").amount(t.spot_price);
-    writer.key("startupS").amount(t.boot.count()).key("yards").list(t.zones.size());
-    for (const auto& z : t.zones) writer.text(z);
+  for (const auto& type : types) {
+    writer.map(10).key("label").text(type.name).key("cores").amount(type.size.cpus);
+    writer.key("gpus").amount(type.size.gpus).key("ramGb").amount(type.size.memory_gb);
+    writer.key("cacheGb").amount(type.cache_gb).key("fetchGbPerS").amount(type.fetch_gb_per_s);
+    writer.key("rate").amount(type.price).key("lowPrice").amount(type.spot_price);
+    writer.key("startupS").amount(type.boot.count()).key("yards").list(type.zones.size());
+    for (const auto& zone : type.zones) writer.text(zone);
   }
   return writer.take();
 }
 
 std::optional<MachineList> read_machines(std::string_view body) {
-  const auto doc = Document::parse(body);
-  if (!doc || !doc->root()["hosts"].is_list()) return std::nullopt;
-  MachineList out;
-  out.more = doc->root()["more"].flag().value_or(false);
-  const View machines = doc->root()["hosts"];
+  const auto document = Document::parse(body);
+  if (!document || !document->root()["hosts"].is_list()) return std::nullopt;
+  MachineList list;
+  list.more = document->root()["more"].flag().value_or(false);
+  const View machines = document->root()["hosts"];
   for (size_t i = 0; i < machines.size(); ++i) {
     const View value = machines.at(i);
     const auto id = value["id"].text();
     const auto type = value["rig"].text();
     const auto zone = value["yard"].text();
     const auto state = value_of(kMachineStates, value["standing"].text());
-    if (!id || !plain_text(*id, 150) || !type || !zone || !state) return std::nullopt;
+    if (!id || !is_plain_text(*id, 150) || !type || !zone || !state) return std::nullopt;
     ListedMachine listed;
     listed.id = *id;
     listed.address = value["address"].text().value_or("");
@@ -400,23 +410,23 @@
     listed.zone = *zone;
     listed.spot = value["loaners"].flag().value_or(false);
     listed.state = *state;
-    listed.age = Seconds(positive(value["heldS"]).value_or(0));
-    out.machines.push_back(std::move(listed));
+    listed.age = Seconds(non_negative(value["heldS"]).value_or(0));
+    list.machines.push_back(std::move(listed));
   }
-  return out;
+  return list;
 }
 
 std::optional<std::vector<std::string>> read_launched(std::string_view body) {
-  const auto doc = Document::parse(body);
-  if (!doc || !doc->root()["hosts"].is_list()) return std::nullopt;
-  std::vector<std::string> out;
-  const View machines = doc->root()["hosts"];
+  const auto document = Document::parse(body);
+  if (!document || !document->root()["hosts"].is_list()) return std::nullopt;
+  std::vector<std::string> ids;
+  const View machines = document->root()["hosts"];
   for (size_t i = 0; i < machines.size(); ++i) {
     const auto id = machines.at(i).text();
-    if (!id || !plain_text(*id, 150)) return std::nullopt;
-    out.emplace_back(*id);
+    if (!id || !is_plain_text(*id, 150)) return std::nullopt;
+    ids.emplace_back(*id);
   }
-  return out;
+  return ids;
 }
 
 std::string write_launch_request(std::string_view request, std::string_view type,
@@ -430,7 +440,7 @@
 std::string write_termination_request(const std::vector<std::string>& machines) {
   Writer writer;
   writer.map(1).key("hosts").list(machines.size());
-  for (const auto& m : machines) writer.text(m);
+  for (const auto& machine : machines) writer.text(machine);
   return writer.take();
 }
 
--- a/src/dunlinknot/wire/pack.cpp
+++ b/src/dunlinknot/wire/pack.cpp
@@ -1,4 +1,4 @@
-// Reading of MessagePack, and the size of a value in JSON.
+// Reads MessagePack, and computes the size of a value encoded as JSON.
 #include "dunlinknot/wire/pack.hpp"
 
 #include <fmt/format.h>
@@ -10,11 +10,12 @@
 
 View View::operator[](std::string_view key) const {
   if (!is_map()) return View();
-  const auto& m = object_->via.map;
-  for (uint32_t i = 0; i < m.size; ++i) {
-    const auto& k = m.ptr[i].key;
-    if (k.type == msgpack::type::STR && std::string_view(k.via.str.ptr, k.via.str.size) == key) {
-      return View(&m.ptr[i].val);
+  const auto& map = object_->via.map;
+  for (uint32_t i = 0; i < map.size; ++i) {
+    const auto& name = map.ptr[i].key;
+    if (name.type == msgpack::type::STR &&
+        std::string_view(name.via.str.ptr, name.via.str.size) == key) {
+      return View(&map.ptr[i].val);
     }
   }
   return View();
@@ -53,7 +54,7 @@
 
 namespace {
 
-// Quotes, and twice the text where each of its characters might be escaped.
+// Two quotes, the text, and one more byte for each character that is escaped.
 size_t json_size_of_text(std::string_view text) {
   constexpr size_t kQuotes = 2;
   const auto escaped = std::count_if(text.begin(), text.end(), [](char c) {
@@ -62,7 +63,7 @@
   return kQuotes + text.size() + static_cast<size_t>(escaped);
 }
 
-// Brackets, and a separator with its space between items.
+// The brackets, and a separator with a space between any two items.
 size_t json_size_of_brackets(size_t items) {
   constexpr size_t kBrackets = 2;
   constexpr size_t kSeparator = 2;
@@ -71,18 +72,18 @@
 
 }  // namespace
 
-size_t json_size_of_count(uint64_t n) {
-  return fmt::formatted_size("{}", n);
+size_t json_size_of_count(uint64_t value) {
+  return fmt::formatted_size("{}", value);
 }
 
-size_t json_size_of_amount(double d) {
-  constexpr size_t kPointAndZero = 2;  // "4" here is "4.0" elsewhere
-  return fmt::formatted_size("{}", d) + kPointAndZero;
+size_t json_size_of_amount(double value) {
+  constexpr size_t kDecimalSuffix = 2;  // fmt prints "4" where other encoders print "4.0"
+  return fmt::formatted_size("{}", value) + kDecimalSuffix;
 }
 
 size_t json_size(View value) {
-  constexpr size_t kColon = 2;
-  constexpr size_t kWord = 5;  // null, true, false
+  constexpr size_t kColon = 2;    // with the space after it
+  constexpr size_t kLiteral = 5;  // the longest of null, true and false
   if (value.is_list()) {
     size_t size = json_size_of_brackets(value.size());
     for (size_t i = 0; i < value.size(); ++i) size += json_size(value.at(i));
@@ -98,18 +99,19 @@
   if (const auto text = value.text()) return json_size_of_text(*text);
   if (const auto count = value.count()) return json_size_of_count(*count);
   if (const auto amount = value.amount()) return json_size_of_amount(*amount);
-  return kWord;
+  return kLiteral;
 }
 
 std::optional<Document> Document::parse(std::string_view bytes) {
-  // Hostile input: bounded depth, and no container may announce more than the bytes could hold.
-  const size_t n = bytes.size();
-  const msgpack::unpack_limit limits(n, n, n, n, n, 24);
+  // Bounds for hostile input: no container may declare more elements than the input has bytes, and
+  // values may be nested up to 24 levels deep.
+  const size_t size = bytes.size();
+  const msgpack::unpack_limit limits(size, size, size, size, size, 24);
   try {
     Document document;
     size_t used = 0;
-    document.handle_ = msgpack::unpack(bytes.data(), n, used, nullptr, nullptr, limits);
-    if (used != n) return std::nullopt;
+    document.handle_ = msgpack::unpack(bytes.data(), size, used, nullptr, nullptr, limits);
+    if (used != size) return std::nullopt;
     return document;
   } catch (const std::exception&) {
     return std::nullopt;
--- a/src/dunlinknot/wire/records.cpp
+++ b/src/dunlinknot/wire/records.cpp
@@ -1,4 +1,5 @@
-// Stored records and their keys; the forms are fixed (docs/design.md, Compatibility).
+// Encodes and decodes stored records and their keys. The formats are fixed; see Compatibility in
+// docs/design.md.
 #include "dunlinknot/wire/records.hpp"
 
 #include <algorithm>
@@ -7,12 +8,12 @@
 namespace dunlinknot::wire {
 
 namespace {
-std::string join(std::string_view a, std::string_view b) {
-  std::string s(a);
-  s.append(b);
-  return s;
+std::string join(std::string_view prefix, std::string_view rest) {
+  std::string key(prefix);
+  key.append(rest);
+  return key;
 }
-constexpr std::string_view kHex = "0123456789abcdef";
+constexpr std::string_view kHexDigits = "0123456789abcdef";
 }  // namespace
 
 std::string job_key(std::string_view id) {
@@ -36,10 +37,10 @@
   const std::string_view rest = after_prefix(key, kDonePrefix);
   const size_t slash = rest.find('/');
   if (slash == std::string_view::npos) return std::nullopt;
-  uint32_t n = 0;
-  const auto r = std::from_chars(rest.data() + slash + 1, rest.data() + rest.size(), n);
-  if (r.ec != std::errc{} || r.ptr != rest.data() + rest.size()) return std::nullopt;
-  return std::pair{std::string(rest.substr(0, slash)), n};
+  uint32_t chunk = 0;
+  const auto result = std::from_chars(rest.data() + slash + 1, rest.data() + rest.size(), chunk);
+  if (result.ec != std::errc{} || result.ptr != rest.data() + rest.size()) return std::nullopt;
+  return std::pair{std::string(rest.substr(0, slash)), chunk};
 }
 
 std::string write_job_record(const JobRecord& record) {
@@ -52,8 +53,8 @@
 
 std::optional<JobRecord> read_job_record(View value) {
   const auto at = value["at"].count();
-  std::string why;
-  auto spec = read_job(value["job"], why);
+  std::string error;
+  auto spec = read_job(value["job"], error);
   if (!at || !spec) return std::nullopt;
   return JobRecord{std::move(*spec), WallTime(Millis(static_cast<int64_t>(*at)))};
 }
@@ -69,9 +70,9 @@
 }
 
 std::optional<FinalRecord> read_final(View value) {
-  const auto c = value["cancelled"].flag();
-  if (!c) return std::nullopt;
-  return FinalRecord{*c, static_cast<uint32_t>(value["tasks"].count().value_or(0))};
+  const auto cancelled = value["cancelled"].flag();
+  if (!cancelled) return std::nullopt;
+  return FinalRecord{*cancelled, static_cast<uint32_t>(value["tasks"].count().value_or(0))};
 }
 
 std::string write_leader(const LeaderRecord& record) {
@@ -87,9 +88,9 @@
   return LeaderRecord{std::string(*node), *epoch};
 }
 
-std::string write_epoch(uint64_t n) {
+std::string write_epoch(uint64_t epoch) {
   Writer writer;
-  writer.map(1).key("n").count(n);
+  writer.map(1).key("n").count(epoch);
   return writer.take();
 }
 
@@ -99,41 +100,41 @@
 
 namespace {
 
-constexpr uint32_t kTasksPerCharacter = 4;
-constexpr size_t kChunkFrame = std::string_view(R"({"bits": ""})").size();
+constexpr uint32_t kTasksPerDigit = 4;
+constexpr size_t kEmptyChunkBytes = std::string_view(R"({"bits": ""})").size();
 
 }  // namespace
 
 uint32_t storable_chunk_tasks(size_t value_bytes) {
-  const size_t characters = value_bytes > kChunkFrame ? value_bytes - kChunkFrame : 0;
-  return static_cast<uint32_t>(std::min<size_t>(characters * kTasksPerCharacter, kChunkTasks));
+  const size_t digits = value_bytes > kEmptyChunkBytes ? value_bytes - kEmptyChunkBytes : 0;
+  return static_cast<uint32_t>(std::min<size_t>(digits * kTasksPerDigit, kChunkTasks));
 }
 
 std::string write_done_chunk(const std::vector<bool>& done, uint32_t chunk, uint32_t storable) {
   const size_t begin = size_t{chunk} * kChunkTasks;
   const size_t end = std::min(done.size(), begin + std::min(storable, kChunkTasks));
   std::string bits;
-  for (size_t i = begin; i < end; i += kTasksPerCharacter) {
+  for (size_t i = begin; i < end; i += kTasksPerDigit) {
     unsigned nibble = 0;
-    for (size_t k = 0; k < kTasksPerCharacter && i + k < end; ++k)
-      nibble |= (done[i + k] ? 1u : 0u) << k;
-    bits.push_back(kHex[nibble]);
+    for (size_t bit = 0; bit < kTasksPerDigit && i + bit < end; ++bit)
+      nibble |= (done[i + bit] ? 1u : 0u) << bit;
+    bits.push_back(kHexDigits[nibble]);
   }
   Writer writer;
   writer.map(1).key("bits").text(bits);
   return writer.take();
 }
 
-bool read_done_chunk(View value, uint32_t chunk, std::vector<bool>& into) {
+bool read_done_chunk(View value, uint32_t chunk, std::vector<bool>& done) {
   const auto bits = value["bits"].text();
   if (!bits) return false;
   const size_t begin = size_t{chunk} * kChunkTasks;
   for (size_t i = 0; i < bits->size(); ++i) {
-    const size_t nibble = kHex.find((*bits)[i]);
+    const size_t nibble = kHexDigits.find((*bits)[i]);
     if (nibble == std::string_view::npos) return false;
-    for (size_t k = 0; k < kTasksPerCharacter; ++k) {
-      const size_t at = begin + i * kTasksPerCharacter + k;
-      if ((nibble >> k & 1) != 0 && at < into.size()) into[at] = true;
+    for (size_t bit = 0; bit < kTasksPerDigit; ++bit) {
+      const size_t index = begin + i * kTasksPerDigit + bit;
+      if ((nibble >> bit & 1) != 0 && index < done.size()) done[index] = true;
     }
   }
   return true;
@@ -149,11 +150,17 @@
       .key("address")
       .text(record.address);
   writer.key("spot").flag(record.spot).key("jobs").list(record.groups.size());
-  for (const auto& g : record.groups) {
-    writer.map(7).key("job").text(g.job).key("crew").text(g.team).key("gang").flag(g.gang);
-    writer.key("cpus").amount(g.need.cpus).key("gpus").amount(g.need.gpus);
-    writer.key("gb").amount(g.need.memory_gb).key("on").list(g.tasks.size());
-    for (const auto& [index, attempt] : g.tasks) writer.list(2).count(index).count(attempt);
+  for (const auto& group : record.groups) {
+    writer.map(7)
+        .key("job")
+        .text(group.job)
+        .key("crew")
+        .text(group.team)
+        .key("gang")
+        .flag(group.gang);
+    writer.key("cpus").amount(group.need.cpus).key("gpus").amount(group.need.gpus);
+    writer.key("gb").amount(group.need.memory_gb).key("on").list(group.tasks.size());
+    for (const auto& [index, attempt] : group.tasks) writer.list(2).count(index).count(attempt);
   }
   return writer.take();
 }
@@ -176,34 +183,34 @@
   return kFrame.size() + json_size_of_count(index) + json_size_of_count(attempt);
 }
 
-std::optional<MachineRecord> read_machine_record(View view) {
-  const auto type = view["rig"].text();
-  const auto zone = view["yard"].text();
-  if (!type || !zone || !view["jobs"].is_list()) return std::nullopt;
+std::optional<MachineRecord> read_machine_record(View root) {
+  const auto type = root["rig"].text();
+  const auto zone = root["yard"].text();
+  if (!type || !zone || !root["jobs"].is_list()) return std::nullopt;
   MachineRecord record;
   record.type = *type;
   record.zone = *zone;
-  record.address = view["address"].text().value_or("");
-  record.spot = view["spot"].flag().value_or(false);
-  for (size_t i = 0; i < view["jobs"].size(); ++i) {
-    const View value = view["jobs"].at(i);
-    MachineRecord::Group out;
-    const auto job = value["job"].text();
+  record.address = root["address"].text().value_or("");
+  record.spot = root["spot"].flag().value_or(false);
+  for (size_t i = 0; i < root["jobs"].size(); ++i) {
+    const View entry = root["jobs"].at(i);
+    MachineRecord::Group group;
+    const auto job = entry["job"].text();
     if (!job) return std::nullopt;
-    out.job = *job;
-    out.team = value["crew"].text().value_or("");
-    out.gang = value["gang"].flag().value_or(false);
-    out.need = Resources{value["cpus"].amount().value_or(0), value["gpus"].amount().value_or(0),
-                         value["gb"].amount().value_or(0)};
-    const View on = value["on"];
-    for (size_t k = 0; k < on.size(); ++k) {
-      if (on.at(k).size() != 2) return std::nullopt;
-      const auto index = on.at(k).at(0).count();
-      const auto attempt = on.at(k).at(1).count();
+    group.job = *job;
+    group.team = entry["crew"].text().value_or("");
+    group.gang = entry["gang"].flag().value_or(false);
+    group.need = Resources{entry["cpus"].amount().value_or(0), entry["gpus"].amount().value_or(0),
+                           entry["gb"].amount().value_or(0)};
+    const View tasks = entry["on"];
+    for (size_t j = 0; j < tasks.size(); ++j) {
+      if (tasks.at(j).size() != 2) return std::nullopt;
+      const auto index = tasks.at(j).at(0).count();
+      const auto attempt = tasks.at(j).at(1).count();
       if (!index || !attempt) return std::nullopt;
-      out.tasks.emplace_back(static_cast<uint32_t>(*index), *attempt);
+      group.tasks.emplace_back(static_cast<uint32_t>(*index), *attempt);
     }
-    record.groups.push_back(std::move(out));
+    record.groups.push_back(std::move(group));
   }
   return record;
 }
--- a/src/dunlinknot/wire/records.hpp
+++ b/src/dunlinknot/wire/records.hpp
@@ -1,9 +1,12 @@
-// What the service keeps in the key-value store, and under which keys.
+// The records that controllers keep in the key-value store, and their keys.
 //
-//   leader            lease-bound: who leads            epoch      the number of leaderships so far
-//   job/ID            an open job                       final/ID   how a job ended, kept forever
-//   done/ID/n         which tasks of chunk n are done   host/VM    what the leader allocated on VM
-//   catalog           the machine types last seen
+//   leader     the current leader, bound to its lease
+//   epoch      the last epoch
+//   catalog    the last known machine types
+//   job/ID     an open job
+//   final/ID   the result of a closed job, kept forever
+//   done/ID/n  the completed tasks of chunk n
+//   host/VM    the allocations on the machine VM
 #pragma once
 #include <map>
 
@@ -23,20 +26,22 @@
 std::string final_key(std::string_view id);
 std::string done_key(std::string_view id, uint32_t chunk);
 std::string machine_key(std::string_view machine);
+// The part of `key` after `prefix`; empty if `key` does not start with `prefix`.
 std::string_view after_prefix(std::string_view key, std::string_view prefix);
+// The job id and the chunk of a key done/ID/n.
 std::optional<std::pair<std::string, uint32_t>> parse_done_key(std::string_view key);
 
-// An open job, under job/ID.
+// An open job, stored under job/ID.
 struct JobRecord {
   JobSpec spec;
   WallTime submitted{};
 };
 std::string write_job_record(const JobRecord& record);
 std::optional<JobRecord> read_job_record(View value);
-// Only the number of tasks; 0 when it cannot be read.
+// Reads only the number of tasks; 0 if it cannot be read.
 uint32_t read_job_record_tasks(View value);
 
-// How a job ended, under final/ID.
+// The result of a closed job, stored under final/ID.
 struct FinalRecord {
   bool cancelled = false;
   uint32_t tasks = 0;
@@ -44,7 +49,7 @@
 std::string write_final(const FinalRecord& record);
 std::optional<FinalRecord> read_final(View value);
 
-// Who leads, under leader.
+// The current leader, stored under `leader`.
 struct LeaderRecord {
   std::string node;
   uint64_t epoch = 0;
@@ -54,21 +59,25 @@
 std::string write_epoch(uint64_t epoch);
 std::optional<uint64_t> read_epoch(View value);
 
-// A chunk covers kChunkTasks tasks, four in a character.
+// Tasks covered by one chunk of completed tasks. Each hexadecimal digit of a chunk covers four
+// tasks.
 inline constexpr uint32_t kChunkTasks = 8192;
-// How many of a chunk's tasks, from its first, a record of at most so many bytes can tell of.
+// Number of a chunk's tasks, counted from its first, that fit in a record of at most `value_bytes`.
 uint32_t storable_chunk_tasks(size_t value_bytes);
+// Writes the completed tasks of `chunk`, but only the first `storable` tasks of the chunk.
 std::string write_done_chunk(const std::vector<bool>& done, uint32_t chunk,
                              uint32_t storable = kChunkTasks);
-bool read_done_chunk(View value, uint32_t chunk, std::vector<bool>& into);
+// Marks the completed tasks in `done`. Returns false if the record is malformed.
+bool read_done_chunk(View value, uint32_t chunk, std::vector<bool>& done);
 
-// What is allocated on a machine. Team and amounts stand here too, so that an allocation still
-// counts against its team's limit when its job is over and its record gone.
+// The allocations on a machine. The record includes team and resources, so that an allocation still
+// counts against its team's limit when its job is closed and the job's record is deleted.
 struct MachineRecord {
+  // The allocated tasks of one job.
   struct Group {
     std::string job;
     std::string team;
-    Resources need;
+    Resources need;  // of each task
     bool gang = false;
     std::vector<std::pair<uint32_t, uint64_t>> tasks;  // index, attempt
   };
@@ -81,7 +90,7 @@
 std::string write_machine_record(const MachineRecord& record);
 std::optional<MachineRecord> read_machine_record(View value);
 
-// Upper bounds of what the parts of a machine's record add to its size in JSON.
+// Upper bounds of the bytes that the parts of a machine record add to its size in JSON.
 size_t machine_record_size(std::string_view type, std::string_view zone, std::string_view address);
 size_t machine_group_size(std::string_view job, std::string_view team, const Resources& need);
 size_t machine_task_size(uint32_t index, uint64_t attempt);
--- a/src/dunlinknot/wire/store_messages.cpp
+++ b/src/dunlinknot/wire/store_messages.cpp
@@ -1,11 +1,11 @@
-// The key-value store's field names, mapped to our terms in this one place.
+// Encodes and decodes the messages of the key-value store. Its field names are used only here.
 #include "dunlinknot/wire/store_messages.hpp"
 
 namespace dunlinknot::wire::store {
 
 namespace {
 
-constexpr std::string_view kPageItems = "500";  // asked for at once; the store allows 1,000
+constexpr std::string_view kPageItems = "500";  // keys of one page; the store allows up to 1,000
 
 constexpr std::string_view kKey = "key";
 constexpr std::string_view kValue = "v";
@@ -23,7 +23,7 @@
 constexpr std::string_view kError = "error";
 constexpr std::string_view kLeaseTtl = "ttlMs";
 
-// Empty when the entry is of a kind that this version does not know.
+// Empty if the kind of change is unknown to this version.
 std::optional<Change> read_change(View entry) {
   Change change;
   if (const auto put = entry[kPut].text()) {
@@ -95,17 +95,17 @@
   return KeyValue{std::string(*key), item[kValue], *mod_revision, item[kLease].count().value_or(0)};
 }
 
-std::optional<uint64_t> read_revision(View answer) {
-  return answer[kRevision].count();
+std::optional<uint64_t> read_revision(View response) {
+  return response[kRevision].count();
 }
 
-std::optional<Listing> read_listing(View answer) {
-  const auto revision = read_revision(answer);
-  const View items = answer[kItems];
+std::optional<Listing> read_listing(View response) {
+  const auto revision = read_revision(response);
+  const View items = response[kItems];
   if (!revision || !items.is_list()) return std::nullopt;
   Listing listing;
   listing.revision = *revision;
-  listing.more = answer[kMore].flag().value_or(false);
+  listing.more = response[kMore].flag().value_or(false);
   for (size_t i = 0; i < items.size(); ++i) {
     auto item = read_key_value(items.at(i));
     if (!item) return std::nullopt;
@@ -114,24 +114,24 @@
   return listing;
 }
 
-std::optional<Changes> read_changes(View answer) {
-  const auto revision = read_revision(answer);
+std::optional<Changes> read_changes(View response) {
+  const auto revision = read_revision(response);
   if (!revision) return std::nullopt;
-  Changes out;
-  out.revision = *revision;
-  const View entries = answer[kChanges];
+  Changes changes;
+  changes.revision = *revision;
+  const View entries = response[kChanges];
   for (size_t i = 0; i < entries.size(); ++i) {
-    if (auto change = read_change(entries.at(i))) out.changes.push_back(std::move(*change));
+    if (auto change = read_change(entries.at(i))) changes.changes.push_back(std::move(*change));
   }
-  return out;
+  return changes;
 }
 
-std::optional<uint64_t> read_lease(View answer) {
-  return answer[kLease].count();
+std::optional<uint64_t> read_lease(View response) {
+  return response[kLease].count();
 }
 
-std::optional<std::vector<std::string>> read_failed_compares(View answer) {
-  const View failed = answer[kFailed];
+std::optional<std::vector<std::string>> read_failed_compares(View response) {
+  const View failed = response[kFailed];
   if (!failed.is_list()) return std::nullopt;
   std::vector<std::string> keys;
   for (size_t i = 0; i < failed.size(); ++i) {
@@ -140,8 +140,8 @@
   return keys;
 }
 
-std::string read_error(View answer) {
-  return std::string(answer[kError].text().value_or("?"));
+std::string read_error(View response) {
+  return std::string(response[kError].text().value_or("?"));
 }
 
 bool is_expired_lease(std::string_view error) {
--- a/src/dunlinknot/wire/store_messages.hpp
+++ b/src/dunlinknot/wire/store_messages.hpp
@@ -1,6 +1,6 @@
-// The protocol of the key-value store: paths, requests and answers. Its field names (`stamp`,
-// `tenancy`, `ledgerRev`, `guards`, `news`) are used in the .cpp only; here they have the terms of
-// the field: mod revision, lease, revision, compares, changes.
+// The protocol of the key-value store: paths, requests and responses. Its field names (`stamp`,
+// `tenancy`, `ledgerRev`, `guards`, `news`) are used in the .cpp only. In this interface they are
+// called mod revision, lease, revision, compares and changes.
 #pragma once
 #include <optional>
 #include <string>
@@ -12,34 +12,34 @@
 
 namespace dunlinknot::wire::store {
 
-// A key as it is stored. `value` points into the answer's document.
+// A stored key with its value. `value` refers to the response's document, which must outlive it.
 struct KeyValue {
   std::string key;
   View value;
   uint64_t mod_revision = 0;  // the revision of the key's last change
-  uint64_t lease = 0;         // that the key is bound to; 0: none
+  uint64_t lease = 0;         // the lease that the key is bound to; 0: none
 };
 
-// A condition of a transaction: the key's last change is still the one that we know.
+// A condition of a transaction: the key's mod revision still has this value.
 struct Compare {
   std::string key;
   uint64_t mod_revision = 0;  // 0: the key must not exist
 };
 
-// A change that a transaction makes.
+// A put or delete in a transaction.
 struct Write {
   std::string key;
   std::string value;   // packed; empty: the key is deleted
-  uint64_t lease = 0;  // to bind the key to; 0: none
+  uint64_t lease = 0;  // the lease to bind the key to; 0: none
 };
 
-// Writes that are applied together, and only if all compares hold.
+// A compare-and-swap: the writes are applied atomically, and only if all compares hold.
 struct Transaction {
   std::vector<Compare> compares;
   std::vector<Write> writes;
 };
 
-// A change that a watch reports. `value` points into the answer's document.
+// A change reported by a watch. `value` refers to the response's document, which must outlive it.
 struct Change {
   std::string key;
   bool deleted = false;
@@ -47,26 +47,27 @@
   uint64_t mod_revision = 0;
 };
 
-// One page of the keys under a prefix, in order.
+// One page of the keys under a prefix, in ascending order.
 struct Listing {
   std::vector<KeyValue> items;
   bool more = false;      // there are keys after the last of `items`
-  uint64_t revision = 0;  // what the page shows is at least this new
+  uint64_t revision = 0;  // the page includes at least all changes up to this one
 };
 
-// All changes under a prefix after the revision that was asked for.
+// All changes under a prefix after the requested revision.
 struct Changes {
   std::vector<Change> changes;
-  uint64_t revision = 0;  // up to which there are no others
+  uint64_t revision = 0;  // there are no other changes up to this revision
 };
 
-// The paths of requests, with their queries.
+// The paths of requests, with their query parameters.
 inline constexpr std::string_view kTransactionPath = "/multi";
 inline constexpr std::string_view kLeasesPath = "/leases";
 std::string key_path(std::string_view key);
-// The keys under `prefix` after `after`; all of them when that is empty.
+// Lists the keys under `prefix` that follow the key `after`, or all of them if `after` is empty.
 std::string list_path(std::string_view prefix, std::string_view after);
-// The changes under `prefix` after the revision `since`, waiting up to `block` for one.
+// Returns the changes under `prefix` after the revision `since`; waits up to `block` if there are
+// none.
 std::string changes_path(std::string_view prefix, uint64_t since, Millis block);
 std::string lease_path(uint64_t lease);
 std::string lease_renewal_path(uint64_t lease);
@@ -75,17 +76,17 @@
 std::string write_transaction(const Transaction& transaction);
 std::string write_lease_request(Millis ttl);
 
-// Parts of answers; empty when the answer is not of the expected form.
+// Parts of responses; empty if the response is malformed.
 std::optional<KeyValue> read_key_value(View item);
-std::optional<uint64_t> read_revision(View answer);
-std::optional<Listing> read_listing(View answer);
-std::optional<Changes> read_changes(View answer);
-std::optional<uint64_t> read_lease(View answer);
+std::optional<uint64_t> read_revision(View response);
+std::optional<Listing> read_listing(View response);
+std::optional<Changes> read_changes(View response);
+std::optional<uint64_t> read_lease(View response);
 // The keys whose compare failed.
-std::optional<std::vector<std::string>> read_failed_compares(View answer);
-// Why a request was refused, in the store's words; "?" when it does not say.
-std::string read_error(View answer);
-// Whether that error is the expiry of a lease that a transaction was to bind a key to.
+std::optional<std::vector<std::string>> read_failed_compares(View response);
+// The error text of a refused request; "?" if the response contains none.
+std::string read_error(View response);
+// Returns whether `error` reports that a lease to which a transaction binds a key has expired.
 bool is_expired_lease(std::string_view error);
 
 }  // namespace dunlinknot::wire::store
