--- a/src/dunlinknot/settings/operator_loader.cpp
+++ b/src/dunlinknot/settings/operator_loader.cpp
@@ -1,4 +1,4 @@
-// Reads the operators' settings file. docs/operations.md describes the settings.
+// Reads and validates the operators' settings file. docs/operations.md describes the settings.
 #include <algorithm>
 #include <cmath>
 #include <functional>
@@ -16,29 +16,34 @@
 
 namespace {
 
-// One setting: what values it takes and where they go.
+// One setting: its permitted values and the member that stores it.
 struct Field {
-  double least;
-  double most;
+  double min;
+  double max;
   std::function<void(Operator&, double)> set;
-  const char* unit;  // what the attribute `unit` must say; "" for a plain number
-  bool whole;
+  const char* unit;  // required value of the attribute `unit`; "" for a plain number
+  bool integer;
 };
 
-Field seconds(double least, double most, Seconds Operator::*at) {
-  return {least, most, [at](Operator& settings, double value) { settings.*at = Seconds(value); },
-          "s", false};
+Field seconds(double min, double max, Seconds Operator::*member) {
+  return {min, max,
+          [member](Operator& settings, double value) { settings.*member = Seconds(value); }, "s",
+          false};
 }
-Field whole(double least, double most, uint32_t Operator::*at) {
-  return {least, most,
-          [at](Operator& settings, double value) { settings.*at = static_cast<uint32_t>(value); },
+Field integer(double min, double max, uint32_t Operator::*member) {
+  return {min, max,
+          [member](Operator& settings, double value) {
+            settings.*member = static_cast<uint32_t>(value);
+          },
           "", true};
 }
-Field on_or_off(bool Operator::*at) {
-  return {0, 1, [at](Operator& settings, double value) { settings.*at = value != 0; }, "", true};
+Field boolean(bool Operator::*member) {
+  return {0, 1, [member](Operator& settings, double value) { settings.*member = value != 0; }, "",
+          true};
 }
-Field ratio(double least, double most, double Operator::*at) {
-  return {least, most, [at](Operator& settings, double value) { settings.*at = value; }, "", false};
+Field ratio(double min, double max, double Operator::*member) {
+  return {min, max, [member](Operator& settings, double value) { settings.*member = value; }, "",
+          false};
 }
 
 using Fields = std::map<std::string, Field>;  // by the element's name
@@ -48,30 +53,30 @@
   static const std::map<std::string, Fields> all = {
       {"leadership", {{"ttl", seconds(1, 30, &Operator::leader_ttl)}}},
       {"api",
-       {{"max-submissions", whole(1, 10'000, &Operator::max_submissions)},
-        {"max-polls", whole(1, 10'000, &Operator::max_polls)},
-        {"final-cache", whole(0, 1'000'000, &Operator::final_cache)}}},
+       {{"max-submissions", integer(1, 10'000, &Operator::max_submissions)},
+        {"max-polls", integer(1, 10'000, &Operator::max_polls)},
+        {"final-cache", integer(0, 1'000'000, &Operator::final_cache)}}},
       {"fleet",
        {{"idle-return", seconds(0, 86'400, &Operator::idle_return)},
         {"boot-patience", ratio(1, 100, &Operator::boot_patience)},
         {"lost-return", seconds(0, 86'400, &Operator::lost_return)},
         {"refusal-pause", seconds(1, 3600, &Operator::refusal_pause)},
-        {"max-machines", whole(1, 100'000, &Operator::max_machines)},
-        {"faults-to-drain", whole(1, 1000, &Operator::faults_to_drain)}}},
+        {"max-machines", integer(1, 100'000, &Operator::max_machines)},
+        {"faults-to-drain", integer(1, 1000, &Operator::faults_to_drain)}}},
       {"duties",
-       {{"on", on_or_off(&Operator::roles)},
+       {{"on", boolean(&Operator::roles)},
         {"ttl", seconds(1, 60, &Operator::roles_ttl)},
         {"renew-every", seconds(0.1, 20, &Operator::roles_renew)}}},
       {"scheduler",
        {{"round-pause", seconds(0.01, 10, &Operator::cycle_pause)},
         {"backoff-first", seconds(0.1, 3600, &Operator::backoff_first)},
         {"backoff-most", seconds(1, 86'400, &Operator::backoff_most)},
-        {"failing-machines", whole(1, 1000, &Operator::failing_machines)}}},
+        {"failing-machines", integer(1, 1000, &Operator::failing_machines)}}},
   };
   return all;
 }
 
-// Walks the document and sets what it finds. Throws Error with the file and the line.
+// Reads all settings in the document. Throws Error with file and line if one is invalid.
 class OperatorReader {
  public:
   explicit OperatorReader(std::string path) : path_(std::move(path)), content_(read_file(path_)) {}
@@ -81,7 +86,7 @@
     if (!parsed) fail_at(parsed.offset, parsed.description());
     const pugi::xml_node root = document_.document_element();
     if (std::string_view(root.name()) != "dunlinknot")
-      fail(root, "the outermost element must be <dunlinknot>");
+      fail(root, "the root element must be <dunlinknot>");
     Operator settings;
     for (const pugi::xml_node group : root.children()) {
       if (group.type() == pugi::node_element) read_group(group, settings);
@@ -91,13 +96,13 @@
   }
 
  private:
-  [[noreturn]] void fail_at(ptrdiff_t offset, const std::string& fault) const {
+  [[noreturn]] void fail_at(ptrdiff_t offset, const std::string& error) const {
     const auto end = content_.begin() + std::clamp<ptrdiff_t>(offset, 0, std::ssize(content_));
     const auto line = 1 + std::count(content_.begin(), end, '\n');
-    throw Error(path_ + ":" + std::to_string(line) + ": " + fault);
+    throw Error(path_ + ":" + std::to_string(line) + ": " + error);
   }
-  [[noreturn]] void fail(const pugi::xml_node& at, const std::string& fault) const {
-    fail_at(at.offset_debug(), fault);
+  [[noreturn]] void fail(const pugi::xml_node& node, const std::string& error) const {
+    fail_at(node.offset_debug(), error);
   }
 
   void read_group(const pugi::xml_node& group, Operator& settings) const {
@@ -115,27 +120,28 @@
   double read_value(const pugi::xml_node& item, const std::string& name, const Field& field) const {
     const std::string unit = item.attribute("unit").as_string(field.unit);
     if (unit != field.unit) fail(item, name + ": the unit must be \"" + field.unit + "\"");
-    std::istringstream text(item.text().as_string());
+    std::istringstream input(item.text().as_string());
     double value = 0;
     std::string rest;
-    if (!(text >> value) || (text >> rest)) fail(item, name + ": must be a number");
-    if (field.whole && value != std::floor(value)) fail(item, name + ": must be a whole number");
-    if (!std::isfinite(value) || value < field.least || value > field.most) {
+    if (!(input >> value) || (input >> rest)) fail(item, name + ": must be a number");
+    if (field.integer && value != std::floor(value)) fail(item, name + ": must be a whole number");
+    if (!std::isfinite(value) || value < field.min || value > field.max) {
       std::ostringstream range;
-      range << name << ": must be between " << field.least << " and " << field.most;
+      range << name << ": must be between " << field.min << " and " << field.max;
       fail(item, range.str());
     }
     return value;
   }
 
-  // A lease that one or two lost renewals end would change hands on a healthy cluster.
+  // The lease of a role must outlast two lost renewals. Otherwise one or two lost renewals would
+  // move the role to another node although the cluster is healthy.
   void check_roles(const pugi::xml_node& root, const Operator& settings) const {
-    constexpr double kLeastRenewals = 3;
-    if (!settings.roles || settings.roles_ttl >= settings.roles_renew * kLeastRenewals) return;
-    std::ostringstream fault;
-    fault << "duties/ttl: must be at least " << kLeastRenewals << " times duties/renew-every ("
+    constexpr double kMinRenewals = 3;
+    if (!settings.roles || settings.roles_ttl >= settings.roles_renew * kMinRenewals) return;
+    std::ostringstream error;
+    error << "duties/ttl: must be at least " << kMinRenewals << " times duties/renew-every ("
           << settings.roles_renew.count() << " s)";
-    fail(root.child("duties"), fault.str());
+    fail(root.child("duties"), error.str());
   }
 
   std::string path_;
--- a/src/dunlinknot/settings/settings.hpp
+++ b/src/dunlinknot/settings/settings.hpp
@@ -1,6 +1,6 @@
-// The settings of a controller, from two files: the platform's (TOML), which names this node and
-// the limits that it has to keep, and the operators' own (XML, optional), which tunes the service.
-// Every value of both is checked.
+// The settings of a controller. They come from two files: the platform's (TOML), which describes
+// this node and the limits that it must keep, and the operators' (XML, optional), which tunes the
+// service. All values of both are validated.
 #pragma once
 #include <algorithm>
 #include <optional>
@@ -13,21 +13,22 @@
 
 namespace dunlinknot::settings {
 
-// What is wrong, with file and line where there is one; meant to be shown as it is.
+// An error in a settings file. Its text states the file and, if known, the line, and is shown to
+// operators unchanged.
 class Error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Another controller.
+// Another controller, as listed in the platform's settings.
 struct Peer {
   std::string node;
   std::string zone;
   http::Endpoint address;
 };
 
-// A team that submits jobs. Between its guarantee and its limit it borrows what is not in use and
-// must return it. 0: none.
+// Quota of a team that submits jobs. Between its guarantee and its limit the team borrows unused
+// resources, which are reclaimed on demand. 0 means no guarantee or no limit.
 struct Team {
   std::string name;
   double cpus = 0;      // guaranteed
@@ -36,69 +37,70 @@
   double gpus_max = 0;  // limit
 };
 
-// What the service is measured by.
+// A service-level objective.
 struct Objective {
-  std::string kind;
-  std::string job_class;  // empty: all
-  Seconds within{0};
-  double share = 0;
-  double times = 1;
+  std::string kind;       // "wait", "deadline" or "guarantee"; other kinds are ignored
+  std::string job_class;  // empty: all classes
+  Seconds within{0};      // time limit for the start, for kinds "wait" and "guarantee"
+  double share = 0;       // fraction of the jobs that must meet the objective
+  double times = 1;       // factor applied to a job's deadline, for kind "deadline"
 };
 
-// What the key-value store accepts.
+// The limits of the key-value store. It rejects requests beyond them.
 struct StoreLimits {
-  double rps = 0;          // requests a second
-  double write_rps = 0;    // puts and deletes a second
-  size_t value_bytes = 0;  // of one value, in JSON
-  size_t txn_ops = 0;      // puts and deletes of a transaction
+  double rps = 0;          // requests per second
+  double write_rps = 0;    // puts and deletes per second
+  size_t value_bytes = 0;  // maximum size of one value, encoded as JSON
+  size_t txn_ops = 0;      // puts and deletes per transaction
 };
 
 // The platform's settings.
 struct Platform {
   std::string node;         // the name of this controller
-  std::string zone;         // where it runs
-  http::Endpoint listen;    // for users, workers and the load balancer
-  http::Endpoint back;      // for the other controllers
+  std::string zone;         // the zone in which it runs
+  http::Endpoint listen;    // serves users, workers and the load balancer
+  http::Endpoint back;      // serves the other controllers
   std::vector<Peer> peers;  // the other controllers
   http::Endpoint cloud;
   http::Endpoint key_value_store;
-  uint32_t nodes = 1;              // controllers, this one included
-  std::vector<std::string> zones;  // where machines may be launched
-  Millis skew{0};                  // how far the time of day may be off
+  uint32_t nodes = 1;              // number of controllers, including this one
+  std::vector<std::string> zones;  // zones in which machines may be launched
+  Millis skew{0};                  // maximum error of the wall clock
   std::vector<Team> teams;
   std::vector<Objective> objectives;
 
-  Seconds heartbeat_interval{0};  // between two heartbeats of a worker
-  Seconds lease{0};               // a worker kills its tasks when not answered for this long
-  Seconds gang_wait{0};           // after which a gang's task that waits for the others exits
-  Seconds gang_peer{0};           // in which a gang's tasks notice that one of them is gone
-  Seconds cancel{0};              // in which a job's tasks must have ended once its user was told
+  Seconds heartbeat_interval{0};  // interval between heartbeats of a worker
+  Seconds lease{0};               // a worker without a response for this long kills its tasks
+  Seconds gang_wait{0};           // a gang's task that has waited this long for the others exits
+  Seconds gang_peer{0};           // maximum time until a gang's tasks detect that one of them ended
+  Seconds cancel{0};  // maximum time from an acknowledged cancellation to the end of all tasks
 
   StoreLimits store_limits;
-  // The limits that the store will have from some unannounced moment on.
+  // Limits that replace `store_limits` at an unannounced time.
   std::optional<StoreLimits> next_store_limits;
-  // The lower one of the present and the coming limit.
+  // The lower of the present and the next limit.
   double lowest_store_write_rps() const {
     const double present = store_limits.write_rps;
     return next_store_limits ? std::min(present, next_store_limits->write_rps) : present;
   }
-  double cloud_rps = 0;  // requests a second that the cloud accepts
-  Seconds list_lag{0};   // of the cloud's list; at times up to twice as long
+  double cloud_rps = 0;  // requests per second that the cloud accepts
+  Seconds list_lag{0};   // usual lag of the cloud's machine list; it may be up to twice as long
 
-  // The quota of this process.
-  double cpu_share = 0;  // of a core
+  // Resource quota of this process.
+  double cpu_share = 0;  // in CPU cores
   double memory_mb = 0;
-  uint32_t max_connections = 0;  // both ways
+  uint32_t max_connections = 0;  // incoming and outgoing connections
 };
 
-// The operators' own settings, each with its default. docs/operations.md describes them.
+// The operators' settings with their defaults. Each comment states the setting's name in the file;
+// docs/operations.md describes the settings.
 struct Operator {
   Seconds leader_ttl{3.0};        // leadership/ttl
   uint32_t max_submissions = 64;  // api/max-submissions
   uint32_t max_polls = 128;       // api/max-polls
   uint32_t final_cache = 4000;    // api/final-cache
   Seconds idle_return{10};        // fleet/idle-return
-  double boot_patience = 4.0;     // fleet/boot-patience, times the type's boot time
+  double boot_patience = 4.0;     // fleet/boot-patience, a multiple of the type's boot time
   Seconds lost_return{20};        // fleet/lost-return
   Seconds refusal_pause{15};      // fleet/refusal-pause
   uint32_t max_machines = 20000;  // fleet/max-machines
@@ -112,7 +114,7 @@
   Seconds roles_renew{1};         // duties/renew-every
 };
 
-// Both throw Error when the file cannot be read or a value is impossible.
+// Both throw Error if the file cannot be read or a value is missing or invalid.
 Platform load_platform(const std::string& path);
 Operator load_operator(const std::string& path);
 
--- a/src/dunlinknot/settings/text_file.cpp
+++ b/src/dunlinknot/settings/text_file.cpp
@@ -1,4 +1,4 @@
-// Reads a settings file as a whole.
+// Reads a settings file into memory.
 #include "dunlinknot/settings/text_file.hpp"
 
 #include <fstream>
@@ -10,7 +10,7 @@
 
 std::string read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
-  if (!in) throw Error(path + ": cannot be read");
+  if (!in) throw Error(path + ": cannot open the file");
   return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
 }
 
--- a/src/dunlinknot/settings/text_file.hpp
+++ b/src/dunlinknot/settings/text_file.hpp
@@ -1,10 +1,10 @@
-// Reads a settings file as a whole.
+// Reads a settings file into memory.
 #pragma once
 #include <string>
 
 namespace dunlinknot::settings {
 
-// The file's bytes; throws settings::Error when it cannot be read.
+// Returns the bytes of the file. Throws settings::Error if it cannot be opened.
 std::string read_file(const std::string& path);
 
 }  // namespace dunlinknot::settings
--- a/src/dunlinknot/settings/toml_reader.cpp
+++ b/src/dunlinknot/settings/toml_reader.cpp
@@ -1,4 +1,4 @@
-// Typed access to TOML fields; every error names file, line and field.
+// Reads and validates typed fields of a TOML file; errors state file, line and field.
 #include "dunlinknot/settings/toml_reader.hpp"
 
 #include <cmath>
@@ -20,11 +20,12 @@
   }
 }
 
-void TomlReader::fail(const std::string& name, const std::string& fault,
-                      const toml::node* at) const {
-  std::string where = path_;
-  if (at && at->source().begin.line > 0) where += ":" + std::to_string(at->source().begin.line);
-  throw Error(where + ": " + name + ": " + fault);
+void TomlReader::fail(const std::string& name, const std::string& error,
+                      const toml::node* node) const {
+  std::string location = path_;
+  if (node && node->source().begin.line > 0)
+    location += ":" + std::to_string(node->source().begin.line);
+  throw Error(location + ": " + name + ": " + error);
 }
 
 const toml::node& TomlReader::required(const toml::table& table, std::string_view key,
@@ -38,18 +39,18 @@
                              const std::string& name) const {
   const toml::node& node = required(table, key, name);
   const auto value = node.value_exact<std::string>();
-  if (!value || value->empty()) fail(name, "must be a text that is not empty", &node);
+  if (!value || value->empty()) fail(name, "must be a non-empty string", &node);
   return *value;
 }
 
 double TomlReader::number(const toml::table& table, std::string_view key, const std::string& name,
-                          double least, double most) const {
+                          double min, double max) const {
   const toml::node& node = required(table, key, name);
   if (!node.is_number()) fail(name, "must be a number", &node);
   const double value = node.value<double>().value_or(NAN);
-  if (!std::isfinite(value) || value < least || value > most) {
+  if (!std::isfinite(value) || value < min || value > max) {
     std::ostringstream range;
-    range << "must be between " << least << " and " << most;
+    range << "must be between " << min << " and " << max;
     fail(name, range.str(), &node);
   }
   return value;
@@ -70,13 +71,13 @@
   return *node.as_table();
 }
 
-void TomlReader::each(const toml::table& parent, std::string_view key, const std::string& name,
-                      const TableVisitor& visit) const {
-  const toml::node* list = parent.get(key);
-  if (!list) return;
-  if (!list->is_array()) fail(name, "must be a list of tables", list);
+void TomlReader::for_each_table(const toml::table& parent, std::string_view key,
+                                const std::string& name, const TableVisitor& visit) const {
+  const toml::node* array = parent.get(key);
+  if (!array) return;
+  if (!array->is_array()) fail(name, "must be an array of tables", array);
   size_t index = 0;
-  for (const toml::node& item : *list->as_array()) {
+  for (const toml::node& item : *array->as_array()) {
     const std::string item_name = name + "[" + std::to_string(index++) + "]";
     if (!item.is_table()) fail(item_name, "must be a table", &item);
     visit(*item.as_table(), item_name + ".");
