--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -1,6 +1,7 @@
-// Compatibility: each stored record and peer frame, as version 0.1.0 before the renaming of 2026-12
-// wrote it, is read by this version and written back byte for byte. Bytes that are cut off, too
-// long, of another version or carry unknown fields are refused or ignored.
+// Compatibility of stored records and peer frames. This version reads each of them as written by
+// version 0.1.0 before the identifiers were renamed in 2026-12, and writes the same bytes.
+// Truncated or oversized input and frames of another version are rejected; unknown fields are
+// ignored.
 #include <gtest/gtest.h>
 
 #include "dunlinknot/wire/peer.hpp"
@@ -9,7 +10,7 @@
 namespace dunlinknot::wire {
 namespace {
 
-// The bytes in hexadecimal digits.
+// The golden bytes, in hexadecimal digits.
 constexpr std::string_view kJob =
     "82a26174cf0000018bcfe5687ba36a6f62de0014a26964aa72756e2d303030343132a6646f636b6574a57472"
     "61696ea463726577a6766973696f6ea57368617065a8656e73656d626c65a472616e6ba468696768a6706965"
@@ -17,7 +18,7 @@
     "62cb4019000000000000a47269677391a26738a479617264a161a8746f676574686572c3a56170617274c2a7"
     "6c6f616e657273c3a77265636b6f6e53ccf0aa6d61726b4576657279531ea96d61726b436f73745304a46475"
     "6553cd0384";
-// A service, as the version in production writes it (deploy/service.toml).
+// The job record of a service as written by the version in production (deploy/service.toml).
 constexpr std::string_view kServiceJob =
     "82a26174cf0000018bcfe5687ba36a6f62de0014a26964aa72756e2d303030343133a6646f636b6574ad636174"
     "616c6f6775652d617069a463726577a76669746d656e74a57368617065a773657276696365a472616e6ba86372"
@@ -57,18 +58,18 @@
 
 Document parsed(std::string_view digits) {
   auto document = Document::parse(from_hex(digits));
-  if (!document) throw std::runtime_error("the golden bytes are no MessagePack");
+  if (!document) throw std::runtime_error("the golden bytes are not valid MessagePack");
   return std::move(*document);
 }
 
-// The map with one more field, as a later version might write it.
+// The same map with an additional field, as a later version might write it.
 std::string with_unknown_field(std::string_view digits) {
   std::string bytes = from_hex(digits);
-  const auto head = static_cast<unsigned char>(bytes[0]);
-  if (head == 0xde) {  // map of 16 bits
+  const auto first_byte = static_cast<unsigned char>(bytes[0]);
+  if (first_byte == 0xde) {  // a map whose size has 16 bits
     bytes[2] = static_cast<char>(bytes[2] + 1);
-  } else {  // map of up to 15 fields
-    bytes[0] = static_cast<char>(head + 1);
+  } else {  // a map of up to 15 fields
+    bytes[0] = static_cast<char>(first_byte + 1);
   }
   Writer field;
   field.key("zz-later").count(7);
@@ -87,7 +88,7 @@
   EXPECT_EQ(write_job_record(*record), from_hex(kJob));
 }
 
-TEST(Golden, JobRecordOfAService) {
+TEST(Golden, ServiceJobRecord) {
   const Document document = parsed(kServiceJob);
   const auto record = read_job_record(document.root());
   ASSERT_TRUE(record);
@@ -161,12 +162,12 @@
   EXPECT_TRUE(read_catalog(with_unknown_field(kCatalog)));
 }
 
-TEST(Golden, RecordsThatAreCutOffOrTooLongAreRefused) {
+TEST(Golden, TruncatedOrOversizedRecordsAreRejected) {
   for (const std::string_view digits :
        {kJob, kServiceJob, kFinal, kLeader, kEpoch, kDone, kMachineRecord, kCatalog}) {
     const std::string bytes = from_hex(digits);
-    for (size_t n = 0; n < bytes.size(); ++n) {
-      EXPECT_FALSE(Document::parse(std::string_view(bytes).substr(0, n))) << n;
+    for (size_t size = 0; size < bytes.size(); ++size) {
+      EXPECT_FALSE(Document::parse(std::string_view(bytes).substr(0, size))) << size;
     }
     EXPECT_FALSE(Document::parse(bytes + "x"));
   }
@@ -203,7 +204,7 @@
   EXPECT_EQ(peer::write_progress(*progress), frame);
 }
 
-TEST(Golden, FramesThatAreCutOffTooLongOrOfAnotherVersionAreRefused) {
+TEST(Golden, TruncatedOversizedOrOtherVersionFramesAreRejected) {
   for (const std::string_view digits : {kStatus, kCancelled, kProgress}) {
     std::string frame = from_hex(digits);
     EXPECT_FALSE(peer::read_header(std::string_view(frame).substr(0, peer::kHeaderBytes - 1)));
@@ -215,12 +216,13 @@
   };
   const std::string status = body(kStatus), cancelled = body(kCancelled),
                     progress = body(kProgress);
-  for (size_t n = 0; n < status.size(); ++n) EXPECT_FALSE(peer::read_status(status.substr(0, n)));
-  for (size_t n = 0; n < cancelled.size(); ++n) {
-    EXPECT_FALSE(peer::read_cancelled(cancelled.substr(0, n)));
+  for (size_t size = 0; size < status.size(); ++size)
+    EXPECT_FALSE(peer::read_status(status.substr(0, size)));
+  for (size_t size = 0; size < cancelled.size(); ++size) {
+    EXPECT_FALSE(peer::read_cancelled(cancelled.substr(0, size)));
   }
-  for (size_t n = 0; n < progress.size(); ++n) {
-    EXPECT_FALSE(peer::read_progress(progress.substr(0, n)));
+  for (size_t size = 0; size < progress.size(); ++size) {
+    EXPECT_FALSE(peer::read_progress(progress.substr(0, size)));
   }
   EXPECT_FALSE(peer::read_status(status + "x"));
   EXPECT_FALSE(peer::read_cancelled(cancelled + "x"));
--- a/tests/store_messages_test.cpp
+++ b/tests/store_messages_test.cpp
@@ -1,5 +1,5 @@
-// The key-value store's messages, byte by byte, and what is made of answers of an odd form; reading
-// all keys under a prefix page by page.
+// Encoding of requests to the key-value store, decoding of its responses including malformed ones,
+// and reading all keys under a prefix page by page.
 #include "dunlinknot/wire/store_messages.hpp"
 
 #include <gtest/gtest.h>
@@ -18,11 +18,11 @@
   return writer.take();
 }
 
-wire::Document document(wire::Writer& writer) {
+wire::Document parsed_document(wire::Writer& writer) {
   return *wire::Document::parse(writer.take());
 }
 
-TEST(StoreMessages, ATransactionHasTheseBytes) {
+TEST(StoreMessages, TransactionAndLeaseRequestHaveExpectedBytes) {
   store::Transaction transaction;
   transaction.compares.push_back({"a", 4});
   transaction.writes.push_back({"b", packed_number(7), 9});
@@ -64,7 +64,7 @@
             "\x64");
 }
 
-TEST(StoreMessages, PathsAreTheProtocols) {
+TEST(StoreMessages, PathsFollowTheProtocol) {
   EXPECT_EQ(store::key_path("job/run-1"), "/keys/job/run-1");
   EXPECT_EQ(store::list_path("job/", ""), "/keys?starts=job/&most=500");
   EXPECT_EQ(store::list_path("job/", "job/7"), "/keys?starts=job/&since=job/7&most=500");
@@ -74,7 +74,7 @@
   EXPECT_EQ(store::lease_renewal_path(7), "/leases/7/extend");
 }
 
-TEST(StoreMessages, AListingWithAnItemThatCannotBeReadIsNone) {
+TEST(StoreMessages, ListingWithUnreadableItemIsRejected) {
   for (const bool complete : {true, false}) {
     wire::Writer writer;
     writer.map(3).key("rows").list(2);
@@ -83,8 +83,8 @@
     writer.map(complete ? 3 : 2).key("key").text("b").key("v").count(2);
     if (complete) writer.key("stamp").count(6);
     writer.key("more").flag(true).key("ledgerRev").count(8);
-    const wire::Document answer = document(writer);
-    const auto listing = store::read_listing(answer.root());
+    const wire::Document response = parsed_document(writer);
+    const auto listing = store::read_listing(response.root());
     ASSERT_EQ(listing.has_value(), complete);
     if (!listing) continue;
     EXPECT_EQ(listing->revision, 8u);
@@ -98,14 +98,14 @@
   }
 }
 
-TEST(StoreMessages, ChangesOfAnUnknownKindArePassedOver) {
+TEST(StoreMessages, ChangesOfUnknownKindAreSkipped) {
   wire::Writer writer;
   writer.map(2).key("ledgerRev").count(9).key("news").list(3);
   writer.map(3).key("put").text("a").key("v").count(1).key("stamp").count(8);
   writer.map(1).key("rename").text("b");
   writer.map(2).key("delete").text("c").key("stamp").count(9);
-  const wire::Document answer = document(writer);
-  const auto changes = store::read_changes(answer.root());
+  const wire::Document response = parsed_document(writer);
+  const auto changes = store::read_changes(response.root());
   ASSERT_TRUE(changes.has_value());
   EXPECT_EQ(changes->revision, 9u);
   ASSERT_EQ(changes->changes.size(), 2u);
@@ -117,7 +117,7 @@
   EXPECT_TRUE(changes->changes[1].deleted);
 }
 
-TEST(StoreMessages, AnAnswerWithoutItsFieldsShowsNothing) {
+TEST(StoreMessages, MissingFieldsAreReadAsEmpty) {
   const wire::View nothing;
   EXPECT_FALSE(store::read_key_value(nothing).has_value());
   EXPECT_FALSE(store::read_revision(nothing).has_value());
@@ -130,31 +130,31 @@
   EXPECT_FALSE(store::is_expired_lease("?"));
 }
 
-TEST(Pager, ReadsEachKeyOnceAndAsksForAPageWithoutAnAnswerAgain) {
+TEST(Pager, ReadsEachKeyOnceAndRetriesUnansweredPage) {
   constexpr size_t kKeys = 1201;  // three pages
   Site site(1);
   for (size_t i = 0; i < kKeys; ++i) {
     site.store.put("paged/" + std::to_string(10'000 + i), packed_number(i));
   }
-  size_t lists = 0;
+  size_t list_calls = 0;
   site.store.call_fault = [&](const http::Call& call) {
-    if (call.target.starts_with("/keys?starts=paged/")) ++lists;
-    return lists == 2 ? CallFault::refuse : CallFault::none;
+    if (call.target.starts_with("/keys?starts=paged/")) ++list_calls;
+    return list_calls == 2 ? CallFault::refuse : CallFault::none;
   };
   Site::Node& node = *site.nodes.front();
   kv::Client client(site.loop, node, node.platform.key_value_store,
                     kv::Limits(node.platform.store_limits), 1.0);
   kv::Pager pager(client, "paged/", seconds(1));
   std::vector<std::string> keys;
-  size_t without_answer = 0;
+  size_t unanswered_pages = 0;
   while (!pager.done()) {
     const kv::ListResult page = site.get(pager.next());
-    if (page.outcome != kv::Outcome::ok) ++without_answer;
+    if (page.outcome != kv::Outcome::ok) ++unanswered_pages;
     for (const kv::KeyValue& item : page.items) keys.push_back(item.key);
-    ASSERT_LT(lists, 10u);
+    ASSERT_LT(list_calls, 10u);
   }
-  EXPECT_EQ(without_answer, 1u);
-  EXPECT_EQ(lists, 4u);
+  EXPECT_EQ(unanswered_pages, 1u);
+  EXPECT_EQ(list_calls, 4u);
   ASSERT_EQ(keys.size(), kKeys);
   for (size_t i = 0; i < kKeys; ++i) EXPECT_EQ(keys[i], "paged/" + std::to_string(10'000 + i));
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,3 +1,4 @@
+// Encoding and validation of submissions, heartbeats, stored records and peer frames.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -10,11 +11,12 @@
 namespace dunlinknot::wire {
 namespace {
 
-using Edit = std::function<void(Writer&)>;
+using FieldWriter = std::function<void(Writer&)>;
 
-// A submission with one field replaced (or left out, by an empty edit).
-std::string submission(const std::string& field = "", const Edit& edit = {}) {
-  const std::vector<std::pair<std::string, Edit>> fields = {
+// A valid submission in which `write_field` writes the value of `field`. An empty `write_field`
+// leaves the field out; a `field` that is unknown is added.
+std::string submission(const std::string& field = "", const FieldWriter& write_field = {}) {
+  const std::vector<std::pair<std::string, FieldWriter>> fields = {
       {"id", [](Writer& writer) { writer.text("run-000412"); }},
       {"docket", [](Writer& writer) { writer.text("train"); }},
       {"crew", [](Writer& writer) { writer.text("red"); }},
@@ -37,54 +39,60 @@
   };
   const bool known =
       std::any_of(fields.begin(), fields.end(), [&](const auto& f) { return f.first == field; });
-  const size_t n = fields.size() - (known && !edit ? 1 : 0) + (!known && edit ? 1 : 0);
+  const size_t size =
+      fields.size() - (known && !write_field ? 1 : 0) + (!known && write_field ? 1 : 0);
   Writer writer;
-  writer.map(n);
+  writer.map(size);
   for (const auto& [name, value] : fields) {
-    if (name == field && !edit) continue;
+    if (name == field && !write_field) continue;
     writer.key(name);
-    (name == field ? edit : value)(writer);
+    (name == field ? write_field : value)(writer);
   }
-  if (!known && edit) {
+  if (!known && write_field) {
     writer.key(field);
-    edit(writer);
+    write_field(writer);
   }
   return writer.take();
 }
 
 bool accepted(const std::string& body) {
-  const auto doc = Document::parse(body);
-  std::string why;
-  return doc && read_job(doc->root(), why).has_value();
+  const auto document = Document::parse(body);
+  std::string error;
+  return document && read_job(document->root(), error).has_value();
 }
 
-TEST(Submission, TakesWholeAndDecimalAmountsAndOmittedNulls) {
+TEST(Submission, AcceptsIntegerAndDecimalAmountsAndOmittedOptionalField) {
   const std::string body = submission();
-  const auto doc = Document::parse(body);
-  std::string why;
-  const auto j = read_job(doc->root(), why);
-  ASSERT_TRUE(j) << why;
-  EXPECT_EQ(j->need.gpus, 1);
-  EXPECT_EQ(j->estimate, Seconds(240));
-  EXPECT_FALSE(j->deadline);
+  const auto document = Document::parse(body);
+  std::string error;
+  const auto job = read_job(document->root(), error);
+  ASSERT_TRUE(job) << error;
+  EXPECT_EQ(job->need.gpus, 1);
+  EXPECT_EQ(job->estimate, Seconds(240));
+  EXPECT_FALSE(job->deadline);
   EXPECT_TRUE(accepted(submission("dueS")));
 }
 
-TEST(Submission, RefusesEveryFieldThatIsMissingOrWrong) {
-  for (const char* f :
+TEST(Submission, RejectsMissingOrInvalidFields) {
+  for (const char* field :
        {"id", "docket", "crew", "shape", "rank", "pieces", "cores", "gpus", "ramGb", "bundle",
         "sizeGb", "together", "apart", "loaners", "reckonS", "markEveryS", "markCostS"}) {
-    EXPECT_FALSE(accepted(submission(f))) << f << " missing";
-    EXPECT_FALSE(accepted(submission(f, [](Writer& writer) { writer.list(0); }))) << f << " a list";
-    EXPECT_FALSE(accepted(submission(f, [](Writer& writer) { writer.null(); }))) << f << " null";
+    EXPECT_FALSE(accepted(submission(field))) << field << " missing";
+    EXPECT_FALSE(accepted(submission(field, [](Writer& writer) { writer.list(0); })))
+        << field << " a list";
+    EXPECT_FALSE(accepted(submission(field, [](Writer& writer) { writer.null(); })))
+        << field << " null";
   }
-  for (const char* f : {"cores", "gpus", "ramGb", "sizeGb", "reckonS", "markEveryS", "dueS"}) {
-    EXPECT_FALSE(accepted(submission(f, [](Writer& writer) { writer.amount(-1); }))) << f;
-    EXPECT_FALSE(accepted(submission(f, [](Writer& writer) { writer.amount(NAN); }))) << f;
-    EXPECT_FALSE(accepted(submission(f, [](Writer& writer) { writer.amount(INFINITY); }))) << f;
+  for (const char* field : {"cores", "gpus", "ramGb", "sizeGb", "reckonS", "markEveryS", "dueS"}) {
+    EXPECT_FALSE(accepted(submission(field, [](Writer& writer) { writer.amount(-1); }))) << field;
+    EXPECT_FALSE(accepted(submission(field, [](Writer& writer) { writer.amount(NAN); }))) << field;
+    EXPECT_FALSE(accepted(submission(field, [](Writer& writer) { writer.amount(INFINITY); })))
+        << field;
   }
-  for (const uint64_t n : {uint64_t{0}, uint64_t{100'001}, std::numeric_limits<uint64_t>::max()}) {
-    EXPECT_FALSE(accepted(submission("pieces", [&](Writer& writer) { writer.count(n); }))) << n;
+  for (const uint64_t count :
+       {uint64_t{0}, uint64_t{100'001}, std::numeric_limits<uint64_t>::max()}) {
+    EXPECT_FALSE(accepted(submission("pieces", [&](Writer& writer) { writer.count(count); })))
+        << count;
   }
   EXPECT_FALSE(accepted(submission("pieces", [](Writer& writer) { writer.amount(2.5); })));
   for (const char* id : {"", "run-", "run-12", "job-000001", "run-00000x", "run-000001/1",
@@ -95,16 +103,17 @@
   EXPECT_FALSE(accepted(submission("rank", [](Writer& writer) { writer.text("urgent"); })));
 }
 
-TEST(MessagePack, HostileBytesAreRefused) {
-  const std::string good = submission();
-  for (size_t n = 0; n < good.size(); ++n) EXPECT_FALSE(Document::parse(good.substr(0, n))) << n;
-  EXPECT_FALSE(Document::parse(good + "x"));
-  // A list that announces four thousand million entries, and nesting without end.
+TEST(MessagePack, MalformedBytesAreRejected) {
+  const std::string valid = submission();
+  for (size_t size = 0; size < valid.size(); ++size)
+    EXPECT_FALSE(Document::parse(valid.substr(0, size))) << size;
+  EXPECT_FALSE(Document::parse(valid + "x"));
+  // A list that declares four thousand million elements, and lists nested 5000 levels deep.
   EXPECT_FALSE(Document::parse(std::string("\xdd\xff\xff\xff\xff", 5)));
   EXPECT_FALSE(Document::parse(std::string(5000, '\x91')));
 }
 
-TEST(Heartbeat, IsReadBackAsWritten) {
+TEST(Heartbeat, WrittenHeartbeatIsReadBackUnchanged) {
   Heartbeat heartbeat;
   heartbeat.machine = "vm-000231";
   heartbeat.address = "10.1.0.232:9000";
@@ -116,18 +125,18 @@
   heartbeat.interruption_notice = Seconds(7.5);
   heartbeat.tasks = {{{"run-000412", 3}, 2, TaskState::running, ExitCause::none, false},
                      {{"run-000398", 0}, 1, TaskState::exited, ExitCause::stopped, true}};
-  const auto r = read_heartbeat(write_heartbeat(heartbeat));
-  ASSERT_TRUE(r);
-  EXPECT_EQ(r->tasks.size(), 2u);
-  EXPECT_EQ(r->tasks[1].cause, ExitCause::stopped);
-  EXPECT_TRUE(r->tasks[1].saved);
-  EXPECT_EQ(r->interruption_notice, Seconds(7.5));
-  EXPECT_EQ(r->fencing_token, 41u);
+  const auto back = read_heartbeat(write_heartbeat(heartbeat));
+  ASSERT_TRUE(back);
+  EXPECT_EQ(back->tasks.size(), 2u);
+  EXPECT_EQ(back->tasks[1].cause, ExitCause::stopped);
+  EXPECT_TRUE(back->tasks[1].saved);
+  EXPECT_EQ(back->interruption_notice, Seconds(7.5));
+  EXPECT_EQ(back->fencing_token, 41u);
 }
 
-TEST(Heartbeat, WithOneUnreadableTaskIsDroppedWhole) {
-  // What is not listed in a heartbeat counts as gone: a heartbeat of which a part is unclear must
-  // not.
+TEST(Heartbeat, UnreadableTaskRejectsWholeHeartbeat) {
+  // A task that a heartbeat does not list counts as absent from the machine. If only the unreadable
+  // entry were skipped, a running task would be taken for absent.
   Writer writer;
   writer.map(9).key("host").text("vm-1").key("address").text("10.0.0.1:1").key("rig").text("g8");
   writer.key("yard").text("a").key("loaners").flag(false).key("shift").count(1).key("tally").count(
@@ -137,47 +146,47 @@
   EXPECT_FALSE(read_heartbeat(writer.take()));
 }
 
-TEST(Records, AHundredThousandTasksFitTheSmallestValues) {
+TEST(Records, MaxTasksFitIntoMinimumValueSize) {
   std::vector<bool> done(kMaxTasks);
   for (size_t i = 0; i < done.size(); i += 3) done[i] = true;
-  std::vector<bool> back(kMaxTasks);
+  std::vector<bool> read_back(kMaxTasks);
   const uint32_t chunks = (kMaxTasks + kChunkTasks - 1) / kChunkTasks;
-  for (uint32_t c = 0; c < chunks; ++c) {
-    const std::string v = write_done_chunk(done, c);
-    EXPECT_LT(v.size(), 6u * 1024);
-    const auto doc = Document::parse(v);
-    ASSERT_TRUE(read_done_chunk(doc->root(), c, back));
+  for (uint32_t chunk = 0; chunk < chunks; ++chunk) {
+    const std::string packed = write_done_chunk(done, chunk);
+    EXPECT_LT(packed.size(), 6u * 1024);
+    const auto document = Document::parse(packed);
+    ASSERT_TRUE(read_done_chunk(document->root(), chunk, read_back));
   }
-  EXPECT_EQ(done, back);
+  EXPECT_EQ(done, read_back);
   EXPECT_LE(chunks, 13u);
 }
 
-TEST(Records, JobAndMachineComeBackAsWritten) {
-  JobRecord r{test::job("run-000007", 3), WallTime(Millis(1234567))};
-  r.spec.types = {"box", "big"};
-  r.spec.zone = "a";
-  r.spec.deadline = Seconds(90);
-  const std::string packed = write_job_record(r);
-  const auto doc = Document::parse(packed);
-  const auto back = read_job_record(doc->root());
+TEST(Records, WrittenJobAndMachineAreReadBackUnchanged) {
+  JobRecord record{test::job("run-000007", 3), WallTime(Millis(1234567))};
+  record.spec.types = {"box", "big"};
+  record.spec.zone = "a";
+  record.spec.deadline = Seconds(90);
+  const std::string packed = write_job_record(record);
+  const auto document = Document::parse(packed);
+  const auto back = read_job_record(document->root());
   ASSERT_TRUE(back);
-  EXPECT_EQ(back->submitted, r.submitted);
-  EXPECT_EQ(back->spec.types, r.spec.types);
-  EXPECT_EQ(back->spec.deadline, r.spec.deadline);
+  EXPECT_EQ(back->submitted, record.submitted);
+  EXPECT_EQ(back->spec.types, record.spec.types);
+  EXPECT_EQ(back->spec.deadline, record.spec.deadline);
 
-  MachineRecord record{
+  MachineRecord machine{
       "box", "a", "10.0.0.1:9", true, {{"run-000007", "red", {1, 2, 3}, true, {{0, 5}}}}};
-  const std::string machine = write_machine_record(record);
-  const auto machine_doc = Document::parse(machine);
-  const auto machine_back = read_machine_record(machine_doc->root());
+  const std::string packed_machine = write_machine_record(machine);
+  const auto machine_document = Document::parse(packed_machine);
+  const auto machine_back = read_machine_record(machine_document->root());
   ASSERT_TRUE(machine_back);
   ASSERT_EQ(machine_back->groups.size(), 1u);
-  EXPECT_EQ(machine_back->groups[0].tasks, record.groups[0].tasks);
+  EXPECT_EQ(machine_back->groups[0].tasks, machine.groups[0].tasks);
   EXPECT_EQ(machine_back->groups[0].need.gpus, 2);
   EXPECT_TRUE(machine_back->spot);
 }
 
-TEST(PeerFrames, AreCheckedBeforeTheyAreRead) {
+TEST(PeerFrames, StatusIsReadBackUnchangedAndMalformedFramesAreRejected) {
   peer::Status status;
   status.sequence = 7;
   status.echo = 6;
@@ -190,7 +199,7 @@
   status.node = "dunlin-1";
   status.leader = "dunlin-2";
   const std::string frame = peer::write_status(status);
-  // The layout is fixed: little-endian, whatever the machine.
+  // The layout is little-endian on every machine.
   EXPECT_EQ(static_cast<unsigned char>(frame[12 + 16]), 0x88);
   const auto header = peer::read_header(frame.substr(0, peer::kHeaderBytes));
   ASSERT_TRUE(header);
@@ -203,28 +212,31 @@
   EXPECT_TRUE(back->leading);
   EXPECT_FALSE(back->heartbeats_known);
 
-  std::string other = frame;
-  other[4] = 9;  // another version
-  EXPECT_FALSE(peer::read_header(other.substr(0, peer::kHeaderBytes)));
-  other = frame;
-  other[0] = 'x';
-  EXPECT_FALSE(peer::read_header(other.substr(0, peer::kHeaderBytes)));
-  other = frame;
-  other[11] = 1;  // a length of 16 MiB
-  EXPECT_FALSE(peer::read_header(other.substr(0, peer::kHeaderBytes)));
+  std::string malformed = frame;
+  malformed[4] = 9;  // an unsupported version
+  EXPECT_FALSE(peer::read_header(malformed.substr(0, peer::kHeaderBytes)));
+  malformed = frame;
+  malformed[0] = 'x';
+  EXPECT_FALSE(peer::read_header(malformed.substr(0, peer::kHeaderBytes)));
+  malformed = frame;
+  malformed[11] = 1;  // a length of 16 MiB
+  EXPECT_FALSE(peer::read_header(malformed.substr(0, peer::kHeaderBytes)));
   EXPECT_FALSE(peer::read_status(std::string_view(frame).substr(peer::kHeaderBytes + 1)));
 
   peer::Progress progress{3, {{"run-000001", 4, 5}}};
-  const std::string pf = peer::write_progress(progress);
-  const auto pb = peer::read_progress(std::string_view(pf).substr(peer::kHeaderBytes));
-  ASSERT_TRUE(pb);
-  EXPECT_EQ(pb->entries[0].running, 5u);
+  const std::string progress_frame = peer::write_progress(progress);
+  const auto progress_back =
+      peer::read_progress(std::string_view(progress_frame).substr(peer::kHeaderBytes));
+  ASSERT_TRUE(progress_back);
+  EXPECT_EQ(progress_back->entries[0].running, 5u);
   EXPECT_FALSE(peer::read_progress(
-      std::string_view(pf).substr(peer::kHeaderBytes, pf.size() - peer::kHeaderBytes - 1)));
+      std::string_view(progress_frame)
+          .substr(peer::kHeaderBytes, progress_frame.size() - peer::kHeaderBytes - 1)));
 
-  const std::string cf = peer::write_cancelled("run-000412");
-  const std::string_view body = std::string_view(cf).substr(peer::kHeaderBytes);
-  EXPECT_EQ(peer::read_header(cf.substr(0, peer::kHeaderBytes))->kind, peer::Kind::cancelled);
+  const std::string cancelled_frame = peer::write_cancelled("run-000412");
+  const std::string_view body = std::string_view(cancelled_frame).substr(peer::kHeaderBytes);
+  EXPECT_EQ(peer::read_header(cancelled_frame.substr(0, peer::kHeaderBytes))->kind,
+            peer::Kind::cancelled);
   EXPECT_EQ(peer::read_cancelled(body), "run-000412");
   EXPECT_FALSE(peer::read_cancelled(body.substr(1)));
 }
