--- a/src/dunlinknot/http/client.cpp
+++ b/src/dunlinknot/http/client.cpp
@@ -1,4 +1,5 @@
-// Outgoing HTTP/1.1 calls over kept connections, and what a failure says of the request.
+// HTTP/1.1 client with persistent connections. Classifies each failure by whether the peer may have
+// executed the request.
 #include "dunlinknot/http/client.hpp"
 
 #include <array>
@@ -9,13 +10,13 @@
 
 namespace {
 
-constexpr size_t kReadBytes = 4096;  // more than most answers have
-constexpr int kBodyTooLarge = 413;   // the parser's status for a body over its limit
+constexpr size_t kReadBytes = 4096;  // larger than most responses
+constexpr int kBodyTooLarge = 413;   // Parser::error_status() for a body over the limit
 
 }  // namespace
 
-Client::Client(EventLoop& loop, size_t max_idle_per_peer, Nanos idle_time)
-    : loop_(loop), max_idle_(max_idle_per_peer), idle_time_(idle_time) {}
+Client::Client(EventLoop& loop, size_t max_idle_per_peer, Nanos idle_timeout)
+    : loop_(loop), max_idle_per_peer_(max_idle_per_peer), idle_timeout_(idle_timeout) {}
 
 Task<Client::Attempt> Client::attempt(Socket& socket, const Call& call) {
   Attempt attempt;
@@ -24,17 +25,17 @@
   Limits limits;
   limits.body = call.max_body;
   Parser parser(Parser::Kind::response, limits);
-  std::array<char, kReadBytes> chunk;
+  std::array<char, kReadBytes> buffer;
   Parser::Result state = Parser::Result::need_more;
   while (state == Parser::Result::need_more) {
-    const ssize_t count = co_await socket.read_some(chunk.data(), chunk.size(), call.deadline);
+    const ssize_t count = co_await socket.read_some(buffer.data(), buffer.size(), call.deadline);
     if (count <= 0) {
-      // An answer never came. At the deadline the far side may still be at work on it.
-      if (count < 0 && loop_.now() >= call.deadline) attempt.untouched = false;
+      // No response was received. At the deadline the peer may still be executing the request.
+      if (count < 0 && loop_.now() >= call.deadline) attempt.closed_without_response = false;
       co_return attempt;
     }
-    attempt.untouched = false;
-    state = parser.feed({chunk.data(), static_cast<size_t>(count)});
+    attempt.closed_without_response = false;
+    state = parser.feed({buffer.data(), static_cast<size_t>(count)});
   }
   if (state == Parser::Result::failed) {
     attempt.reply.too_large = parser.error_status() == kBodyTooLarge;
@@ -49,33 +50,34 @@
 }
 
 Task<Reply> Client::exchange(Call call) {
-  const ScopedCount count(open_);
-  auto& pool = idle_[call.to];
-  while (!pool.empty() && loop_.now() - pool.front().since > idle_time_) pool.pop_front();
-  for (bool fresh = false;;) {
+  const ScopedCount count(open_connections_);
+  auto& pool = idle_connections_[call.to];
+  while (!pool.empty() && loop_.now() - pool.front().idle_since > idle_timeout_) pool.pop_front();
+  for (bool new_connection = false;;) {
     Socket socket;
-    if (!pool.empty() && !fresh) {
+    if (!pool.empty() && !new_connection) {
       socket = std::move(pool.back().socket);
       pool.pop_back();
     } else {
-      fresh = true;
+      new_connection = true;
       socket = co_await Socket::connect(loop_, call.to, call.deadline);
       if (!socket.open()) {
         Reply reply;
-        reply.outcome = Outcome::refused;  // a connection given up does not complete later
+        reply.outcome = Outcome::refused;  // an abandoned connect does not complete later
         co_return reply;
       }
     }
     Attempt result = co_await attempt(socket, call);
     if (result.reply.outcome == Outcome::ok) {
-      if (result.reusable && call.keep && pool.size() < max_idle_) {
-        pool.push_back(Idle{std::move(socket), loop_.now()});
+      if (result.reusable && call.keep && pool.size() < max_idle_per_peer_) {
+        pool.push_back(IdleConnection{std::move(socket), loop_.now()});
       }
       co_return std::move(result.reply);
     }
-    // A kept connection that the far side had already closed: only a read is safe to send again.
-    if (fresh || !result.untouched || call.method != "GET") co_return std::move(result.reply);
-    fresh = true;
+    // The peer had already closed the idle connection. Only a GET is safe to send again.
+    if (new_connection || !result.closed_without_response || call.method != "GET")
+      co_return std::move(result.reply);
+    new_connection = true;
   }
 }
 
--- a/src/dunlinknot/http/client.hpp
+++ b/src/dunlinknot/http/client.hpp
@@ -1,5 +1,5 @@
-// HTTP calls to other processes: a deadline on each, and an outcome that separates "not carried
-// out" from "may have been".
+// HTTP client interface. Every call has a deadline, and its outcome distinguishes requests that
+// were not executed from those that may have been.
 #pragma once
 #include <deque>
 #include <map>
@@ -9,67 +9,67 @@
 
 namespace dunlinknot::http {
 
-// What became of a request. `refused`: certainly not carried out. `unknown`: it may have been
-// carried out, or may still be, later.
+// Outcome of a request. `ok`: a response was received. `refused`: the request was certainly not
+// executed. `unknown`: the request may have been executed, or may still be executed later.
 enum class Outcome { ok, refused, unknown };
 
-// The answer to a call. `status` and `body` are only set with Outcome::ok.
+// Result of a call. `status` and `body` are only set with Outcome::ok.
 struct Reply {
   Outcome outcome = Outcome::unknown;
   int status = 0;
   std::string body;
-  bool too_large = false;  // an answer came, but its body is above the call's `max_body`
+  bool too_large = false;  // a response was received, but its body exceeds `max_body`
 };
 
-// One request.
+// A request and where to send it.
 struct Call {
   Endpoint to;
   std::string method;
   std::string target;
   std::string body;
   Instant deadline;
-  size_t max_body = size_t{64} * 1024;  // bytes of the answer's body that are accepted
-  bool keep = true;                     // keep the connection for a later call
+  size_t max_body = size_t{64} * 1024;  // maximum size of the response body, in bytes
+  bool keep = true;                     // reuse the connection for later calls
 };
 
-// Makes calls. Tests put scripted peers in place of the network here.
+// Sends requests. Tests replace it with scripted peers in place of the network.
 class Transport {
  public:
   virtual ~Transport() = default;
-  // Resumes with the answer, at the latest at the call's deadline. Never throws for what the peer
-  // does.
+  // Completes with the result, at the latest at the call's deadline. Errors of the peer or the
+  // network are reported as an outcome, never thrown.
   virtual Task<Reply> exchange(Call call) = 0;
 };
 
-// Calls over TCP, with a few idle connections kept for each peer. Runs on the event loop; the
-// client outlives its calls.
+// Transport over TCP with a pool of idle connections per peer. Runs on the event loop and must
+// outlive its calls.
 class Client final : public Transport {
  public:
-  // `idle_time`: after which a kept connection is not used any more.
-  Client(EventLoop& loop, size_t max_idle_per_peer, Nanos idle_time);
+  // Connections that were idle for longer than `idle_timeout` are not reused.
+  Client(EventLoop& loop, size_t max_idle_per_peer, Nanos idle_timeout);
   Task<Reply> exchange(Call call) override;
-  // Calls under way.
-  size_t open_connections() const { return open_; }
+  // Number of calls in flight.
+  size_t open_connections() const { return open_connections_; }
 
  private:
-  struct Idle {
+  struct IdleConnection {
     Socket socket;
-    Instant since;
+    Instant idle_since;
   };
-  // How one try on one connection ended.
+  // Result of sending the request once, on one connection.
   struct Attempt {
     Reply reply;
-    bool untouched = true;  // the peer closed the connection before it answered anything
-    bool reusable = false;  // the connection may carry another call
+    bool closed_without_response = true;  // the peer closed the connection before it sent any byte
+    bool reusable = false;                // the connection can be used for another call
   };
-  // `socket` and `call` belong to the awaiting exchange().
+  // `socket` and `call` are owned by the awaiting exchange().
   Task<Attempt> attempt(Socket& socket, const Call& call);
 
   EventLoop& loop_;
-  size_t max_idle_;
-  Nanos idle_time_;
-  size_t open_ = 0;
-  std::map<Endpoint, std::deque<Idle>> idle_;
+  size_t max_idle_per_peer_;
+  Nanos idle_timeout_;
+  size_t open_connections_ = 0;
+  std::map<Endpoint, std::deque<IdleConnection>> idle_connections_;
 };
 
 }  // namespace dunlinknot::http
--- a/src/dunlinknot/http/message.cpp
+++ b/src/dunlinknot/http/message.cpp
@@ -1,4 +1,4 @@
-// The HTTP/1.1 parser, one step a phase, and the rendering of messages.
+// HTTP/1.1 parser, a state machine with one step per phase, and serialization of messages.
 #include "dunlinknot/http/message.hpp"
 
 #include <algorithm>
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr std::string_view kVersion = "HTTP/1.1";
-constexpr std::string_view kOldVersion = "HTTP/1.0";
-static_assert(kVersion.size() == kOldVersion.size());
+constexpr std::string_view kHttp11 = "HTTP/1.1";
+constexpr std::string_view kHttp10 = "HTTP/1.0";
+static_assert(kHttp11.size() == kHttp10.size());
 
-// What a server answers when the parser fails.
+// Status codes for Parser::error_status().
 constexpr int kBadRequest = 400;
 constexpr int kBodyTooLarge = 413;
 constexpr int kHeadTooLarge = 431;
@@ -20,15 +20,15 @@
 constexpr int kDecimal = 10;
 constexpr int kHexadecimal = 16;
 
-char lower(char letter) {
+char to_lower(char letter) {
   return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter + ('a' - 'A')) : letter;
 }
 
-// Header names and tokens do not depend on the case.
-bool same_text(std::string_view left, std::string_view right) {
+// Compares without regard to case, as header names and tokens require.
+bool equal_ignoring_case(std::string_view left, std::string_view right) {
   return left.size() == right.size() &&
          std::equal(left.begin(), left.end(), right.begin(),
-                    [](char x, char y) { return lower(x) == lower(y); });
+                    [](char x, char y) { return to_lower(x) == to_lower(y); });
 }
 
 std::string_view trimmed(std::string_view text) {
@@ -37,7 +37,7 @@
   return text;
 }
 
-// The number that the whole text is; empty when it is none.
+// Parses the whole text as an unsigned number; empty if it is not one.
 std::optional<uint64_t> parse_number(std::string_view text, int base) {
   uint64_t number = 0;
   const char* end = text.data() + text.size();
@@ -49,7 +49,7 @@
 bool has_token(std::string_view list, std::string_view token) {
   while (!list.empty()) {
     const size_t comma = list.find(',');
-    if (same_text(trimmed(list.substr(0, comma)), token)) return true;
+    if (equal_ignoring_case(trimmed(list.substr(0, comma)), token)) return true;
     if (comma == std::string_view::npos) break;
     list.remove_prefix(comma + 1);
   }
@@ -63,7 +63,7 @@
   });
 }
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -103,15 +103,15 @@
   return Result::failed;
 }
 
-// The next line without its end; empty while its end has not arrived.
+// Returns the next line without its line end; empty until the line end has been received.
 std::optional<std::string_view> Parser::take_line() {
-  const size_t end = buffer_.find('\n', pos_);
+  const size_t end = buffer_.find('\n', parsed_bytes_);
   if (end == std::string::npos) return std::nullopt;
-  size_t length = end - pos_;
+  size_t length = end - parsed_bytes_;
   if (length > 0 && buffer_[end - 1] == '\r') --length;
-  const std::string_view line = std::string_view(buffer_).substr(pos_, length);
-  head_bytes_ += end + 1 - pos_;
-  pos_ = end + 1;
+  const std::string_view line = std::string_view(buffer_).substr(parsed_bytes_, length);
+  head_bytes_ += end + 1 - parsed_bytes_;
+  parsed_bytes_ = end + 1;
   return line;
 }
 
@@ -131,26 +131,26 @@
                   [](char c) { return static_cast<unsigned char>(c) <= ' ' || c == 0x7f; })) {
     return false;
   }
-  if (version != kVersion && version != kOldVersion) return false;
+  if (version != kHttp11 && version != kHttp10) return false;
   message_.method = method;
   message_.target = target;
-  message_.keep_alive = version == kVersion;
+  message_.keep_alive = version == kHttp11;
   return true;
 }
 
 bool Parser::parse_status_line(std::string_view line) {
-  constexpr size_t kStatusAt = kVersion.size() + 1;
-  constexpr size_t kStatusEnd = kStatusAt + 3;
-  constexpr int kLeastStatus = 100;
-  if (line.size() < kStatusEnd || line[kVersion.size()] != ' ') return false;
-  const std::string_view version = line.substr(0, kVersion.size());
-  if (version != kVersion && version != kOldVersion) return false;
+  constexpr size_t kStatusBegin = kHttp11.size() + 1;
+  constexpr size_t kStatusEnd = kStatusBegin + 3;
+  constexpr int kMinStatus = 100;
+  if (line.size() < kStatusEnd || line[kHttp11.size()] != ' ') return false;
+  const std::string_view version = line.substr(0, kHttp11.size());
+  if (version != kHttp11 && version != kHttp10) return false;
   int status = 0;
-  const auto parsed = std::from_chars(line.data() + kStatusAt, line.data() + kStatusEnd, status);
-  if (parsed.ec != std::errc{} || parsed.ptr != line.data() + kStatusEnd || status < kLeastStatus)
+  const auto parsed = std::from_chars(line.data() + kStatusBegin, line.data() + kStatusEnd, status);
+  if (parsed.ec != std::errc{} || parsed.ptr != line.data() + kStatusEnd || status < kMinStatus)
     return false;
   message_.status = status;
-  message_.keep_alive = version == kVersion;
+  message_.keep_alive = version == kHttp11;
   return true;
 }
 
@@ -160,14 +160,14 @@
   const std::string_view name = line.substr(0, colon);
   const std::string_view value = trimmed(line.substr(colon + 1));
   if (!is_token(name)) return false;
-  if (same_text(name, "content-length")) return parse_content_length(value);
-  if (same_text(name, "transfer-encoding")) {
-    if (!same_text(value, "chunked")) return false;
+  if (equal_ignoring_case(name, "content-length")) return parse_content_length(value);
+  if (equal_ignoring_case(name, "transfer-encoding")) {
+    if (!equal_ignoring_case(value, "chunked")) return false;
     chunked_ = true;
-  } else if (same_text(name, "connection")) {
+  } else if (equal_ignoring_case(name, "connection")) {
     if (has_token(value, "close")) message_.keep_alive = false;
     if (has_token(value, "keep-alive")) message_.keep_alive = true;
-  } else if (same_text(name, "retry-after")) {
+  } else if (equal_ignoring_case(name, "retry-after")) {
     message_.retry_after = value;
   }
   return true;
@@ -176,14 +176,14 @@
 bool Parser::parse_content_length(std::string_view value) {
   const auto length = parse_number(value, kDecimal);
   if (!length) return false;
-  if (has_length_ && *length != remaining_) return false;  // two lengths that disagree
+  if (has_length_ && *length != remaining_) return false;  // two Content-Length headers that differ
   has_length_ = true;
   remaining_ = *length;
   return true;
 }
 
 bool Parser::end_of_headers() {
-  // A length and chunks together are how requests are smuggled past one another: refused.
+  // Content-Length with a chunked body allows request smuggling, so the message is rejected.
   if (chunked_ && has_length_) return false;
   if (chunked_) {
     phase_ = Phase::chunk_size;
@@ -221,10 +221,11 @@
 }
 
 Parser::Step Parser::read_start_line() {
-  constexpr size_t kStrayLineEnds = 4;  // bytes before a start line that are ignored
+  // Empty lines before a start line are ignored up to this size.
+  constexpr size_t kMaxLeadingLineEndBytes = 4;
   const auto line = take_line();
   if (!line) return unread() > limits_.head ? fail(kHeadTooLarge) : Result::need_more;
-  if (line->empty() && head_bytes_ <= kStrayLineEnds) return std::nullopt;
+  if (line->empty() && head_bytes_ <= kMaxLeadingLineEndBytes) return std::nullopt;
   if (!parse_start_line(*line)) return fail(kBadRequest);
   phase_ = Phase::headers;
   return std::nullopt;
@@ -250,12 +251,12 @@
 
 Parser::Step Parser::read_body() {
   const size_t count = std::min<uint64_t>(remaining_, unread());
-  message_.body.append(buffer_, pos_, count);
-  pos_ += count;
+  message_.body.append(buffer_, parsed_bytes_, count);
+  parsed_bytes_ += count;
   remaining_ -= count;
   if (remaining_ > 0) {
     buffer_.clear();
-    pos_ = 0;
+    parsed_bytes_ = 0;
     return Result::need_more;
   }
   phase_ = phase_ == Phase::body ? Phase::done : Phase::chunk_end;
@@ -263,9 +264,10 @@
 }
 
 Parser::Step Parser::read_chunk_size() {
-  constexpr size_t kMaxLine = 256;  // a size and extensions, which nobody here sends
+  // Chunk size and extensions; our peers send no extensions.
+  constexpr size_t kMaxChunkHeaderBytes = 256;
   const auto line = take_line();
-  if (!line) return unread() > kMaxLine ? fail(kBadRequest) : Result::need_more;
+  if (!line) return unread() > kMaxChunkHeaderBytes ? fail(kBadRequest) : Result::need_more;
   const auto size = parse_number(line->substr(0, line->find(';')), kHexadecimal);
   if (!size) return fail(kBadRequest);
   if (*size > limits_.body || message_.body.size() + *size > limits_.body)
@@ -276,9 +278,9 @@
 }
 
 Parser::Step Parser::read_chunk_end() {
-  constexpr size_t kLineEnd = 2;  // a carriage return and a line feed
+  constexpr size_t kLineEndBytes = 2;  // carriage return and line feed
   const auto line = take_line();
-  if (!line) return unread() > kLineEnd ? fail(kBadRequest) : Result::need_more;
+  if (!line) return unread() > kLineEndBytes ? fail(kBadRequest) : Result::need_more;
   if (!line->empty()) return fail(kBadRequest);
   phase_ = Phase::chunk_size;
   return std::nullopt;
@@ -287,9 +289,9 @@
 Message Parser::take() {
   Message out = std::move(message_);
   message_ = Message{};
-  buffer_.erase(0, pos_);
+  buffer_.erase(0, parsed_bytes_);
   if (buffer_.empty() && buffer_.capacity() > size_t{16} * 1024) buffer_.shrink_to_fit();
-  pos_ = 0;
+  parsed_bytes_ = 0;
   head_bytes_ = 0;
   has_length_ = chunked_ = false;
   remaining_ = 0;
@@ -316,7 +318,7 @@
   out.append("HTTP/1.1 ")
       .append(std::to_string(response.status))
       .append(" ")
-      .append(reason(response.status));
+      .append(reason_phrase(response.status));
   out.append("\r\nContent-Type: application/msgpack\r\nContent-Length: ")
       .append(std::to_string(response.body.size()));
   if (response.retry_after_s > 0)
--- a/src/dunlinknot/http/message.hpp
+++ b/src/dunlinknot/http/message.hpp
@@ -1,5 +1,5 @@
-// One HTTP/1.1 message and the parser for a stream of them. The parser is fed whatever arrives and
-// never holds more than its limits; it is used for requests and for responses alike.
+// HTTP/1.1 messages and an incremental parser for requests and responses. The parser accepts input
+// split at any position and never buffers more than its limits.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -11,35 +11,35 @@
 
 namespace dunlinknot::http {
 
-// What the parser accepts, in bytes.
+// Maximum sizes that the parser accepts, in bytes.
 struct Limits {
   size_t head = size_t{8} * 1024;  // start line and headers together
   size_t body = size_t{64} * 1024;
 };
 
-// A request or a response as received. Headers without a meaning here are dropped.
+// A received request or response. Headers that this program does not use are dropped.
 struct Message {
-  // Request: method and target. Response: status.
+  // Requests set `method` and `target`, responses set `status`.
   std::string method;
   std::string target;
   int status = 0;
   bool keep_alive = true;
-  std::string retry_after;  // the header's value; empty without one
+  std::string retry_after;  // value of the Retry-After header; empty if absent
   std::string body;
 };
 
 using Request = Message;
 
-// A response to be sent.
+// A response to send.
 struct Response {
   int status = 200;
   std::string body;
-  int retry_after_s = 0;  // 0: no such header
-  bool close = false;     // closes the connection after it
+  int retry_after_s = 0;  // in seconds; 0 omits the Retry-After header
+  bool close = false;     // close the connection after this response
 };
 
-// Parses the messages of one connection, one after the other. After Result::failed the stream has
-// lost its framing and the connection is to be closed.
+// Parses consecutive messages of one connection. After Result::failed the message boundaries are
+// lost and the caller must close the connection.
 class Parser {
  public:
   enum class Kind { request, response };
@@ -47,21 +47,21 @@
 
   Parser(Kind kind, Limits limits) : kind_(kind), limits_(limits) {}
 
-  // Takes bytes that arrived; `complete` when a whole message is there, to be had from take().
-  // Bytes of the next message are kept: resume() parses them.
+  // Parses received bytes. After `complete` take() returns the message. Bytes of the next message
+  // stay buffered and are parsed by resume().
   Result feed(std::string_view bytes);
   Result resume() { return feed({}); }
-  // The complete message; the parser is ready for the next one.
+  // Returns the complete message and prepares the parser for the next one.
   Message take();
-  // The status a server should answer after `failed`: 400, 413, 431 or 501.
+  // The status code with which a server should answer after `failed`: 400, 413, 431 or 501.
   int error_status() const { return error_status_; }
-  // True when no byte of a next message has arrived.
+  // True if no byte of the next message has been received.
   bool idle() const { return phase_ == Phase::start_line && buffer_.empty(); }
 
  private:
   enum class Phase { start_line, headers, body, chunk_size, chunk_data, chunk_end, trailers, done };
 
-  // A step through one phase; empty when the next phase can be parsed.
+  // Result of parsing one phase; empty if parsing can continue with the next phase.
   using Step = std::optional<Result>;
   Step step();
   Step read_start_line();
@@ -77,23 +77,23 @@
   bool parse_header(std::string_view line);
   bool parse_content_length(std::string_view value);
   bool end_of_headers();
-  size_t unread() const { return buffer_.size() - pos_; }
+  size_t unread() const { return buffer_.size() - parsed_bytes_; }
   Result fail(int status);
 
   Kind kind_;
   Limits limits_;
   Phase phase_ = Phase::start_line;
   std::string buffer_;
-  size_t pos_ = 0;  // bytes of buffer_ used up
+  size_t parsed_bytes_ = 0;  // bytes of buffer_ that are already parsed
   size_t head_bytes_ = 0;
   bool has_length_ = false;
   bool chunked_ = false;
-  uint64_t remaining_ = 0;  // of the body, or of the current chunk
+  uint64_t remaining_ = 0;  // bytes of the body or of the current chunk not yet received
   Message message_;
   int error_status_ = 400;
 };
 
-// The bytes of a message. A body is MessagePack.
+// Serialize a message. The body must be MessagePack.
 std::string render_request(std::string_view method, std::string_view target, std::string_view host,
                            std::string_view body);
 std::string render_response(const Response& response, bool keep_alive);
--- a/src/dunlinknot/http/server.hpp
+++ b/src/dunlinknot/http/server.hpp
@@ -1,4 +1,4 @@
-// The HTTP server of a controller.
+// HTTP/1.1 server of a controller.
 #pragma once
 #include <functional>
 
@@ -7,41 +7,42 @@
 
 namespace dunlinknot::http {
 
-// Answers one request. May suspend; an exception is answered with 503.
+// Handles one request. May suspend. If it throws, the server answers 503.
 using Handler = std::function<Task<Response>(Request)>;
 
-// Bounds of a server.
+// Limits and timeouts of a server.
 struct ServerOptions {
   size_t max_connections = 256;
-  Limits limits;                                  // of one request
-  Nanos idle = std::chrono::seconds(90);          // a connection without a request is closed after
-  Nanos request_time = std::chrono::seconds(10);  // from a request's first byte to its last
+  Limits limits;                                     // maximum sizes of one request
+  Nanos idle_timeout = std::chrono::seconds(90);     // timeout of a connection without a request
+  Nanos request_timeout = std::chrono::seconds(10);  // from the first to the last byte of a request
 };
 
-// Serves one listening address on the event loop, one coroutine for each connection. Connections
-// over the limit are answered 503 with a Retry-After and closed. Outlives its connections.
+// Serves one listening address on the event loop, with one coroutine per connection. Connections
+// over the limit are answered with 503 and a Retry-After header and closed. Must outlive its
+// connections.
 class Server {
  public:
-  // Opens the socket; throws std::runtime_error when that fails.
+  // Binds the address; throws std::runtime_error if that fails.
   Server(EventLoop& loop, Endpoint at, ServerOptions options, Handler handler);
   // Accepts connections; never returns.
   Task<void> serve();
-  // Open connections, and how many were turned away since the start.
+  // Number of open connections, and of connections rejected since the start.
   size_t connections() const { return connections_; }
-  uint64_t turned_away() const { return turned_away_; }
-  // The port that the socket is bound to.
+  uint64_t turned_away() const { return rejected_connections_; }
+  // The port that the listening socket is bound to.
   uint16_t port() const { return listener_.port(); }
 
  private:
   Task<void> connection(Socket socket);
-  Task<void> turn_away(Socket socket);
+  Task<void> reject(Socket socket);
 
   EventLoop& loop_;
   Listener listener_;
   ServerOptions options_;
   Handler handler_;
   size_t connections_ = 0;
-  uint64_t turned_away_ = 0;
+  uint64_t rejected_connections_ = 0;
 };
 
 }  // namespace dunlinknot::http
--- a/src/dunlinknot/http/socket.cpp
+++ b/src/dunlinknot/http/socket.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr auto kOutOfSocketsPause = Millis(50);  // until some connection may have ended
-constexpr auto kAcceptErrorPause = Millis(10);   // other errors: do not spin on them
+constexpr auto kOutOfSocketsDelay = Millis(50);  // lets connections end before the next accept
+constexpr auto kAcceptErrorDelay = Millis(10);   // avoids a busy loop on other errors
 
-sockaddr_in address_of(Endpoint endpoint) {
+sockaddr_in to_sockaddr(Endpoint endpoint) {
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_addr.s_addr = endpoint.ip;
@@ -27,8 +27,8 @@
   return address;
 }
 
-// Small messages are sent at once.
-void disable_delay(int fd) {
+// Turns off Nagle's algorithm, so that small messages are sent immediately.
+void disable_nagle(int fd) {
   const int on = 1;
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
@@ -75,7 +75,7 @@
 
 void Socket::close() {
   if (fd_ < 0) return;
-  loop_->forget_fd(fd_);
+  loop_->unwatch_fd(fd_);
   ::close(fd_);
   fd_ = -1;
 }
@@ -83,9 +83,9 @@
 Task<Socket> Socket::connect(EventLoop& loop, Endpoint to, Instant deadline) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) co_return Socket{};
-  disable_delay(fd);
+  disable_nagle(fd);
   Socket socket(loop, fd);
-  const sockaddr_in address = address_of(to);
+  const sockaddr_in address = to_sockaddr(to);
   if (::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0)
     co_return socket;
   if (errno != EINPROGRESS) co_return Socket{};
@@ -96,9 +96,9 @@
   co_return socket;
 }
 
-Task<ssize_t> Socket::read_some(char* into, size_t room, Instant deadline) {
+Task<ssize_t> Socket::read_some(char* buffer, size_t capacity, Instant deadline) {
   for (;;) {
-    const ssize_t received = ::recv(fd_, into, room, 0);
+    const ssize_t received = ::recv(fd_, buffer, capacity, 0);
     if (received >= 0) co_return received;
     if (errno == EINTR) continue;
     if (errno != EAGAIN && errno != EWOULDBLOCK) co_return -1;
@@ -122,15 +122,15 @@
 
 Listener::Listener(EventLoop& loop, Endpoint at) : loop_(loop) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) throw std::runtime_error("cannot make a socket");
+  if (fd < 0) throw std::runtime_error("cannot create a listening socket");
   const int on = 1;
   ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  const sockaddr_in address = address_of(at);
+  const sockaddr_in address = to_sockaddr(at);
   if (::bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
-      ::listen(fd, SOMAXCONN) != 0) {  // all machines of a cluster may come back at once
-    const std::string why = std::strerror(errno);
+      ::listen(fd, SOMAXCONN) != 0) {  // all machines of a cluster may reconnect at once
+    const std::string reason = std::strerror(errno);
     ::close(fd);
-    throw std::runtime_error("cannot listen on " + at.text() + ": " + why);
+    throw std::runtime_error("cannot listen on " + at.text() + ": " + reason);
   }
   socket_ = Socket(loop, fd);
 }
@@ -146,15 +146,15 @@
   for (;;) {
     const int fd = ::accept4(socket_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
-      disable_delay(fd);
+      disable_nagle(fd);
       co_return Socket(loop_, fd);
     }
     if (errno == EAGAIN || errno == EWOULDBLOCK) {
       (void)co_await loop_.readable(socket_.fd(), Instant::max());
     } else if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
-      co_await loop_.sleep(kOutOfSocketsPause);  // out of sockets: the queue waits, nothing is lost
+      co_await loop_.sleep(kOutOfSocketsDelay);  // pending connections stay in the backlog
     } else if (errno != EINTR && errno != ECONNABORTED) {
-      co_await loop_.sleep(kAcceptErrorPause);
+      co_await loop_.sleep(kAcceptErrorDelay);
     }
   }
 }
--- a/src/dunlinknot/http/socket.hpp
+++ b/src/dunlinknot/http/socket.hpp
@@ -1,4 +1,5 @@
-// Non-blocking TCP sockets as coroutines. Every wait has a deadline.
+// Non-blocking TCP sockets with a coroutine interface. Connecting, reading and writing have a
+// deadline.
 #pragma once
 #include <netinet/in.h>
 
@@ -14,17 +15,17 @@
 struct Endpoint {
   in_addr_t ip = 0;  // network byte order
   uint16_t port = 0;
-  // Reads "10.0.0.1:8080"; empty when the text is anything else.
+  // Parses text of the form "10.0.0.1:8080"; empty if the text has another form.
   static std::optional<Endpoint> parse(std::string_view text);
   std::string text() const;
   auto operator<=>(const Endpoint&) const = default;
 };
 
-// Owns one connection. Its coroutines run on the loop; the socket outlives them.
+// Owns one TCP connection. Its coroutines run on the event loop; the socket must outlive them.
 class Socket {
  public:
   Socket() = default;
-  // Takes over a non-blocking file descriptor.
+  // Takes ownership of a non-blocking file descriptor.
   Socket(EventLoop& loop, int fd);
   Socket(Socket&& socket) noexcept;
   Socket& operator=(Socket&& socket) noexcept;
@@ -33,12 +34,14 @@
   bool open() const { return fd_ >= 0; }
   int fd() const { return fd_; }
 
-  // A socket that is not open when the connection failed or the deadline passed.
+  // Connects to an endpoint. The returned socket is not open if the connection failed or the
+  // deadline passed.
   static Task<Socket> connect(EventLoop& loop, Endpoint to, Instant deadline);
-  // Bytes read, 0 at the end of the stream, -1 on an error or when the deadline has passed.
-  Task<ssize_t> read_some(char* into, size_t room, Instant deadline);
-  // False on an error or when the deadline has passed; a part may have been sent then. The bytes
-  // belong to the caller until this resumes.
+  // Returns the number of bytes read, 0 at the end of the stream, or -1 on an error or after the
+  // deadline.
+  Task<ssize_t> read_some(char* buffer, size_t capacity, Instant deadline);
+  // Returns false on an error or after the deadline; some of the bytes may have been sent then.
+  // The caller must keep `bytes` valid until the call completes.
   Task<bool> write_all(std::string_view bytes, Instant deadline);
 
  private:
@@ -49,9 +52,9 @@
 // Accepts connections on one address.
 class Listener {
  public:
-  // Throws std::runtime_error when the address cannot be bound.
+  // Throws std::runtime_error if the address cannot be bound.
   Listener(EventLoop& loop, Endpoint at);
-  // The next connection; waits while the process is out of sockets. Never fails.
+  // Returns the next connection. Retries on errors, also while the process is out of sockets.
   Task<Socket> accept();
   uint16_t port() const;
 
--- a/src/dunlinknot/runtime/clock.hpp
+++ b/src/dunlinknot/runtime/clock.hpp
@@ -1,5 +1,5 @@
-// Time as the whole program sees it. The steady clock decides everything that has to do with leases
-// and deadlines; the time of day is used only to date submissions.
+// Clocks and time units. Leases and deadlines use the steady clock; the time of day is used only to
+// timestamp submissions.
 #pragma once
 #include <chrono>
 #include <ctime>
@@ -12,7 +12,7 @@
 using Seconds = std::chrono::duration<double>;
 using WallTime = std::chrono::sys_time<Millis>;
 
-// Conversions between units; fractions are cut off.
+// Conversions between units; fractions are truncated.
 inline Nanos to_nanos(Seconds time) {
   return std::chrono::duration_cast<Nanos>(time);
 }
@@ -23,13 +23,14 @@
   return std::chrono::duration_cast<Millis>(time);
 }
 
-// Where the time comes from; tests advance one by hand.
+// Source of time. Tests use a clock that they advance explicitly.
 class Clock {
  public:
   virtual ~Clock() = default;
   virtual Instant now() const = 0;    // steady
   virtual WallTime wall() const = 0;  // time of day
-  // Counts the time for which the machine was suspended, too. Only to be compared with itself.
+  // Like now(), but includes time during which the machine was suspended. Values are comparable
+  // only with other values of boot().
   virtual Instant boot() const { return now(); }
 };
 
--- a/src/dunlinknot/runtime/event_loop.cpp
+++ b/src/dunlinknot/runtime/event_loop.cpp
@@ -1,4 +1,4 @@
-// Timers, sockets on epoll, and the outermost frames of spawned coroutines.
+// Event loop: timers, sockets on epoll, and the outermost frames of spawned coroutines.
 #include "dunlinknot/runtime/event_loop.hpp"
 
 #include <spdlog/spdlog.h>
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr size_t kEventsPerWait = 64;     // the rest are taken in the next turn
-constexpr long long kMaxWaitMs = 60'000;  // epoll takes an int; a later timer only costs a turn
+constexpr size_t kMaxEventsPerWait = 64;  // further events are returned by the next epoll_wait
+constexpr long long kMaxWaitMs = 60'000;  // epoll_wait takes an int; later timers need another wait
 
-// The outermost frame of a spawned coroutine: it starts at once, owns the task and frees itself.
+// Outermost frame of a spawned coroutine. It starts immediately, owns the task and destroys itself.
 struct Detached {
   struct promise_type {
     EventLoop& loop;
@@ -38,7 +38,7 @@
   try {
     co_await task;
   } catch (const std::exception& error) {
-    spdlog::error("a background task ended with an exception: {}", error.what());
+    spdlog::error("background task terminated by an exception: {}", error.what());
   }
 }
 
@@ -46,23 +46,23 @@
 
 EventLoop::EventLoop(Clock& clock, bool with_epoll) : clock_(clock) {
   if (with_epoll) {
-    epoll_ = ::epoll_create1(EPOLL_CLOEXEC);
-    if (epoll_ < 0) throw std::runtime_error("epoll_create1 failed");
+    epoll_fd_ = ::epoll_create1(EPOLL_CLOEXEC);
+    if (epoll_fd_ < 0) throw std::runtime_error("epoll_create1 failed");
   }
 }
 
 void EventLoop::abandon() {
-  abandoned_ = true;
+  destroying_ = true;
   ready_.clear();
   timers_.clear();
   fds_.clear();
   while (!spawned_.empty()) std::coroutine_handle<>::from_address(*spawned_.begin()).destroy();
-  abandoned_ = false;
+  destroying_ = false;
 }
 
 EventLoop::~EventLoop() {
   abandon();
-  if (epoll_ >= 0) ::close(epoll_);
+  if (epoll_fd_ >= 0) ::close(epoll_fd_);
 }
 
 void EventLoop::spawn(Task<void> task) {
@@ -110,17 +110,18 @@
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   event.data.fd = fd;
-  ::epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event);
+  ::epoll_ctl(epoll_fd_, EPOLL_CTL_ADD, fd, &event);
 }
 
-void EventLoop::forget_fd(int fd) {
-  if (abandoned_) return;  // closing the socket takes it off epoll as well
-  // Found by the handover run under the address sanitizer: a socket that outlived abandon().
+void EventLoop::unwatch_fd(int fd) {
+  if (destroying_) return;  // closing the socket also removes it from epoll
+  // A socket that outlives abandon() no longer has an entry in fds_ (found by the handover run
+  // under the address sanitizer).
   if (static_cast<size_t>(fd) >= fds_.size()) return;
   FdSlots& slots = fds_[static_cast<size_t>(fd)];
   if (slots.reader) wake(*slots.reader, true);
   if (slots.writer) wake(*slots.writer, true);
-  ::epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, nullptr);
+  ::epoll_ctl(epoll_fd_, EPOLL_CTL_DEL, fd, nullptr);
 }
 
 void EventLoop::run_ready() {
@@ -145,17 +146,18 @@
   if (!ready_.empty()) {
     timeout = 0;
   } else if (const Instant next = next_timer(); next != Instant::max()) {
-    const auto left = std::chrono::ceil<Millis>(next - now()).count();
-    timeout = static_cast<int>(std::clamp<long long>(left, 0, kMaxWaitMs));
+    const auto remaining = std::chrono::ceil<Millis>(next - now()).count();
+    timeout = static_cast<int>(std::clamp<long long>(remaining, 0, kMaxWaitMs));
   }
-  std::array<epoll_event, kEventsPerWait> events;
-  const int count = ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeout);
+  std::array<epoll_event, kMaxEventsPerWait> events;
+  const int count =
+      ::epoll_wait(epoll_fd_, events.data(), static_cast<int>(events.size()), timeout);
   for (int i = 0; i < count; ++i) {
     FdSlots& slots = fds_[static_cast<size_t>(events[static_cast<size_t>(i)].data.fd)];
-    const auto flags = events[static_cast<size_t>(i)].events;
-    if (slots.reader && (flags & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)))
+    const auto event_mask = events[static_cast<size_t>(i)].events;
+    if (slots.reader && (event_mask & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)))
       wake(*slots.reader, false);
-    if (slots.writer && (flags & (EPOLLOUT | EPOLLHUP | EPOLLERR))) wake(*slots.writer, false);
+    if (slots.writer && (event_mask & (EPOLLOUT | EPOLLHUP | EPOLLERR))) wake(*slots.writer, false);
   }
 }
 
--- a/src/dunlinknot/runtime/event_loop.hpp
+++ b/src/dunlinknot/runtime/event_loop.hpp
@@ -1,5 +1,5 @@
-// The event loop: coroutines, timers and sockets on epoll, all on one thread. With a test's clock
-// it runs without epoll: the test advances time by hand and nothing ever really sleeps.
+// Single-threaded event loop for coroutines, timers and sockets on epoll. Tests can run it
+// without epoll and with a clock that they advance explicitly, so that they need not sleep.
 #pragma once
 #include <coroutine>
 #include <cstdint>
@@ -15,19 +15,20 @@
 
 namespace dunlinknot {
 
-// Owns what is spawned on it. Not thread-safe: everything happens on the thread that calls run().
+// Owns the coroutines spawned on it. Not thread-safe: all calls must come from the thread that
+// calls run().
 class EventLoop {
  public:
-  // One suspended coroutine, waiting for a time, for a socket, for a signal, or for several.
+  // A suspended coroutine that waits for a time, a socket or an event, or for one of several.
   struct Waiter {
     std::coroutine_handle<> handle;
     Instant deadline = Instant::max();
     bool timed_out = false;
-    bool timed = false;
-    Waiter** slot = nullptr;  // the place that refers to this waiter, cleared on resume
+    bool timed = false;       // registered as a timer
+    Waiter** slot = nullptr;  // pointer that refers to this waiter; set to null on resume
   };
 
-  // The clock outlives the loop. Throws std::runtime_error when epoll cannot be set up.
+  // The clock must outlive the loop. Throws std::runtime_error if epoll cannot be set up.
   explicit EventLoop(Clock& clock, bool with_epoll = true);
   ~EventLoop();
   EventLoop(const EventLoop&) = delete;
@@ -38,15 +39,16 @@
   WallTime wall() const { return clock_.wall(); }
   Instant boot_now() const { return clock_.boot(); }
 
-  // Runs a coroutine on its own, at once up to its first suspension. An exception that escapes one
-  // is logged and ends only that one.
+  // Starts a coroutine and runs it up to its first suspension. An exception that escapes it is
+  // logged and ends only this coroutine.
   void spawn(Task<void> task);
-  // Resumes the coroutine in a later turn of the loop.
+  // Resumes the coroutine in a later iteration of the loop.
   void post(std::coroutine_handle<> coroutine) { ready_.push_back(coroutine); }
-  // Ends all coroutines where they stand. To be called while what they refer to still exists.
+  // Destroys all suspended coroutines. Must be called while the objects that they refer to still
+  // exist.
   void abandon();
 
-  // The frames of spawned coroutines, kept by the frames themselves.
+  // Addresses of the frames of spawned coroutines. The frames add and remove themselves.
   std::set<void*>& spawned() { return spawned_; }
 
   struct [[nodiscard]] Sleep {
@@ -59,7 +61,7 @@
   Sleep sleep_until(Instant time) { return Sleep{*this, Waiter{{}, time, false, false, nullptr}}; }
   Sleep sleep(Nanos duration) { return sleep_until(now() + duration); }
 
-  // Waits until the socket may be read (or written); false when the deadline passed first.
+  // Waits until the socket is readable (or writable); false if the deadline passed first.
   struct [[nodiscard]] Io {
     EventLoop& loop;
     int fd;
@@ -75,19 +77,20 @@
   Io writable(int fd, Instant deadline) {
     return Io{*this, fd, true, Waiter{{}, deadline, false, false, nullptr}};
   }
-  void watch_fd(int fd);   // once, after the socket was made
-  void forget_fd(int fd);  // before it is closed
+  void watch_fd(int fd);    // call once, after the socket was created
+  void unwatch_fd(int fd);  // call before the socket is closed
 
-  void run();  // until stop()
+  void run();  // returns after stop()
   void stop() { stopping_ = true; }
 
-  // For tests: run what is ready, without waiting; and the time of the next timer.
+  // For tests: resumes the ready coroutines without waiting; returns the time of the next timer;
+  // fires all expired timers.
   void run_ready();
   Instant next_timer() const;
   void fire_due();
 
-  // For awaitable types: a waiter's deadline is set, dropped; the waiter is resumed in a later
-  // turn.
+  // For awaitable types. arm() starts the timer of the waiter's deadline, disarm() cancels it, and
+  // wake() schedules the waiter to be resumed in a later iteration.
   void arm(Waiter& waiter);
   void disarm(Waiter& waiter);
   void wake(Waiter& waiter, bool timed_out);
@@ -100,21 +103,21 @@
   void poll_io();
 
   Clock& clock_;
-  int epoll_ = -1;
+  int epoll_fd_ = -1;
   bool stopping_ = false;
-  bool abandoned_ = false;
+  bool destroying_ = false;
   std::set<void*> spawned_;
   std::deque<std::coroutine_handle<>> ready_;
-  std::set<std::pair<Instant, Waiter*>> timers_;  // soonest first
-  std::deque<FdSlots> fds_;  // by file descriptor; a deque, since waiters point into it
+  std::set<std::pair<Instant, Waiter*>> timers_;  // earliest first
+  std::deque<FdSlots> fds_;  // indexed by file descriptor; a deque, because waiters point into it
 };
 
-// An event that stays set until it is waited for: any number of notify() calls wake one waiter
-// once. The loop outlives the event, the event outlives its waiter.
+// An event that stays set until it is waited for. Any number of notify() calls wake one waiter
+// once. The loop must outlive the event, and the event its waiter.
 class AutoResetEvent {
  public:
   explicit AutoResetEvent(EventLoop& loop) : loop_(loop) {}
-  // Wakes the waiter, or lets the next wait return at once.
+  // Wakes the waiter; without a waiter, the next wait returns immediately.
   void notify() {
     if (waiter_) {
       loop_.wake(*waiter_, false);
@@ -123,22 +126,22 @@
     }
   }
   struct [[nodiscard]] Wait {
-    AutoResetEvent& signal;
+    AutoResetEvent& event;
     EventLoop::Waiter waiter;
     bool await_ready() {
-      if (!signal.set_) return false;
-      signal.set_ = false;
+      if (!event.set_) return false;
+      event.set_ = false;
       return true;
     }
     void await_suspend(std::coroutine_handle<> coroutine) {
       waiter.handle = coroutine;
-      waiter.slot = &signal.waiter_;
-      signal.waiter_ = &waiter;
-      signal.loop_.arm(waiter);
+      waiter.slot = &event.waiter_;
+      event.waiter_ = &waiter;
+      event.loop_.arm(waiter);
     }
     bool await_resume() const { return !waiter.timed_out; }
   };
-  // One waiter at a time. False when the deadline passed first.
+  // Supports one waiter at a time. False if the deadline passed first.
   Wait wait_until(Instant deadline) {
     return Wait{*this, EventLoop::Waiter{{}, deadline, false, false, nullptr}};
   }
--- a/src/dunlinknot/runtime/scoped_count.hpp
+++ b/src/dunlinknot/runtime/scoped_count.hpp
@@ -1,11 +1,11 @@
-// Counts what is under way, such as calls and connections.
+// RAII counter of operations in flight, such as calls and connections.
 #pragma once
 #include <cstddef>
 
 namespace dunlinknot {
 
-// Raises a counter for as long as it lives; in a coroutine, until that ends. The counter outlives
-// it. Not synchronized: for use on one event loop.
+// Increments a counter for its own lifetime; as a local of a coroutine, until the coroutine ends.
+// The counter must outlive it. Not synchronized: for use on one event loop.
 class ScopedCount {
  public:
   explicit ScopedCount(size_t& count) : count_(count) { ++count_; }
--- a/src/dunlinknot/runtime/synchronized.hpp
+++ b/src/dunlinknot/runtime/synchronized.hpp
@@ -1,21 +1,22 @@
-// State behind a short lock. The lock is only ever held for the length of a plain call, so it
-// cannot be held across a co_await.
+// A value protected by a mutex. The mutex is held only for the duration of a synchronous call, so
+// it cannot be held across a co_await.
 #pragma once
 #include <mutex>
 #include <utility>
 
 namespace dunlinknot {
 
-// Owns the value and its lock.
+// Owns the value and its mutex.
 template <class T>
 class Synchronized {
  public:
-  // The arguments construct the value.
+  // Constructs the value from the arguments.
   template <class... Arguments>
   explicit Synchronized(Arguments&&... arguments) : value_(std::forward<Arguments>(arguments)...) {}
 
-  // Calls the function with the value under the lock and returns a copy of what it returns, so that
-  // no reference leaves the lock. Not reentrant: the function must not call with() again.
+  // Calls the function with the value while the mutex is locked. Returns the result by value, so
+  // that no reference to the protected value escapes. Not reentrant: the function must not call
+  // with() again.
   template <class Function>
   auto with(Function&& function) {
     std::lock_guard lock(mutex_);
--- a/src/dunlinknot/runtime/task.hpp
+++ b/src/dunlinknot/runtime/task.hpp
@@ -12,13 +12,14 @@
 
 namespace detail {
 
-// What the promises of all tasks share: who waits, and an exception on its way there.
+// Common part of the promises of all tasks: the awaiting coroutine, and the exception to rethrow
+// there.
 struct PromiseBase {
   std::coroutine_handle<> continuation = std::noop_coroutine();
   std::exception_ptr error;
 
-  // Resumes the awaiting coroutine in place of the finished one, without growing the stack.
-  struct Final {
+  // Resumes the awaiting coroutine by symmetric transfer, without growing the stack.
+  struct FinalAwaiter {
     bool await_ready() const noexcept { return false; }
     template <class Promise>
     std::coroutine_handle<> await_suspend(std::coroutine_handle<Promise> handle) noexcept {
@@ -27,7 +28,7 @@
     void await_resume() const noexcept {}
   };
   std::suspend_always initial_suspend() noexcept { return {}; }
-  Final final_suspend() noexcept { return {}; }
+  FinalAwaiter final_suspend() noexcept { return {}; }
   void unhandled_exception() { error = std::current_exception(); }
 };
 
@@ -56,9 +57,9 @@
 
 }  // namespace detail
 
-// Owns the coroutine, which starts when it is awaited and is destroyed with the task. It is awaited
-// at most once. An exception that leaves the coroutine is thrown where it is awaited. Top-level
-// tasks are started by EventLoop::spawn.
+// Owns a coroutine that starts when the task is awaited and is destroyed with the task. A task can
+// be awaited at most once. An exception that escapes the coroutine is rethrown to the awaiting
+// coroutine. Top-level tasks are started by EventLoop::spawn.
 template <class T>
 class [[nodiscard]] Task {
  public:
--- a/src/dunlinknot/runtime/token_bucket.hpp
+++ b/src/dunlinknot/runtime/token_bucket.hpp
@@ -1,5 +1,5 @@
-// A token bucket: so many requests a second, with bursts. A caller either takes its share or is
-// told when to come back; nothing queues in here.
+// Token bucket that limits a request rate and allows bursts. A caller either takes its tokens or
+// gets the time until it can retry; the bucket does not queue callers.
 #pragma once
 #include <algorithm>
 
@@ -10,38 +10,41 @@
 // Not synchronized: for use on one event loop.
 class TokenBucket {
  public:
-  // Starts full. `burst`: in tokens.
-  TokenBucket(double per_second, double burst) : rate_(per_second), burst_(burst), level_(burst) {}
+  // Starts full. `burst` is the capacity in tokens.
+  TokenBucket(double per_second, double burst)
+      : tokens_per_second_(per_second), burst_(burst), level_(burst) {}
 
-  // Takes the tokens, or none of them when there are too few.
+  // Takes the tokens, or none of them if there are too few.
   bool take(Instant now, double tokens = 1) {
     refill(now);
     if (level_ < tokens) return false;
     level_ -= tokens;
     return true;
   }
-  // Takes the tokens even into debt: for what may not be put off (lease renewals).
+  // Takes the tokens even if the level becomes negative, for requests that must not be delayed
+  // (lease renewals).
   void force(Instant now, double tokens = 1) {
     refill(now);
     level_ -= tokens;
   }
-  // How long until take() will succeed, if nobody else takes any.
+  // Returns the time until take() will succeed, provided that no other caller takes tokens.
   Nanos until(Instant now, double tokens = 1) {
     refill(now);
     if (level_ >= tokens) return Nanos(0);
-    // Never less than a timer's step: what is missing may be less than a nanosecond's refill, and
-    // whoever waits that long waits for nothing, again and again.
-    return std::max<Nanos>(to_nanos(Seconds((tokens - level_) / rate_)), Millis(1));
+    // At least 1 ms, the resolution of timers: the missing tokens may refill in less than a
+    // nanosecond, and a caller with a zero wait would retry in a busy loop.
+    return std::max<Nanos>(to_nanos(Seconds((tokens - level_) / tokens_per_second_)), Millis(1));
   }
-  // Another rate from now on; the burst is one second's worth. What was saved up is lost.
+  // Changes the rate and sets the burst to the tokens of one second. Accumulated tokens are
+  // discarded; a negative level is kept.
   void set_rate(Instant now, double per_second) {
     refill(now);
-    rate_ = per_second;
+    tokens_per_second_ = per_second;
     burst_ = per_second;
     level_ = std::min(level_, 0.0);
   }
   double burst() const { return burst_; }
-  // Tokens left; negative when in debt.
+  // Available tokens; negative after force() took more than were available.
   double level(Instant now) {
     refill(now);
     return level_;
@@ -49,14 +52,15 @@
 
  private:
   void refill(Instant now) {
-    if (last_ != Instant{})
-      level_ = std::min(burst_, level_ + rate_ * to_seconds(now - last_).count());
-    last_ = now;
+    if (last_refill_ != Instant{})
+      level_ =
+          std::min(burst_, level_ + tokens_per_second_ * to_seconds(now - last_refill_).count());
+    last_refill_ = now;
   }
-  double rate_;
+  double tokens_per_second_;
   double burst_;
   double level_;
-  Instant last_{};
+  Instant last_refill_{};
 };
 
 }  // namespace dunlinknot
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -21,28 +21,28 @@
 
 using namespace dunlinknot;
 
-// Exit statuses; an exception, such as one about the settings, ends with kFailed.
+// Exit statuses. An exception, such as one about invalid settings, ends the process with kFailed.
 constexpr int kOk = 0;
 constexpr int kFailed = 1;
 constexpr int kUsageError = 2;
 constexpr int kStoreUnavailable = 3;
 
-constexpr size_t kIdleConnectionsPerPeer = 12;  // kept for later calls
-constexpr auto kIdleTime = std::chrono::seconds(20);
+constexpr size_t kMaxIdleConnectionsPerPeer = 12;
+constexpr auto kIdleConnectionTimeout = std::chrono::seconds(20);
 
-// What the command line asks for.
+// The parsed command line.
 struct Arguments {
   enum class Command : uint8_t { serve, check_config, duties } command = Command::serve;
   std::string platform_file;
-  std::string operator_file;  // empty: the operators set nothing
+  std::string operator_file;  // empty: all operator settings have their defaults
 };
 
-// How the process ends when there is nothing to carry out.
+// Exit status of a command line without a command to run, such as --help or a usage error.
 struct ExitStatus {
   int value = kOk;
 };
 
-// Logs to stderr at the level that LOG_LEVEL names. False when it names none.
+// Logs to stderr at the level given by LOG_LEVEL. Returns false if the level is unknown.
 bool set_up_log() {
   const char* variable = std::getenv("LOG_LEVEL");
   const std::string_view level = variable ? variable : "info";
@@ -67,19 +67,20 @@
 int serve(const settings::Platform& platform, const settings::Operator& operator_settings) {
   SystemClock clock;
   EventLoop loop(clock);
-  http::Client transport(loop, kIdleConnectionsPerPeer, kIdleTime);
+  http::Client transport(loop, kMaxIdleConnectionsPerPeer, kIdleConnectionTimeout);
   const auto seed =
       static_cast<uint32_t>(std::hash<std::string>{}(platform.node) ^
                             static_cast<size_t>(clock.wall().time_since_epoch().count()));
   node::Daemon daemon(loop, platform, operator_settings, transport, seed);
   daemon.start();
-  spdlog::info("dunlinknot {} serves as {} on {}", DUNLINKNOT_VERSION, platform.node,
-               platform.listen.text());
+  spdlog::info("dunlinknot {} started as node {}, listening on {}", DUNLINKNOT_VERSION,
+               platform.node, platform.listen.text());
   loop.run();
   return kOk;
 }
 
-// Prints the overview and stops the loop. The references outlive the loop's run.
+// Prints the overview of the singleton roles and stops the loop. The referenced objects must
+// outlive EventLoop::run().
 Task<void> show_roles(EventLoop& loop, kv::Client& store, int& status) {
   const std::optional<roles::Overview> overview = co_await roles::read_overview(loop, store);
   if (overview) {
@@ -91,21 +92,21 @@
   loop.stop();
 }
 
-// Prints who holds the singleton roles and what is open; returns the exit status.
+// Prints the holders of the singleton roles and the open intents; returns the exit status.
 int print_roles(const settings::Platform& platform) {
-  constexpr double kWholeBudget = 1.0;  // this process makes a few calls and ends
+  constexpr double kFullRateShare = 1.0;  // the process ends after a few calls
   SystemClock clock;
   EventLoop loop(clock);
   http::Client transport(loop, 1, std::chrono::seconds(5));
   kv::Client store(loop, transport, platform.key_value_store, kv::Limits(platform.store_limits),
-                   kWholeBudget);
+                   kFullRateShare);
   int status = kOk;
   loop.spawn(show_roles(loop, store, status));
   loop.run();
   return status;
 }
 
-// Reads the command line. Prints the help, the version or what is wrong with it.
+// Parses the command line. Prints the help, the version or a usage error.
 std::variant<Arguments, ExitStatus> parse(int argc, char** argv) {
   Arguments arguments;
   CLI::App app{"dunlinknot, a cluster scheduler: one controller of the service"};
@@ -137,7 +138,7 @@
   return arguments;
 }
 
-// Carries the command line out; returns the exit status.
+// Runs the command of the command line; returns the exit status.
 int run(int argc, char** argv) {
   const std::variant<Arguments, ExitStatus> parsed = parse(argc, argv);
   if (const auto* status = std::get_if<ExitStatus>(&parsed)) return status->value;
@@ -158,7 +159,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  std::signal(SIGPIPE, SIG_IGN);  // a peer that closes its connection is an error of that write
+  std::signal(SIGPIPE, SIG_IGN);  // writing to a closed connection fails with EPIPE instead
   try {
     return run(argc, argv);
   } catch (const std::exception& error) {
