--- a/benchmarks/cost_driver.cpp
+++ b/benchmarks/cost_driver.cpp
@@ -1,7 +1,7 @@
-// Drives one controller with scripted peers at a given cluster size, so that its processor time can
-// be attributed under callgrind (see cost_table.sh). Time is simulated and seeds are fixed, so two
-// runs of one binary execute the same instructions. Every request passes through the HTTP parser
-// and renderer, as it would on a socket; system calls are not part of it.
+// Drives one controller with scripted peers at a given cluster size, to attribute its CPU time
+// under callgrind (see cost_table.sh). Time is simulated and seeds are fixed, so two runs of one
+// binary execute the same instructions. Every request passes through the HTTP parser and
+// serializer, as on a socket; system calls are not included.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <iostream>
@@ -12,19 +12,19 @@
 namespace dunlinknot::test {
 namespace {
 
-// Jobs and teams' limits are given for a cluster of so many machines and grow with it.
+// Job rates and team limits are given for a cluster of this size and scale with the machine count.
 constexpr double kReferenceMachines = 600;
 
 struct Load {
   uint32_t machines = 600;
   uint32_t seconds = 60;
-  uint32_t array_tasks = 110;    // of each submitted array
-  double task_cpus = 3;          // of each task
-  double jobs_per_second = 0.6;  // arrays and gangs together, for each kReferenceMachines
-  double jobs_at_start = 75;     // the same
-  double polls_per_second = 18;  // over all jobs so far
+  uint32_t array_tasks = 110;    // tasks per submitted array
+  double task_cpus = 3;          // CPUs per task
+  double jobs_per_second = 0.6;  // arrays and gangs, per kReferenceMachines
+  double jobs_at_start = 75;     // arrays and gangs, per kReferenceMachines
+  double polls_per_second = 18;  // status requests, spread over all submitted jobs
   double task_seconds = 100;     // mean run time
-  uint32_t failovers = 1;        // restarts of the controller, spread over the run
+  uint32_t failovers = 1;        // restarts of the controller, evenly spaced over the run
 };
 
 struct Counts {
@@ -35,13 +35,13 @@
   uint64_t ready_probes = 0;
 };
 
-// The request as a controller's server would read it off a connection.
-http::Request through_parser(const http::Request& request) {
+// Serializes and parses a request, as the server of a controller would receive it on a connection.
+http::Request serialize_and_parse(const http::Request& request) {
   http::Parser parser(http::Parser::Kind::request, http::Limits{});
   const std::string bytes =
       http::render_request(request.method, request.target, "127.0.0.1:1000", request.body);
   if (parser.feed(bytes) != http::Parser::Result::complete) {
-    throw std::runtime_error("a rendered request could not be parsed");
+    throw std::runtime_error("the parser did not accept a serialized request");
   }
   return parser.take();
 }
@@ -76,7 +76,7 @@
         ++counts_.heartbeats;
         counts_.heartbeat_bytes += request.body.size();
       }
-      return through_parser(request);
+      return serialize_and_parse(request);
     };
     site_.on_response = [](const http::Response& response) {
       if (http::render_response(response, true).empty()) std::abort();
@@ -86,8 +86,8 @@
 
   void run() {
     site_.run_for(seconds(3));
-    const Instant begin = site_.clock.now();
-    const Instant end = begin + seconds(load_.seconds);
+    const Instant start = site_.clock.now();
+    const Instant end = start + seconds(load_.seconds);
     uint32_t restarts = 0;
     double jobs_due = load_.jobs_at_start * scale();
     double polls_due = 0;
@@ -96,13 +96,13 @@
       for (uint32_t i = 0; i < jobs; ++i) site_.loop.spawn(submit_next());
       jobs_due -= jobs;
       const auto polls = static_cast<uint32_t>(polls_due);
-      for (uint32_t i = 0; i < polls; ++i) site_.loop.spawn(poll_one());
+      for (uint32_t i = 0; i < polls; ++i) site_.loop.spawn(poll_next());
       polls_due -= polls;
-      site_.loop.spawn(probe());
+      site_.loop.spawn(probe_ready());
       site_.run_for(seconds(1));
       jobs_due += load_.jobs_per_second * scale();
       polls_due += load_.polls_per_second;
-      const auto elapsed = site_.clock.now() - begin;
+      const auto elapsed = site_.clock.now() - start;
       if (restarts < load_.failovers &&
           elapsed >= seconds(load_.seconds) * (restarts + 1) / (load_.failovers + 1)) {
         site_.restart(0);
@@ -176,16 +176,16 @@
     (void)co_await site_.handle(0, std::move(request));
   }
 
-  Task<void> poll_one() {
+  Task<void> poll_next() {
     if (counts_.submissions == 0) co_return;
-    const uint64_t which = ++counts_.polls * 7919 % counts_.submissions;
+    const uint64_t index = ++counts_.polls * 7919 % counts_.submissions;
     http::Request request;
     request.method = "GET";
-    request.target = "/v1/jobs/run-" + std::to_string(100'000 + which);
+    request.target = "/v1/jobs/run-" + std::to_string(100'000 + index);
     (void)co_await site_.handle(0, std::move(request));
   }
 
-  Task<void> probe() {
+  Task<void> probe_ready() {
     ++counts_.ready_probes;
     http::Request request;
     request.method = "GET";
@@ -215,8 +215,8 @@
     driver.run();
     driver.print();
     return 0;
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "cost_driver: %s\n", e.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "cost_driver: %s\n", error.what());
     return 1;
   }
 }
--- a/tests/ci/report_test.sh
+++ b/tests/ci/report_test.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The report of a small history: its counts, its plots, and names that look like markup.
-# report_test.sh PROGRAM
+# Tests dunlinknot-report with a small history: counts, plots, escaping of markup in names, and the
+# rejection of a malformed line.
+# Usage: report_test.sh PROGRAM
 set -euo pipefail
 
 readonly program=$1
@@ -25,14 +26,14 @@
 EOF
 "$program" "$directory/history.csv" --output "$directory/page" >/dev/null
 readonly page=$directory/page/index.html
-grep -q '2 acts at the cloud (1 with effect)' "$page" || fail "the acts are miscounted"
-grep -q '<td>killed</td><td>1</td><td>1.250</td><td>1.250</td>' "$page" || fail "the gap is wrong"
-grep -q '&lt;script&gt;' "$page" || fail "the violation is missing"
+grep -q '2 acts at the cloud (1 with effect)' "$page" || fail "wrong count of operations at the cloud"
+grep -q '<td>killed</td><td>1</td><td>1.250</td><td>1.250</td>' "$page" || fail "wrong time without a holder after a fault"
+grep -q '&lt;script&gt;' "$page" || fail "the violation is missing from the page"
 if grep -q '<script>\|<b>0' "$page"; then fail "markup from the history was not escaped"; fi
-[[ -s $directory/page/holders.svg && -s $directory/page/gaps.svg ]] || fail "a plot is missing"
+[[ -s $directory/page/holders.svg && -s $directory/page/gaps.svg ]] || fail "holders.svg or gaps.svg is missing or empty"
 
 printf 'time_s,event,node,token,name,changed\nx,holder,a,1,,0\n' >"$directory/bad.csv"
 if "$program" "$directory/bad.csv" --output "$directory/bad" 2>"$directory/error"; then
-  fail "a damaged history was accepted"
+  fail "a history with a malformed line was accepted"
 fi
-grep -q 'line 2: not a number' "$directory/error" || fail "the damaged line is not named"
+grep -q 'line 2: not a number' "$directory/error" || fail "the error does not name the malformed line 2"
--- a/tests/runtime_test.cpp
+++ b/tests/runtime_test.cpp
@@ -1,4 +1,4 @@
-// The token bucket, and sockets that outlive the event loop's coroutines.
+// Token bucket, and sockets that outlive the coroutines of the event loop.
 #include <gtest/gtest.h>
 #include <netinet/in.h>
 
@@ -8,9 +8,9 @@
 namespace dunlinknot {
 namespace {
 
-TEST(TokenBucket, WhoeverWaitsAsLongAsItSaysGetsItsShare) {
-  // Found by the random concurrent faults: what was missing refilled in less than a nanosecond, so
-  // the wait was zero and the caller did not stop asking.
+TEST(TokenBucket, TakeSucceedsAfterReportedWait) {
+  // The missing tokens refilled in less than a nanosecond, so the reported wait was zero and the
+  // caller retried in a busy loop. Found by the test with random concurrent faults.
   TokenBucket bucket(3.6, 4);
   Instant now{std::chrono::seconds(1)};
   for (int i = 0; i < 1000; ++i) {
@@ -29,9 +29,9 @@
   (void)co_await listener.accept();
 }
 
-// Found by the handover run under the address sanitizer: closing the socket woke a coroutine that
-// had ended with the loop.
-TEST(EventLoop, ASocketMayOutliveItsCoroutines) {
+// Closing the socket must not wake a coroutine that abandon() has destroyed. Found by the handover
+// run under the address sanitizer.
+TEST(EventLoop, SocketMayOutliveDestroyedCoroutines) {
   SystemClock clock;
   EventLoop loop(clock);
   auto listener = std::make_unique<http::Listener>(loop, http::Endpoint{htonl(INADDR_LOOPBACK), 0});
--- a/tools/report.cpp
+++ b/tools/report.cpp
@@ -1,7 +1,7 @@
-// dunlinknot-report: an HTML page with plots from the history of a handover run.
+// dunlinknot-report: generates an HTML page with plots from the history of a handover run.
 //
-// Reads history.csv as `handover_run` writes it; draws with gnuplot, fills the page with ctemplate,
-// which escapes whatever stands in the history.
+// Reads the history.csv of `handover_run`, draws the plots with gnuplot and renders the page with
+// ctemplate, which escapes the values from the history.
 #include <ctemplate/template.h>
 
 #include <CLI/CLI.hpp>
@@ -20,6 +20,7 @@
 
 namespace fs = std::filesystem;
 
+// One line of history.csv.
 struct Event {
   double time = 0;
   std::string kind;
@@ -29,39 +30,41 @@
   bool changed = false;
 };
 
-// A time without a holder: from a fault, or from the moment the key went, to the next holding.
-struct Gap {
+// Time without a holder of the role: from a fault to the next grant. Times in seconds.
+struct Vacancy {
   std::string fault;
   double begin = 0;
   double length = 0;
 };
 
+// One grant of the role to a node under a fencing token. Times in seconds.
 struct RoleGrant {
   std::string node;
   uint64_t token = 0;
   double begin = 0;
   double end = 0;
-  uint64_t acts = 0;
+  uint64_t operations = 0;
   uint64_t changed = 0;
 };
 
-bool is_act(const Event& event) {
+bool is_cloud_operation(const Event& event) {
   return event.kind == "rent" || event.kind == "return";
 }
 
-Event parse_line(const std::string& line, size_t number) {
+Event parse_line(const std::string& line, size_t line_number) {
   std::istringstream in(line);
   std::array<std::string, 6> fields;
   for (std::string& field : fields) {
     if (!std::getline(in, field, ',')) {
-      throw std::runtime_error("line " + std::to_string(number) + ": six fields are needed");
+      throw std::runtime_error("line " + std::to_string(line_number) +
+                               ": expected 6 comma-separated fields");
     }
   }
   try {
     return {std::stod(fields[0]),   fields[1], fields[2],
             std::stoull(fields[3]), fields[4], fields[5] == "1"};
   } catch (const std::logic_error&) {
-    throw std::runtime_error("line " + std::to_string(number) + ": not a number");
+    throw std::runtime_error("line " + std::to_string(line_number) + ": not a number");
   }
 }
 
@@ -70,14 +73,14 @@
   if (!in) throw std::runtime_error("cannot read " + path.string());
   std::vector<Event> events;
   std::string line;
-  std::getline(in, line);  // the names of the fields
-  for (size_t number = 2; std::getline(in, line); ++number) {
-    events.push_back(parse_line(line, number));
+  std::getline(in, line);  // header line
+  for (size_t line_number = 2; std::getline(in, line); ++line_number) {
+    events.push_back(parse_line(line, line_number));
   }
   return events;
 }
 
-std::vector<RoleGrant> holdings_of(const std::vector<Event>& events) {
+std::vector<RoleGrant> collect_grants(const std::vector<Event>& events) {
   std::vector<RoleGrant> out;
   std::map<uint64_t, size_t> by_token;
   for (const Event& event : events) {
@@ -87,54 +90,55 @@
       out.push_back({event.node, event.token, event.time, 0, 0, 0});
     } else if (event.kind == "vacant") {
       if (!out.empty() && out.back().end == 0) out.back().end = event.time;
-    } else if (is_act(event)) {
-      const auto grant_held = by_token.find(event.token);
-      if (grant_held == by_token.end()) continue;
-      ++out[grant_held->second].acts;
-      out[grant_held->second].changed += event.changed ? 1 : 0;
+    } else if (is_cloud_operation(event)) {
+      const auto index = by_token.find(event.token);
+      if (index == by_token.end()) continue;
+      ++out[index->second].operations;
+      out[index->second].changed += event.changed ? 1 : 0;
     }
   }
   if (!out.empty() && out.back().end == 0) out.back().end = events.back().time;
   return out;
 }
 
-std::vector<Gap> gaps_of(const std::vector<Event>& events) {
-  std::vector<Gap> out;
+std::vector<Vacancy> collect_vacancies(const std::vector<Event>& events) {
+  std::vector<Vacancy> out;
   const Event* fault = nullptr;
   for (const Event& event : events) {
     if (event.kind == "holder" && fault) {
       out.push_back({fault->kind, fault->time, event.time - fault->time});
       fault = nullptr;
     } else if (event.kind != "holder" && event.kind != "vacant" && event.kind != "violation" &&
-               !is_act(event)) {
+               !is_cloud_operation(event)) {
       fault = &event;
     }
   }
   return out;
 }
 
-// Runs gnuplot on a script; its words are fixed, only files that we wrote ourselves are named.
+// Runs gnuplot on a script. The script must contain only fixed text and names of our own files, no
+// values from the history.
 void plot(const fs::path& directory, const std::string& script) {
   const fs::path file = directory / "plot.gp";
   std::ofstream(file) << script;
   const std::string command = "cd '" + directory.string() + "' && gnuplot plot.gp";
-  if (std::system(command.c_str()) != 0) throw std::runtime_error("gnuplot failed");
+  if (std::system(command.c_str()) != 0) throw std::runtime_error("gnuplot failed to draw a plot");
   fs::remove(file);
 }
 
-void plot_holders(const fs::path& directory, const std::vector<RoleGrant>& holdings) {
+void plot_holders(const fs::path& directory, const std::vector<RoleGrant>& grants) {
   std::map<std::string, int> rows;
-  for (const RoleGrant& h : holdings) rows.emplace(h.node, 0);
+  for (const RoleGrant& grant : grants) rows.emplace(grant.node, 0);
   std::string tics;
   int row = 0;
-  for (auto& [node, number] : rows) {
-    number = row++;
+  for (auto& [node, row_number] : rows) {
+    row_number = row++;
     if (!tics.empty()) tics += ", ";
-    tics += "'controller " + std::to_string(number) + "' " + std::to_string(number);
+    tics += "'controller " + std::to_string(row_number) + "' " + std::to_string(row_number);
   }
   std::ofstream data(directory / "holders.dat");
-  for (const RoleGrant& h : holdings) {
-    data << h.begin << ' ' << rows[h.node] << ' ' << h.end - h.begin << " 0\n";
+  for (const RoleGrant& grant : grants) {
+    data << grant.begin << ' ' << rows[grant.node] << ' ' << grant.end - grant.begin << " 0\n";
   }
   data.close();
   plot(directory,
@@ -145,9 +149,9 @@
   fs::remove(directory / "holders.dat");
 }
 
-void plot_gaps(const fs::path& directory, const std::vector<Gap>& gaps) {
+void plot_vacancies(const fs::path& directory, const std::vector<Vacancy>& vacancies) {
   std::ofstream data(directory / "gaps.dat");
-  for (const Gap& gap : gaps) data << gap.begin << ' ' << gap.length << '\n';
+  for (const Vacancy& vacancy : vacancies) data << vacancy.begin << ' ' << vacancy.length << '\n';
   data.close();
   plot(directory,
        "set terminal svg size 1100,260\nset output 'gaps.svg'\nset xlabel 'seconds'\n"
@@ -163,9 +167,9 @@
   return out.str();
 }
 
-void fill_gaps(ctemplate::TemplateDictionary& page, const std::vector<Gap>& gaps) {
+void fill_vacancies(ctemplate::TemplateDictionary& page, const std::vector<Vacancy>& vacancies) {
   std::map<std::string, std::vector<double>> by_fault;
-  for (const Gap& gap : gaps) by_fault[gap.fault].push_back(gap.length);
+  for (const Vacancy& vacancy : vacancies) by_fault[vacancy.fault].push_back(vacancy.length);
   for (auto& [fault, lengths] : by_fault) {
     std::sort(lengths.begin(), lengths.end());
     ctemplate::TemplateDictionary* row = page.AddSectionDictionary("GAP");
@@ -176,15 +180,15 @@
   }
 }
 
-void fill_holdings(ctemplate::TemplateDictionary& page, const std::vector<RoleGrant>& holdings) {
-  for (const RoleGrant& grant_held : holdings) {
+void fill_grants(ctemplate::TemplateDictionary& page, const std::vector<RoleGrant>& grants) {
+  for (const RoleGrant& grant : grants) {
     ctemplate::TemplateDictionary* row = page.AddSectionDictionary("HOLDING");
-    row->SetIntValue("TOKEN", static_cast<long>(grant_held.token));
-    row->SetValue("NODE", grant_held.node);
-    row->SetValue("BEGIN", seconds_text(grant_held.begin));
-    row->SetValue("LENGTH", seconds_text(grant_held.end - grant_held.begin));
-    row->SetIntValue("ACTS", static_cast<long>(grant_held.acts));
-    row->SetIntValue("CHANGED", static_cast<long>(grant_held.changed));
+    row->SetIntValue("TOKEN", static_cast<long>(grant.token));
+    row->SetValue("NODE", grant.node);
+    row->SetValue("BEGIN", seconds_text(grant.begin));
+    row->SetValue("LENGTH", seconds_text(grant.end - grant.begin));
+    row->SetIntValue("ACTS", static_cast<long>(grant.operations));
+    row->SetIntValue("CHANGED", static_cast<long>(grant.changed));
   }
 }
 
@@ -209,34 +213,34 @@
 )";
 
 void write_page(const fs::path& directory, const std::vector<Event>& events) {
-  const std::vector<RoleGrant> holdings = holdings_of(events);
-  const std::vector<Gap> gaps = gaps_of(events);
-  plot_holders(directory, holdings);
-  plot_gaps(directory, gaps);
+  const std::vector<RoleGrant> grants = collect_grants(events);
+  const std::vector<Vacancy> vacancies = collect_vacancies(events);
+  plot_holders(directory, grants);
+  plot_vacancies(directory, vacancies);
   ctemplate::TemplateDictionary page("page");
-  long acts = 0;
+  long operations = 0;
   long changed = 0;
   long violations = 0;
   for (const Event& event : events) {
-    if (is_act(event)) ++acts;
-    if (is_act(event) && event.changed) ++changed;
+    if (is_cloud_operation(event)) ++operations;
+    if (is_cloud_operation(event) && event.changed) ++changed;
     if (event.kind != "violation") continue;
     ++violations;
     page.AddSectionDictionary("VIOLATION")->SetValue("WHAT", event.name);
   }
   page.SetIntValue("EVENTS", static_cast<long>(events.size()));
-  page.SetIntValue("HOLDINGS", static_cast<long>(holdings.size()));
-  page.SetIntValue("ACTS", acts);
+  page.SetIntValue("HOLDINGS", static_cast<long>(grants.size()));
+  page.SetIntValue("ACTS", operations);
   page.SetIntValue("CHANGED", changed);
   page.SetIntValue("VIOLATIONS", violations);
-  fill_gaps(page, gaps);
-  fill_holdings(page, holdings);
+  fill_vacancies(page, vacancies);
+  fill_grants(page, grants);
   if (!ctemplate::StringToTemplateCache("page", kPage, ctemplate::DO_NOT_STRIP)) {
-    throw std::runtime_error("the page's template is faulty");
+    throw std::runtime_error("cannot parse the template of the page");
   }
   std::string html;
   if (!ctemplate::ExpandTemplate("page", ctemplate::DO_NOT_STRIP, &page, &html)) {
-    throw std::runtime_error("the page could not be written");
+    throw std::runtime_error("cannot expand the template of the page");
   }
   std::ofstream(directory / "index.html") << html;
 }
@@ -252,13 +256,13 @@
     app.add_option("--output", output, "Directory for the page")->required();
     CLI11_PARSE(app, argc, argv);
     const std::vector<Event> events = read_history(history);
-    if (events.empty()) throw std::runtime_error("the history is empty");
+    if (events.empty()) throw std::runtime_error("the history contains no events");
     fs::create_directories(output);
     write_page(output, events);
     std::cout << (fs::path(output) / "index.html").string() << "\n";
     return 0;
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "dunlinknot-report: %s\n", e.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "dunlinknot-report: %s\n", error.what());
     return 1;
   }
 }
