--- a/tests/ci/report_test.sh
+++ b/tests/ci/report_test.sh
@@ -26,14 +26,18 @@
 EOF
 "$program" "$directory/history.csv" --output "$directory/page" >/dev/null
 readonly page=$directory/page/index.html
-grep -q '2 acts at the cloud (1 with effect)' "$page" || fail "wrong count of operations at the cloud"
-grep -q '<td>killed</td><td>1</td><td>1.250</td><td>1.250</td>' "$page" || fail "wrong time without a holder after a fault"
+grep -q '2 acts at the cloud (1 with effect)' "$page" ||
+  fail "wrong count of operations at the cloud"
+grep -q '<td>killed</td><td>1</td><td>1.250</td><td>1.250</td>' "$page" ||
+  fail "wrong time without a holder after a fault"
 grep -q '&lt;script&gt;' "$page" || fail "the violation is missing from the page"
 if grep -q '<script>\|<b>0' "$page"; then fail "markup from the history was not escaped"; fi
-[[ -s $directory/page/holders.svg && -s $directory/page/gaps.svg ]] || fail "holders.svg or gaps.svg is missing or empty"
+[[ -s $directory/page/holders.svg && -s $directory/page/gaps.svg ]] ||
+  fail "holders.svg or gaps.svg is missing or empty"
 
 printf 'time_s,event,node,token,name,changed\nx,holder,a,1,,0\n' >"$directory/bad.csv"
 if "$program" "$directory/bad.csv" --output "$directory/bad" 2>"$directory/error"; then
   fail "a history with a malformed line was accepted"
 fi
-grep -q 'line 2: not a number' "$directory/error" || fail "the error does not name the malformed line 2"
+grep -q 'line 2: not a number' "$directory/error" ||
+  fail "the error does not name the malformed line 2"
--- a/tests/ci/run_tests_test.sh
+++ b/tests/ci/run_tests_test.sh
@@ -46,9 +46,10 @@
 expect fail "a name is not used as a pattern" "Suite.Bad/. does not exist" "$bad0" \
   'Suite.Bad/. | x | y | issue 1'
 expect fail "an entry without a command" "Suite.Bad/0 needs four fields" 'Suite.Bad/0' "$bad1"
-expect fail "an entry without an observation" "Suite.Bad/0 needs four fields" 'Suite.Bad/0 | run --seed 1' "$bad1"
-expect fail "an entry without an issue" "Suite.Bad/0 needs four fields" 'Suite.Bad/0 | run --seed 1 | it failed' \
-  "$bad1"
+expect fail "an entry without an observation" "Suite.Bad/0 needs four fields" \
+  'Suite.Bad/0 | run --seed 1' "$bad1"
+expect fail "an entry without an issue" "Suite.Bad/0 needs four fields" \
+  'Suite.Bad/0 | run --seed 1 | it failed' "$bad1"
 expect fail "an entry with an empty field" "Suite.Bad/0 needs four fields" \
   'Suite.Bad/0 | run --seed 1 |  | issue 1' "$bad1"
 
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,4 +1,4 @@
-// HTTP parser: input split offset any position, chunked bodies, invalid input and size limits.
+// HTTP parser: input split at any position, chunked bodies, invalid input and size limits.
 #include <gtest/gtest.h>
 
 #include "dunlinknot/http/message.hpp"
@@ -80,8 +80,8 @@
         InvalidRequest{std::string(300, 'a'), 431}));
 
 TEST(HttpParser, RejectsUnterminatedLineAboveHeadLimit) {
-  // The parser must fail offset the limit instead of buffering a line that never ends, also if the
-  // peer sends one byte offset a time.
+  // The parser must fail at the limit instead of buffering a line that never ends, also if the
+  // peer sends one byte at a time.
   Parser parser = request_parser(Limits{256, 64});
   Result result = Result::need_more;
   size_t sent = 0;
--- a/tools/handover_run.cpp
+++ b/tools/handover_run.cpp
@@ -1,9 +1,9 @@
-// Forces handovers of the singleton roles between real controller processes, against a cloud, a
-// key-value store, workers and users that this process plays on loopback. Writes the history of all
-// acts, checks it and prints counts.
+// Forces handovers of the singleton roles between real controller processes. This process simulates
+// the cloud, the key-value store, the workers and the users on loopback. It writes the history of
+// all cloud operations and role grants, checks it and prints counts.
 //
-// Controllers are stopped and continued by signal, killed and restarted, and cut from the state
-// service, the cloud or both. Requests to the cloud are executed late, or their answers lost.
+// Controllers are stopped and continued by signal, killed and restarted, and partitioned from the
+// key-value store, the cloud or both. The cloud executes requests late or loses the responses.
 #include <netinet/in.h>
 #include <spawn.h>
 #include <spdlog/spdlog.h>
@@ -26,28 +26,29 @@
 
 struct Options {
   std::string program = "target/dunlinknot";
-  std::string directory;  // for settings, logs and the history
+  std::string directory;  // directory of settings, logs and the history
   uint32_t controllers = 3;
   uint32_t handovers = 300;
   uint32_t seed = 1;
-  bool calm_cloud = false;  // no late requests and no lost answers: only events are waited for
-  bool roles = true;        // off: shows that the checks find something
+  bool calm_cloud = false;  // no late requests and no lost responses, and no wait for late ones
+  bool roles = true;        // off: the checks are expected to find violations
 };
 
-enum class Fault : uint8_t { kill, stop, stop_at_act, cut_state, cut_cloud, cut_both };
+enum class Fault : uint8_t { kill, stop, stop_at_intent, cut_store, cut_cloud, cut_both };
 constexpr std::array<std::string_view, 6> kFaultNames{
     "killed", "stopped", "stopped at an act", "cut from state", "cut from cloud", "cut from both"};
 
 constexpr std::string_view kLeaderTtl = "1";
 constexpr std::string_view kRolesTtl = "1.5";
 constexpr std::string_view kRolesRenew = "0.4";
-constexpr Millis kWorkerPace{500};
+constexpr Millis kHeartbeatInterval{500};
 constexpr auto kWorkerLease = seconds(14);
-constexpr auto kGiveUp = seconds(15);     // on a fault that brings no handover
-constexpr Millis kLatestRequest{15'500};  // how late a request to the cloud may be executed
-constexpr auto kSettleTime = seconds(90);
+constexpr auto kHandoverTimeout = seconds(15);  // wait for a handover after a fault
+// Largest delay of a request that the cloud executes late.
+constexpr Millis kMaxRequestDelay{15'500};
+constexpr auto kSettleTimeout = seconds(90);
 
-// One controller process and the ways to trouble it.
+// A controller process and the faults injected into it.
 struct Controller {
   std::string name;
   std::string settings;
@@ -55,30 +56,35 @@
   http::Endpoint listen, back, state, cloud;
   pid_t pid = 0;
   bool stopped = false;
-  bool cut_state = false;
+  bool cut_store = false;
   bool cut_cloud = false;
-  uint64_t scale_in_token = 0;  // the last one under which it held the role
+  uint64_t scale_in_token = 0;  // last fencing token under which it held the scale-in role
 };
 
+// A forced handover and the time from the fault to the next holder.
 struct Handover {
   Fault fault;
-  Seconds gap;
+  Seconds vacancy;
 };
 
+// One run: starts the controllers, injects faults, records the history and checks it.
 class Run {
  public:
   explicit Run(const Options& options) : options_(options), loop_(clock_), random_(options.seed) {
     history_.open(std::filesystem::path(options_.directory) / "history.csv");
     history_ << "time_s,event,node,token,name,changed\n";
-    began_ = loop_.now();
+    start_time_ = loop_.now();
     holder_key_ =
         options_.roles ? roles::role_key(roles::Role::scale_in) : std::string(wire::kLeaderKey);
-    state_.on_change = [this](const std::string& key) { apply_change(key); };
-    state_.on_removed = [this](const std::string& key) { apply_removed(key); };
-    cloud_.on_operation = [this](const ScriptedCloud::Operation& act) { apply_act(act); };
+    store_.on_change = [this](const std::string& key) { on_key_changed(key); };
+    store_.on_removed = [this](const std::string& key) { on_key_removed(key); };
+    cloud_.on_operation = [this](const ScriptedCloud::Operation& operation) {
+      on_cloud_operation(operation);
+    };
     cloud_.on_launched = [this](const ScriptedCloud::Machine& machine) { add_worker(machine); };
     cloud_.on_deleted = [this](const std::string& id) { workers_.at(id)->power_off(); };
-    cloud_.machine_address = "127.0.0.1:1";  // refuses: stops travel with the answers to reports
+    // Refuses connections, so that stop commands are sent in heartbeat responses only.
+    cloud_.machine_address = "127.0.0.1:1";
     cloud_.list_lag = seconds(3);
     MachineType box;
     box.name = "box";
@@ -96,16 +102,16 @@
   }
 
   int run() {
-    for (Controller& controller : controllers_) start(controller);
+    for (Controller& controller : controllers_) start_process(controller);
     loop_.spawn(drive());
     loop_.run();
-    for (Controller& controller : controllers_) end(controller);
+    for (Controller& controller : controllers_) kill_process(controller);
     loop_.abandon();
     return report();
   }
 
  private:
-  // --- set-up
+  // --- Setup
   http::Endpoint serve(const std::function<Task<http::Reply>(http::Call)>& handler) {
     http::ServerOptions server_options;
     server_options.max_connections = 1000;
@@ -128,44 +134,45 @@
     return *http::Endpoint::parse("127.0.0.1:" + std::to_string(servers_.back()->port()));
   }
 
-  // Any free port of the loopback address.
+  // Endpoint for binding to any free port of the loopback address.
   static http::Endpoint free_endpoint() { return {htonl(INADDR_LOOPBACK), 0}; }
 
-  // A port that was free a moment ago, for a process that is to listen there.
-  http::Endpoint reserve_endpoint() {
+  // Returns a port that is free at this time, for a controller process that will listen on it.
+  http::Endpoint find_free_endpoint() {
     const http::Listener listener(loop_, free_endpoint());
     return *http::Endpoint::parse("127.0.0.1:" + std::to_string(listener.port()));
   }
 
   void add_controller(uint32_t index) {
-    Controller& c = controllers_.emplace_back();
-    c.name = "node-" + std::to_string(index);
+    Controller& controller = controllers_.emplace_back();
+    controller.name = "node-" + std::to_string(index);
     const std::filesystem::path directory(options_.directory);
-    c.settings = directory / (c.name + ".toml");
-    c.log = directory / (c.name + ".log");
-    c.listen = reserve_endpoint();
-    c.back = reserve_endpoint();
-    c.state = serve([this, &c](http::Call call) -> Task<http::Reply> {
-      while (c.cut_state) co_await loop_.sleep(Millis(50));
-      co_return co_await state_.serve(std::move(call));
+    controller.settings = directory / (controller.name + ".toml");
+    controller.log = directory / (controller.name + ".log");
+    controller.listen = find_free_endpoint();
+    controller.back = find_free_endpoint();
+    controller.state = serve([this, &controller](http::Call call) -> Task<http::Reply> {
+      while (controller.cut_store) co_await loop_.sleep(Millis(50));
+      co_return co_await store_.serve(std::move(call));
     });
-    c.cloud = serve([this, &c](http::Call call) -> Task<http::Reply> {
-      while (c.cut_cloud) co_await loop_.sleep(Millis(50));
-      co_return co_await cloud_.serve(std::move(call), c.scale_in_token);
+    controller.cloud = serve([this, &controller](http::Call call) -> Task<http::Reply> {
+      while (controller.cut_cloud) co_await loop_.sleep(Millis(50));
+      co_return co_await cloud_.serve(std::move(call), controller.scale_in_token);
     });
   }
 
-  void write_settings(const Controller& own) {
-    std::ofstream out(own.settings);
-    out << "node = \"" << own.name << "\"\nzone = \"a\"\nlisten = \"" << own.listen.text()
-        << "\"\nback = \"" << own.back.text() << "\"\n";
+  void write_settings(const Controller& controller) {
+    std::ofstream out(controller.settings);
+    out << "node = \"" << controller.name << "\"\nzone = \"a\"\nlisten = \""
+        << controller.listen.text() << "\"\nback = \"" << controller.back.text() << "\"\n";
     for (const Controller& other : controllers_) {
-      if (&other == &own) continue;
+      if (&other == &controller) continue;
       out << "[[seeds]]\nnode = \"" << other.name << "\"\nzone = \"a\"\naddr = \""
           << other.back.text() << "\"\n";
     }
-    out << "[services]\ncloud = \"" << own.cloud.text() << "\"\nstate = \"" << own.state.text()
-        << "\"\n[params]\nnodes = " << controllers_.size() << "\nzones = [\"a\"]\nskew_ms = 5.0\n"
+    out << "[services]\ncloud = \"" << controller.cloud.text() << "\"\nstate = \""
+        << controller.state.text() << "\"\n[params]\nnodes = " << controllers_.size()
+        << "\nzones = [\"a\"]\nskew_ms = 5.0\n"
         << "[[params.teams]]\nname = \"red\"\ncpus = 8.0\ncpus_max = 64.0\n"
         << "gpus = 0.0\ngpus_max = 0.0\n"
         << "[params.workers]\nreport_s = 0.5\nlease_s = " << kWorkerLease.count()
@@ -173,74 +180,76 @@
         << "[params.state]\nrps = 1000.0\nwrite_rps = 1000.0\nvalue_kb = 8.0\ntxn_ops = 16\n"
         << "[params.cloud]\nrps = 20.0\nlist_lag_s = 3.0\n"
         << "[params.quota]\ncpu = 1.0\nmemory_mb = 64.0\nmax_connections = 500\n";
-    std::ofstream op(std::filesystem::path(options_.directory) / "operator.xml");
-    op << "<dunlinknot><leadership><ttl>" << kLeaderTtl << "</ttl></leadership>"
-       << "<fleet><idle-return>1</idle-return></fleet><duties><on>" << (options_.roles ? 1 : 0)
-       << "</on><ttl>" << kRolesTtl << "</ttl><renew-every>" << kRolesRenew
-       << "</renew-every></duties></dunlinknot>\n";
+    std::ofstream operator_xml(std::filesystem::path(options_.directory) / "operator.xml");
+    operator_xml << "<dunlinknot><leadership><ttl>" << kLeaderTtl << "</ttl></leadership>"
+                 << "<fleet><idle-return>1</idle-return></fleet><duties><on>"
+                 << (options_.roles ? 1 : 0) << "</on><ttl>" << kRolesTtl << "</ttl><renew-every>"
+                 << kRolesRenew << "</renew-every></duties></dunlinknot>\n";
   }
 
-  // --- processes
-  void start(Controller& c) {
-    const std::string op = std::filesystem::path(options_.directory) / "operator.xml";
+  // --- Controller processes
+  void start_process(Controller& controller) {
+    const std::string operator_xml = std::filesystem::path(options_.directory) / "operator.xml";
     std::array<const char*, 7> arguments{
-        options_.program.c_str(), "serve", "--operator", op.c_str(), "--config",
-        c.settings.c_str(),       nullptr};
+        options_.program.c_str(),    "serve", "--operator", operator_xml.c_str(), "--config",
+        controller.settings.c_str(), nullptr};
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
-    posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, c.log.c_str(),
+    posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, controller.log.c_str(),
                                      O_WRONLY | O_CREAT | O_APPEND, 0644);
-    const int failed = posix_spawn(&c.pid, options_.program.c_str(), &actions, nullptr,
+    const int failed = posix_spawn(&controller.pid, options_.program.c_str(), &actions, nullptr,
                                    const_cast<char**>(arguments.data()), environ);
     posix_spawn_file_actions_destroy(&actions);
     if (failed != 0) throw std::runtime_error("cannot start " + options_.program);
   }
 
-  void end(Controller& c) {
-    if (c.pid == 0) return;
-    kill(c.pid, SIGKILL);
-    waitpid(c.pid, nullptr, 0);
-    c.pid = 0;
-    c.stopped = false;
+  void kill_process(Controller& controller) {
+    if (controller.pid == 0) return;
+    kill(controller.pid, SIGKILL);
+    waitpid(controller.pid, nullptr, 0);
+    controller.pid = 0;
+    controller.stopped = false;
   }
 
-  // --- machines
+  // --- Workers
   void add_worker(const ScriptedCloud::Machine& machine) {
     auto worker =
         std::make_unique<ScriptedWorker>(loop_, machine.id, cloud_.types.front(), machine.zone,
                                          machine.spot, cloud_.machine_address, kWorkerLease);
     worker->specs = &specs_;
     worker->run_time = [this](const TaskRef&) { return Nanos(Millis(500 + random_() % 2500)); };
-    worker->on_start = [this](const TaskRef& task) { apply_start(task); };
+    worker->on_start = [this](const TaskRef& task) { on_task_started(task); };
     worker->on_end = [this](const ScriptedWorker::Running& r) {
       if (r.state != TaskState::fetching) running_.erase(r.task);
     };
-    ScriptedWorker* raw = worker.get();
+    ScriptedWorker* worker_pointer = worker.get();
     workers_[machine.id] = std::move(worker);
-    const auto at = std::make_shared<size_t>(0);
-    loop_.spawn(raw->run(
-        [this, at](http::Request request) { return send_heartbeat(std::move(request), at); },
-        kWorkerPace));
-    loop_.spawn(raw->watch_lease());
+    const auto last_index = std::make_shared<size_t>(0);
+    loop_.spawn(worker_pointer->run(
+        [this, last_index](http::Request request) {
+          return send_heartbeat(std::move(request), last_index);
+        },
+        kHeartbeatInterval));
+    loop_.spawn(worker_pointer->watch_lease());
   }
 
-  Task<http::Response> send_heartbeat(http::Request request, std::shared_ptr<size_t> at) {
+  Task<http::Response> send_heartbeat(http::Request request, std::shared_ptr<size_t> last_index) {
     http::Response out;
     out.status = 503;
-    for (size_t k = 0; k < controllers_.size() && out.status != 200; ++k) {
-      const size_t index = (*at + k) % controllers_.size();
+    for (size_t step = 0; step < controllers_.size() && out.status != 200; ++step) {
+      const size_t index = (*last_index + step) % controllers_.size();
       const http::Reply reply = co_await call(controllers_[index], request, Millis(600));
       if (reply.outcome != http::Outcome::ok) continue;
       out.status = reply.status;
       out.body = reply.body;
-      if (reply.status == 200) *at = index;
+      if (reply.status == 200) *last_index = index;
     }
     co_return out;
   }
 
-  Task<http::Reply> call(const Controller& c, http::Request request, Nanos within) {
+  Task<http::Reply> call(const Controller& controller, http::Request request, Nanos within) {
     http::Call call;
-    call.to = c.listen;
+    call.to = controller.listen;
     call.method = request.method;
     call.target = request.target;
     call.body = request.body;
@@ -248,7 +257,7 @@
     co_return co_await client_.exchange(std::move(call));
   }
 
-  // --- users
+  // --- Users
   Task<void> submit_one() {
     JobSpec spec = job("run-" + std::to_string(100'000 + submitted_++),
                        static_cast<uint32_t>(1 + random_() % 6));
@@ -261,8 +270,8 @@
     request.target = "/v1/jobs";
     request.body = body.take();
     for (size_t tries = 0; tries < 60; ++tries) {
-      const Controller& c = controllers_[random_() % controllers_.size()];
-      const http::Reply reply = co_await call(c, request, seconds(2));
+      const Controller& controller = controllers_[random_() % controllers_.size()];
+      const http::Reply reply = co_await call(controller, request, seconds(2));
       if (reply.outcome == http::Outcome::ok && (reply.status == 200 || reply.status == 201)) {
         accepted_.push_back(spec.id);
         co_return;
@@ -278,22 +287,22 @@
     }
   }
 
-  // --- the history
-  void note(std::string_view event, std::string_view node, uint64_t token, std::string_view name,
-            bool changed) {
-    history_ << to_seconds(loop_.now() - began_).count() << ',' << event << ',' << node << ','
+  // --- History and checks
+  void write_event(std::string_view event, std::string_view node, uint64_t token,
+                   std::string_view name, bool changed) {
+    history_ << to_seconds(loop_.now() - start_time_).count() << ',' << event << ',' << node << ','
              << token << ',' << name << ',' << (changed ? 1 : 0) << '\n';
   }
-  void violation(const std::string& what) {
-    violations_.push_back(what);
-    note("violation", "", 0, what, false);
+  void report_violation(const std::string& description) {
+    violations_.push_back(description);
+    write_event("violation", "", 0, description, false);
   }
 
-  // Who may act at present, and under which fencing token; without singleton roles the leader,
-  // under its epoch.
-  std::optional<roles::RoleHolderRecord> present_holder() const {
-    const auto entry = state_.data.find(holder_key_);
-    if (entry == state_.data.end()) return std::nullopt;
+  // Returns the current holder of the scale-in role and its fencing token; without singleton roles,
+  // the leader and its epoch.
+  std::optional<roles::RoleHolderRecord> current_holder() const {
+    const auto entry = store_.data.find(holder_key_);
+    if (entry == store_.data.end()) return std::nullopt;
     const auto document = wire::Document::parse(entry->second.value);
     if (!options_.roles) {
       const auto leader = wire::read_leader(document->root());
@@ -302,54 +311,55 @@
     return std::get<roles::RoleHolderRecord>(roles::read_holder(document->root()));
   }
 
-  uint64_t present_token() const {
-    const auto record = present_holder();
+  uint64_t current_token() const {
+    const auto record = current_holder();
     return record ? record->fencing_token : 0;
   }
 
-  void apply_change(const std::string& key) {
-    if (key == holder_key_) apply_holder();
-    const bool intent = key.starts_with(roles::kIntentPrefix) && state_.data.contains(key);
+  void on_key_changed(const std::string& key) {
+    if (key == holder_key_) on_holder_changed();
+    const bool intent = key.starts_with(roles::kIntentPrefix) && store_.data.contains(key);
     if (intent && stop_at_intent_) {
       Controller* holder = std::exchange(stop_at_intent_, nullptr);
       kill(holder->pid, SIGSTOP);
     }
   }
 
-  void apply_holder() {
-    const auto present = present_holder();
-    if (!present) return note("vacant", "", 0, "", false);
-    const roles::RoleHolderRecord& record = *present;
-    for (Controller& c : controllers_) {
-      if (c.name == record.node) c.scale_in_token = record.fencing_token;
+  void on_holder_changed() {
+    const auto current = current_holder();
+    if (!current) return write_event("vacant", "", 0, "", false);
+    const roles::RoleHolderRecord& record = *current;
+    for (Controller& controller : controllers_) {
+      if (controller.name == record.node) controller.scale_in_token = record.fencing_token;
     }
     if (record.fencing_token != holder_token_)
-      note("holder", record.node, record.fencing_token, "", false);
+      write_event("holder", record.node, record.fencing_token, "", false);
     holder_token_ = record.fencing_token;
   }
 
-  void apply_act(const ScriptedCloud::Operation& act) {
-    const bool launch = !act.request.empty();
-    const std::string& name = launch ? act.request : act.machines.front();
+  void on_cloud_operation(const ScriptedCloud::Operation& operation) {
+    const bool launch = !operation.request.empty();
+    const std::string& name = launch ? operation.request : operation.machines.front();
     const std::string key = launch ? roles::scale_out_key(name) : roles::scale_in_key(name);
-    const bool open = state_.data.contains(key);
-    const bool fenced = act.sender_token != present_token();
-    note(launch ? "rent" : "return", node_of(act.sender_token), act.sender_token, name,
-         act.changed);
-    ++acts_;
-    if (!act.changed) {
+    const bool open = store_.data.contains(key);
+    const bool fenced = operation.sender_token != current_token();
+    write_event(launch ? "rent" : "return", node_of(operation.sender_token), operation.sender_token,
+                name, operation.changed);
+    ++cloud_operations_;
+    if (!operation.changed) {
       if (fenced) ++fenced_without_effect_;
       return;
     }
-    ++changed_;
-    if (!open && options_.roles) violation("an act that is not decided: " + key);
-    if (fenced && open) ++fenced_repeats_;
+    ++effective_operations_;
+    if (!open && options_.roles)
+      report_violation("cloud operation without a recorded intent: " + key);
+    if (fenced && open) ++fenced_with_effect_;
     if (!launch) check_scale_in(name);
   }
 
   std::string node_of(uint64_t token) const {
-    for (const Controller& c : controllers_) {
-      if (c.scale_in_token == token) return c.name;
+    for (const Controller& controller : controllers_) {
+      if (controller.scale_in_token == token) return controller.name;
     }
     return "";
   }
@@ -358,109 +368,116 @@
     const ScriptedWorker& worker = *workers_.at(machine);
     for (const auto& [key, task] : worker.tasks) {
       if (task.state == TaskState::exited) continue;
-      violation("machine " + machine + " was returned with " + key.first.text());
+      report_violation("machine " + machine + " was deleted while it had the unfinished task " +
+                       key.first.text());
     }
   }
 
-  void apply_removed(const std::string& key) {
-    const auto lives = [&](std::string_view machine) {
+  void on_key_removed(const std::string& key) {
+    const auto exists = [&](std::string_view machine) {
       const auto found = cloud_.machines.find(std::string(machine));
       return found != cloud_.machines.end() && !found->second.removed;
     };
-    if (key.starts_with(wire::kFinalPrefix)) violation("a final answer was removed: " + key);
+    if (key.starts_with(wire::kFinalPrefix))
+      report_violation("final record of a job was deleted: " + key);
     if (const auto machine = roles::machine_of_scale_in_key(key);
-        !machine.empty() && lives(machine)) {
-      violation("an intent was removed before its machine was gone: " + key);
+        !machine.empty() && exists(machine)) {
+      report_violation("scale-in intent was deleted before its machine: " + key);
     }
   }
 
-  void apply_start(const TaskRef& task) {
-    if (!running_.insert(task).second) violation("runs twice: " + task.text());
+  void on_task_started(const TaskRef& task) {
+    if (!running_.insert(task).second)
+      report_violation("task was started while it was already running: " + task.text());
   }
 
-  // --- faults
+  // --- Fault injection
   Controller* holder() {
-    const uint64_t token = present_token();
-    for (Controller& c : controllers_) {
-      if (token != 0 && c.scale_in_token == token && c.pid != 0 && !c.stopped) return &c;
+    const uint64_t token = current_token();
+    for (Controller& controller : controllers_) {
+      if (token != 0 && controller.scale_in_token == token && controller.pid != 0 &&
+          !controller.stopped)
+        return &controller;
     }
     return nullptr;
   }
 
-  Task<bool> wait_for(std::function<bool()> condition, Nanos most) {
-    const Instant until = loop_.now() + most;
-    while (!condition() && loop_.now() < until) co_await loop_.sleep(Millis(5));
+  Task<bool> wait_for(std::function<bool()> condition, Nanos timeout) {
+    const Instant deadline = loop_.now() + timeout;
+    while (!condition() && loop_.now() < deadline) co_await loop_.sleep(Millis(5));
     co_return condition();
   }
 
-  // Ends a trouble after a while; the next one may begin before.
-  Task<void> recover(Controller& c, Fault fault) {
+  // Ends a fault after a random delay. The next fault may start before that.
+  Task<void> recover(Controller& controller, Fault fault) {
     co_await loop_.sleep(Millis(100 + random_() % 4000));
     if (fault == Fault::kill) {
-      start(c);
-    } else if (c.stopped) {
-      kill(c.pid, SIGCONT);
+      start_process(controller);
+    } else if (controller.stopped) {
+      kill(controller.pid, SIGCONT);
     }
-    c.stopped = c.cut_state = c.cut_cloud = false;
+    controller.stopped = controller.cut_store = controller.cut_cloud = false;
   }
 
-  Task<void> trouble(Controller& c, Fault fault) {
+  Task<void> inject_fault(Controller& controller, Fault fault) {
     switch (fault) {
       case Fault::kill:
-        end(c);
+        kill_process(controller);
         break;
       case Fault::stop:
-        c.stopped = true;
-        kill(c.pid, SIGSTOP);
+        controller.stopped = true;
+        kill(controller.pid, SIGSTOP);
         break;
-      case Fault::stop_at_act: {
-        stop_at_intent_ = &c;
-        const bool met = co_await wait_for([&] { return stop_at_intent_ == nullptr; }, seconds(4));
-        if (!met) kill(c.pid, SIGSTOP);
+      case Fault::stop_at_intent: {
+        stop_at_intent_ = &controller;
+        const bool stopped =
+            co_await wait_for([&] { return stop_at_intent_ == nullptr; }, seconds(4));
+        if (!stopped) kill(controller.pid, SIGSTOP);
         stop_at_intent_ = nullptr;
-        c.stopped = true;
+        controller.stopped = true;
         break;
       }
-      case Fault::cut_state:
-        c.cut_state = true;
+      case Fault::cut_store:
+        controller.cut_store = true;
         break;
       case Fault::cut_cloud:
-        c.cut_cloud = true;
+        controller.cut_cloud = true;
         break;
       case Fault::cut_both:
-        c.cut_state = c.cut_cloud = true;
+        controller.cut_store = controller.cut_cloud = true;
         break;
     }
   }
 
   Task<void> force_handover() {
-    (void)co_await wait_for([this] { return holder() != nullptr; }, kGiveUp);
-    Controller* c = holder();
-    if (!c) co_return;
+    (void)co_await wait_for([this] { return holder() != nullptr; }, kHandoverTimeout);
+    Controller* controller = holder();
+    if (!controller) co_return;
     const auto fault = static_cast<Fault>(random_() % kFaultNames.size());
     const uint64_t before = holder_token_;
-    co_await trouble(*c, fault);
-    note(kFaultNames[static_cast<size_t>(fault)], c->name, before, "", false);
+    co_await inject_fault(*controller, fault);
+    write_event(kFaultNames[static_cast<size_t>(fault)], controller->name, before, "", false);
     const Instant at = loop_.now();
     if (fault == Fault::cut_cloud) {
-      // It brings no handover by itself; the holder ends amid its acts.
+      // This fault alone causes no handover, so the holder is killed during its cloud operations.
       co_await loop_.sleep(Millis(200 + random_() % 1500));
-      end(*c);
-      loop_.spawn(recover(*c, Fault::kill));
+      kill_process(*controller);
+      loop_.spawn(recover(*controller, Fault::kill));
     } else {
-      loop_.spawn(recover(*c, fault));
+      loop_.spawn(recover(*controller, fault));
     }
-    const bool changed = co_await wait_for([&] { return holder_token_ != before; }, kGiveUp);
+    const bool changed =
+        co_await wait_for([&] { return holder_token_ != before; }, kHandoverTimeout);
     if (!changed) co_return;
     handovers_.push_back({fault, to_seconds(loop_.now() - at)});
     if (handovers_.size() % 20 == 0) std::cout << handovers_.size() << " handovers\n" << std::flush;
     co_await loop_.sleep(Millis(random_() % 800));
   }
 
-  void trouble_the_cloud() {
+  void inject_cloud_faults() {
     cloud_.call_fault = [this](const http::Call& call) {
       if (call.method != "POST") return CallFault::none;
-      cloud_.fault_delay = Millis(500 + random_() % (kLatestRequest.count() - 500));
+      cloud_.fault_delay = Millis(500 + random_() % (kMaxRequestDelay.count() - 500));
       switch (random_() % 6) {
         case 0:
           return CallFault::apply_late;
@@ -474,12 +491,12 @@
 
   Task<void> drive() {
     loop_.spawn(submit_jobs());
-    if (!options_.calm_cloud) trouble_the_cloud();
+    if (!options_.calm_cloud) inject_cloud_faults();
     while (handovers_.size() < options_.handovers) co_await force_handover();
     finishing_ = true;
     cloud_.call_fault = nullptr;
-    if (!options_.calm_cloud) co_await loop_.sleep(kLatestRequest);
-    settled_ = co_await wait_for([this] { return all_settled(); }, kSettleTime);
+    if (!options_.calm_cloud) co_await loop_.sleep(kMaxRequestDelay);
+    settled_ = co_await wait_for([this] { return all_settled(); }, kSettleTimeout);
     loop_.stop();
   }
 
@@ -487,41 +504,43 @@
     const bool held = std::any_of(cloud_.machines.begin(), cloud_.machines.end(),
                                   [](const auto& entry) { return !entry.second.removed; });
     const bool open = std::any_of(accepted_.begin(), accepted_.end(), [this](const auto& id) {
-      return !state_.data.contains(wire::final_key(id));
+      return !store_.data.contains(wire::final_key(id));
     });
     return !held && !open;
   }
 
-  // --- the result
-  static void print_gaps(std::string_view what, std::vector<double> gaps) {
-    if (gaps.empty()) return;
-    std::sort(gaps.begin(), gaps.end());
-    std::cout << "  " << what << ": " << gaps.size() << ", without a holder median "
-              << gaps[gaps.size() / 2] << " s, worst " << gaps.back() << " s\n";
+  // --- Result
+  static void print_vacancies(std::string_view label, std::vector<double> vacancies) {
+    if (vacancies.empty()) return;
+    std::sort(vacancies.begin(), vacancies.end());
+    std::cout << "  " << label << ": " << vacancies.size() << ", without a holder median "
+              << vacancies[vacancies.size() / 2] << " s, worst " << vacancies.back() << " s\n";
   }
 
   int report() {
     std::vector<double> all;
     std::cout << "handovers " << handovers_.size() << " in "
-              << to_seconds(loop_.now() - began_).count() << " s\n";
+              << to_seconds(loop_.now() - start_time_).count() << " s\n";
     for (size_t fault = 0; fault < kFaultNames.size(); ++fault) {
-      std::vector<double> gaps;
-      for (const Handover& h : handovers_) {
-        if (static_cast<size_t>(h.fault) == fault) gaps.push_back(h.gap.count());
+      std::vector<double> vacancies;
+      for (const Handover& handover : handovers_) {
+        if (static_cast<size_t>(handover.fault) == fault)
+          vacancies.push_back(handover.vacancy.count());
       }
-      all.insert(all.end(), gaps.begin(), gaps.end());
-      print_gaps(kFaultNames[fault], gaps);
+      all.insert(all.end(), vacancies.begin(), vacancies.end());
+      print_vacancies(kFaultNames[fault], vacancies);
     }
-    print_gaps("all", all);
+    print_vacancies("all", all);
     const auto held = std::count_if(cloud_.machines.begin(), cloud_.machines.end(),
                                     [](const auto& entry) { return !entry.second.removed; });
-    std::cout << "acts at the cloud " << acts_ << ", of them with effect " << changed_
-              << "\nby fenced holders: of what is decided still, with effect " << fenced_repeats_
-              << "; without effect " << fenced_without_effect_ << "\nmachines launched "
-              << cloud_.machines.size() << ", held at the end " << held << "\njobs accepted "
-              << accepted_.size() << ", all settled: " << (settled_ ? "yes" : "no")
-              << "\nstate service requests " << state_.requests << "\nviolations "
-              << violations_.size() << "\n";
+    std::cout << "acts at the cloud " << cloud_operations_ << ", of them with effect "
+              << effective_operations_
+              << "\nby fenced holders: of what is decided still, with effect "
+              << fenced_with_effect_ << "; without effect " << fenced_without_effect_
+              << "\nmachines launched " << cloud_.machines.size() << ", held at the end " << held
+              << "\njobs accepted " << accepted_.size()
+              << ", all settled: " << (settled_ ? "yes" : "no") << "\nstate service requests "
+              << store_.requests << "\nviolations " << violations_.size() << "\n";
     for (size_t i = 0; i < violations_.size() && i < 20; ++i) {
       std::cout << "  " << violations_[i] << "\n";
     }
@@ -532,9 +551,9 @@
   SystemClock clock_;
   EventLoop loop_;
   std::mt19937_64 random_;
-  Instant began_{};
+  Instant start_time_{};
   std::ofstream history_;
-  ScriptedStore state_{loop_};
+  ScriptedStore store_{loop_};
   ScriptedCloud cloud_{loop_};
   http::Client client_{loop_, 4, seconds(10)};
   std::vector<std::unique_ptr<http::Server>> servers_;
@@ -549,7 +568,8 @@
   Controller* stop_at_intent_ = nullptr;
   std::string holder_key_;
   uint64_t holder_token_ = 0;
-  uint64_t acts_ = 0, changed_ = 0, fenced_repeats_ = 0, fenced_without_effect_ = 0;
+  uint64_t cloud_operations_ = 0, effective_operations_ = 0, fenced_with_effect_ = 0,
+           fenced_without_effect_ = 0;
   bool finishing_ = false;
   bool settled_ = false;
 };
