--- a/tools/handover_run.cpp
+++ b/tools/handover_run.cpp
@@ -457,7 +457,7 @@
     const uint64_t before = holder_token_;
     co_await inject_fault(*controller, fault);
     write_event(kFaultNames[static_cast<size_t>(fault)], controller->name, before, "", false);
-    const Instant at = loop_.now();
+    const Instant fault_time = loop_.now();
     if (fault == Fault::cut_cloud) {
       // This fault alone causes no handover, so the holder is killed during its cloud operations.
       co_await loop_.sleep(Millis(200 + random_() % 1500));
@@ -469,7 +469,7 @@
     const bool changed =
         co_await wait_for([&] { return holder_token_ != before; }, kHandoverTimeout);
     if (!changed) co_return;
-    handovers_.push_back({fault, to_seconds(loop_.now() - at)});
+    handovers_.push_back({fault, to_seconds(loop_.now() - fault_time)});
     if (handovers_.size() % 20 == 0) std::cout << handovers_.size() << " handovers\n" << std::flush;
     co_await loop_.sleep(Millis(random_() % 800));
   }
