--- a/src/dunlinknot/cloud/client.cpp
+++ b/src/dunlinknot/cloud/client.cpp
@@ -38,7 +38,8 @@
       rate_limit_(requests_per_second * kRateShare, std::max(1.0, requests_per_second)) {}
 
 Task<http::Reply> Client::call(std::string method, std::string target, std::string body) {
-  while (!rate_limit_.take(loop_.now())) co_await loop_.sleep(rate_limit_.until(loop_.now()));
+  while (!rate_limit_.take(loop_.now()))
+    co_await loop_.sleep(rate_limit_.time_until_available(loop_.now()));
   http::Call call;
   call.to = endpoint_;
   call.method = std::move(method);
@@ -47,7 +48,7 @@
   call.deadline = loop_.now() + kCallTimeout;
   call.max_body = kMaxBodyBytes;
   http::Reply reply = co_await transport_.exchange(std::move(call));
-  if (reply.outcome == Outcome::ok && is_refusal(reply)) reply.outcome = Outcome::refused;
+  if (reply.outcome == Outcome::ok && is_refusal(reply)) reply.outcome = Outcome::not_executed;
   answering_ = reply.outcome == Outcome::ok || is_refusal(reply);
   co_return reply;
 }
@@ -75,7 +76,7 @@
   }
   if (reply.outcome != Outcome::ok) {
     // Only an answer from the cloud itself proves that the request was not carried out.
-    const bool refused = reply.outcome == Outcome::refused && answering_;
+    const bool refused = reply.outcome == Outcome::not_executed && answering_;
     result.outcome = refused ? LaunchOutcome::refused : LaunchOutcome::unknown;
     co_return result;
   }
--- a/src/dunlinknot/cluster/allocation_store/progress_writer.cpp
+++ b/src/dunlinknot/cluster/allocation_store/progress_writer.cpp
@@ -175,7 +175,7 @@
     apply_stored(batch, result.revision);
     co_return true;
   }
-  if (result.outcome == Outcome::refused) {
+  if (result.outcome == Outcome::not_executed) {
     co_await context.loop.sleep(StoreAccess::kRetryDelay);
     co_return true;
   }
--- a/src/dunlinknot/http/client.cpp
+++ b/src/dunlinknot/http/client.cpp
@@ -63,13 +63,13 @@
       socket = co_await Socket::connect(loop_, call.to, call.deadline);
       if (!socket.open()) {
         Reply reply;
-        reply.outcome = Outcome::refused;  // an abandoned connect does not complete later
+        reply.outcome = Outcome::not_executed;  // an abandoned connect does not complete later
         co_return reply;
       }
     }
     Attempt result = co_await attempt(socket, call);
     if (result.reply.outcome == Outcome::ok) {
-      if (result.reusable && call.keep && pool.size() < max_idle_per_peer_) {
+      if (result.reusable && call.keep_alive && pool.size() < max_idle_per_peer_) {
         pool.push_back(IdleConnection{std::move(socket), loop_.now()});
       }
       co_return std::move(result.reply);
--- a/src/dunlinknot/http/client.hpp
+++ b/src/dunlinknot/http/client.hpp
@@ -9,9 +9,9 @@
 
 namespace dunlinknot::http {
 
-// Outcome of a request. `ok`: a response was received. `refused`: the request was certainly not
-// executed. `unknown`: the request may have been executed, or may still be executed later.
-enum class Outcome { ok, refused, unknown };
+// Outcome of a request. `ok`: a response was received. `not_executed`: the request was certainly
+// not executed. `unknown`: the request may have been executed, or may still be executed later.
+enum class Outcome { ok, not_executed, unknown };
 
 // Result of a call. `status` and `body` are only set with Outcome::ok.
 struct Reply {
@@ -29,7 +29,7 @@
   std::string body;
   Instant deadline;
   size_t max_body = size_t{64} * 1024;  // maximum size of the response body, in bytes
-  bool keep = true;                     // reuse the connection for later calls
+  bool keep_alive = true;               // reuse the connection for later calls
 };
 
 // Sends requests. Tests replace it with scripted peers in place of the network.
--- a/src/dunlinknot/http/server.hpp
+++ b/src/dunlinknot/http/server.hpp
@@ -29,7 +29,7 @@
   Task<void> serve();
   // Number of open connections, and of connections rejected since the start.
   size_t connections() const { return connections_; }
-  uint64_t turned_away() const { return rejected_connections_; }
+  uint64_t rejected_connections() const { return rejected_connections_; }
   // The port that the listening socket is bound to.
   uint16_t port() const { return listener_.port(); }
 
--- a/src/dunlinknot/jobs/job_lookup.cpp
+++ b/src/dunlinknot/jobs/job_lookup.cpp
@@ -49,7 +49,7 @@
   while (loop_.now() < deadline) {
     const Nanos timeout = call_timeout(deadline - loop_.now());
     const kv::GetResult job_item = co_await store_.get(wire::job_key(id), timeout);
-    if (job_item.outcome == Outcome::refused) co_return result;
+    if (job_item.outcome == Outcome::not_executed) co_return result;
     if (job_item.outcome != Outcome::ok) continue;
     if (job_item.found) {
       result.kind = LookupResult::Kind::open;
@@ -60,7 +60,7 @@
     // The job is not open: it has ended or was never submitted. A job moves from one key to the
     // other in one transaction, so reading them in this order cannot miss it.
     const kv::GetResult final = co_await store_.get(wire::final_key(id), timeout);
-    if (final.outcome == Outcome::refused) co_return result;
+    if (final.outcome == Outcome::not_executed) co_return result;
     if (final.outcome != Outcome::ok) continue;
     if (!final.found) {
       result.kind = LookupResult::Kind::not_found;
--- a/src/dunlinknot/jobs/request_handler.cpp
+++ b/src/dunlinknot/jobs/request_handler.cpp
@@ -117,7 +117,7 @@
     const Nanos timeout = call_timeout(deadline - loop_.now());
     const kv::TransactionResult result =
         co_await store_.commit(std::move(transaction), timeout, kv::Importance::user);
-    if (result.outcome == Outcome::refused) co_return unavailable();
+    if (result.outcome == Outcome::not_executed) co_return unavailable();
     if (result.outcome != Outcome::ok)
       continue;  // safe to retry: if it was applied, the compares fail
     if (result.applied) {
@@ -156,7 +156,7 @@
     const Nanos timeout = call_timeout(deadline - loop_.now());
     const kv::TransactionResult result =
         co_await store_.commit(std::move(transaction), timeout, kv::Importance::user);
-    if (result.outcome == Outcome::refused) break;
+    if (result.outcome == Outcome::not_executed) break;
     if (result.outcome == Outcome::ok && result.applied)
       lookup_.record_final(id, {true, found.tasks}, result.revision);
     // Whether the transaction was applied, failed its compares or got no answer: the next lookup
--- a/src/dunlinknot/kv/client.cpp
+++ b/src/dunlinknot/kv/client.cpp
@@ -111,9 +111,9 @@
     if (requests_.level(now) < 1) return false;
     if (writes > 0 && available < std::min(writes, kMaxReservedWrites)) return false;
   }
-  requests_.force(now);
-  if (writes > 0) writes_.force(now, writes);
-  if (is_user_request) user_writes_.force(now, writes);
+  requests_.take_unconditionally(now);
+  if (writes > 0) writes_.take_unconditionally(now, writes);
+  if (is_user_request) user_writes_.take_unconditionally(now, writes);
   return true;
 }
 
@@ -122,7 +122,7 @@
   if (!reserve_budget(sent, request.writes, request.importance)) {
     ++throttled_;
     http::Reply refused;
-    refused.outcome = Outcome::refused;
+    refused.outcome = Outcome::not_executed;
     refused.status = kTooManyRequests;
     co_return refused;
   }
@@ -136,7 +136,7 @@
   http::Reply reply = co_await transport_.exchange(std::move(call));
   if (reply.outcome != Outcome::ok) co_return reply;
   if (reply.status == kTooManyRequests || reply.status == kUnavailable) {
-    reply.outcome = Outcome::refused;
+    reply.outcome = Outcome::not_executed;
     if (reply.status == kTooManyRequests) on_throttled(request.writes > 0);
   } else {
     has_responded_ = true;
@@ -211,7 +211,7 @@
     result.revision = revision.value_or(0);
     result.failed = std::move(*failed);
   } else if (reply.status == kBadRequest) {
-    result.outcome = Outcome::refused;
+    result.outcome = Outcome::not_executed;
     const std::string error = store::read_error(root);
     result.lease_expired = store::is_expired_lease(error);
     if (!result.lease_expired) {
--- a/src/dunlinknot/kv/client.hpp
+++ b/src/dunlinknot/kv/client.hpp
@@ -45,7 +45,9 @@
   // available to users, however many writes the leader itself makes.
   bool has_user_budget(double writes);
   // How long until the budget allows this many writes.
-  Nanos time_until_writes(double writes) { return writes_.until(loop_.now(), writes); }
+  Nanos time_until_writes(double writes) {
+    return writes_.time_until_available(loop_.now(), writes);
+  }
   // How many writes the budget allows at once when it is full, and now.
   double write_burst() const { return writes_.burst(); }
   double available_writes() { return writes_.level(loop_.now()); }
--- a/src/dunlinknot/node/counters.cpp
+++ b/src/dunlinknot/node/counters.cpp
@@ -40,7 +40,7 @@
   counters.accepted_jobs = jobs_.accepted_count();
   counters.unavailable = jobs_.unavailable_count();
   counters.throttled_store_calls = store_.throttled();
-  counters.rejected_connections = server_ ? server_->turned_away() : 0;
+  counters.rejected_connections = server_ ? server_->rejected_connections() : 0;
   counters.preemptions = leader_loop_.preemptions();
   return counters;
 }
--- a/src/dunlinknot/roles/intent_log.cpp
+++ b/src/dunlinknot/roles/intent_log.cpp
@@ -114,7 +114,7 @@
   const bool exists = std::any_of(entries.begin(), entries.end(), [&](const Entry& entry) {
     return result.compare_failed(entry.key);
   });
-  if (result.outcome == Outcome::refused || (result.outcome == Outcome::ok && !exists)) {
+  if (result.outcome == Outcome::not_executed || (result.outcome == Outcome::ok && !exists)) {
     co_return WriteResult::not_applied;
   }
   co_return WriteResult::unknown;
@@ -174,7 +174,7 @@
   if (!context_.in_term(term)) co_return false;
   holder_.apply_result(role, result, sent);
   if (!result.applied) {
-    if (result.outcome != Outcome::refused) co_await reread_settled(term, batch);
+    if (result.outcome != Outcome::not_executed) co_await reread_settled(term, batch);
     co_return false;
   }
   std::erase_if(settled_, [&](const SettledIntent& settled) {
--- a/src/dunlinknot/runtime/event_loop.cpp
+++ b/src/dunlinknot/runtime/event_loop.cpp
@@ -51,7 +51,7 @@
   }
 }
 
-void EventLoop::abandon() {
+void EventLoop::destroy_coroutines() {
   destroying_ = true;
   ready_.clear();
   timers_.clear();
@@ -61,7 +61,7 @@
 }
 
 EventLoop::~EventLoop() {
-  abandon();
+  destroy_coroutines();
   if (epoll_fd_ >= 0) ::close(epoll_fd_);
 }
 
@@ -115,8 +115,8 @@
 
 void EventLoop::unwatch_fd(int fd) {
   if (destroying_) return;  // closing the socket also removes it from epoll
-  // A socket that outlives abandon() no longer has an entry in fds_ (found by the handover run
-  // under the address sanitizer).
+  // A socket that outlives destroy_coroutines() no longer has an entry in fds_ (found by the
+  // handover run under the address sanitizer).
   if (static_cast<size_t>(fd) >= fds_.size()) return;
   FdSlots& slots = fds_[static_cast<size_t>(fd)];
   if (slots.reader) wake(*slots.reader, true);
@@ -136,7 +136,7 @@
   return timers_.empty() ? Instant::max() : timers_.begin()->first;
 }
 
-void EventLoop::fire_due() {
+void EventLoop::fire_expired_timers() {
   const Instant time = now();
   while (!timers_.empty() && timers_.begin()->first <= time) wake(*timers_.begin()->second, true);
 }
@@ -166,7 +166,7 @@
     run_ready();
     if (stopping_) break;
     poll_io();
-    fire_due();
+    fire_expired_timers();
   }
 }
 
--- a/src/dunlinknot/runtime/event_loop.hpp
+++ b/src/dunlinknot/runtime/event_loop.hpp
@@ -46,7 +46,7 @@
   void post(std::coroutine_handle<> coroutine) { ready_.push_back(coroutine); }
   // Destroys all suspended coroutines. Must be called while the objects that they refer to still
   // exist.
-  void abandon();
+  void destroy_coroutines();
 
   // Addresses of the frames of spawned coroutines. The frames add and remove themselves.
   std::set<void*>& spawned() { return spawned_; }
@@ -87,7 +87,7 @@
   // fires all expired timers.
   void run_ready();
   Instant next_timer() const;
-  void fire_due();
+  void fire_expired_timers();
 
   // For awaitable types. arm() starts the timer of the waiter's deadline, disarm() cancels it, and
   // wake() schedules the waiter to be resumed in a later iteration.
--- a/src/dunlinknot/runtime/token_bucket.hpp
+++ b/src/dunlinknot/runtime/token_bucket.hpp
@@ -23,12 +23,12 @@
   }
   // Takes the tokens even if the level becomes negative, for requests that must not be delayed
   // (lease renewals).
-  void force(Instant now, double tokens = 1) {
+  void take_unconditionally(Instant now, double tokens = 1) {
     refill(now);
     level_ -= tokens;
   }
   // Returns the time until take() will succeed, provided that no other caller takes tokens.
-  Nanos until(Instant now, double tokens = 1) {
+  Nanos time_until_available(Instant now, double tokens = 1) {
     refill(now);
     if (level_ >= tokens) return Nanos(0);
     // At least 1 ms, the resolution of timers: the missing tokens may refill in less than a
@@ -44,7 +44,7 @@
     level_ = std::min(level_, 0.0);
   }
   double burst() const { return burst_; }
-  // Available tokens; negative after force() took more than were available.
+  // Available tokens; negative after take_unconditionally() took more than were available.
   double level(Instant now) {
     refill(now);
     return level_;
--- a/src/dunlinknot/workers/stop_caller.cpp
+++ b/src/dunlinknot/workers/stop_caller.cpp
@@ -57,7 +57,7 @@
   request.target = wire::kWorkerCommandsPath;
   request.body = wire::write_commands(context_.epoch, stop.incarnation, stop.commands);
   request.deadline = context_.loop.now() + kCallTimeout;
-  request.keep = false;
+  request.keep_alive = false;
   return request;
 }
 
--- a/tests/fake_clock.hpp
+++ b/tests/fake_clock.hpp
@@ -47,7 +47,7 @@
       const Instant next = loop.next_timer();
       if (next > end) break;
       clock.set(std::max(next, clock.now()));
-      loop.fire_due();
+      loop.fire_expired_timers();
     }
     clock.set(end);
     loop.run_ready();
--- a/tests/runtime_test.cpp
+++ b/tests/runtime_test.cpp
@@ -16,7 +16,7 @@
   for (int i = 0; i < 1000; ++i) {
     int waits = 0;
     while (!bucket.take(now)) {
-      const Nanos wait = bucket.until(now);
+      const Nanos wait = bucket.time_until_available(now);
       ASSERT_GE(wait, Millis(1));
       now += wait;
       ASSERT_LT(++waits, 3);
@@ -29,15 +29,15 @@
   (void)co_await listener.accept();
 }
 
-// Closing the socket must not wake a coroutine that abandon() has destroyed. Found by the handover
-// run under the address sanitizer.
+// Closing the socket must not wake a coroutine that destroy_coroutines() has destroyed. Found by
+// the handover run under the address sanitizer.
 TEST(EventLoop, SocketMayOutliveDestroyedCoroutines) {
   SystemClock clock;
   EventLoop loop(clock);
   auto listener = std::make_unique<http::Listener>(loop, http::Endpoint{htonl(INADDR_LOOPBACK), 0});
   loop.spawn(accept_one(*listener));
   loop.run_ready();
-  loop.abandon();
+  loop.destroy_coroutines();
   EXPECT_TRUE(loop.spawned().empty());
   listener.reset();
   loop.run_ready();
--- a/tests/site.cpp
+++ b/tests/site.cpp
@@ -59,7 +59,7 @@
       co_return co_await worker->serve_command(std::move(call));
   }
   Reply refused;
-  refused.outcome = Outcome::refused;
+  refused.outcome = Outcome::not_executed;
   co_return refused;
 }
 
--- a/tests/site.hpp
+++ b/tests/site.hpp
@@ -21,7 +21,7 @@
 class Site : public Simulation {
  public:
   explicit Site(size_t controllers = 1);
-  ~Site() { loop.abandon(); }
+  ~Site() { loop.destroy_coroutines(); }
 
   // One process of one controller. A crashed process stays in memory, but sends and receives
   // nothing.
--- a/tools/handover_run.cpp
+++ b/tools/handover_run.cpp
@@ -106,7 +106,7 @@
     loop_.spawn(drive());
     loop_.run();
     for (Controller& controller : controllers_) kill_process(controller);
-    loop_.abandon();
+    loop_.destroy_coroutines();
     return report();
   }
 
