--- a/src/dunlinknot/autoscaler/termination_policy.cpp
+++ b/src/dunlinknot/autoscaler/termination_policy.cpp
@@ -46,11 +46,11 @@
 
 TerminationPolicy::TerminationPolicy(const settings::Platform& platform,
                                      const settings::Operator& operator_settings)
-    : lost_timeout_(to_nanos(platform.lease + operator_settings.lost_return)),
+    : lost_timeout_(to_nanos(platform.worker_lease + operator_settings.lost_return)),
       heartbeat_timeout_(
           to_nanos(platform.heartbeat_interval * kMaxHeartbeatFactor + kHeartbeatMargin)),
       idle_timeout_(to_nanos(operator_settings.idle_return)),
-      boot_time_factor_(operator_settings.boot_patience) {}
+      boot_time_factor_(operator_settings.boot_timeout_factor) {}
 
 std::optional<TerminationReason> TerminationPolicy::reason(const Machine& machine,
                                                            const MachineType* type,
--- a/src/dunlinknot/cluster/decisions.cpp
+++ b/src/dunlinknot/cluster/decisions.cpp
@@ -86,9 +86,9 @@
     return allocations_.end(machine, index, now);
   }
   const Job* open_job = job(task.job);
-  const bool saves = open_job && open_job->spec().checkpoint > Seconds(0);
+  const bool saves = open_job && open_job->spec().checkpoint_interval > Seconds(0);
   stop(machine, *allocation, StopReason::preempted,
-       saves ? open_job->spec().save + kStopGraceMargin : Seconds(0), now);
+       saves ? open_job->spec().checkpoint_duration + kStopGraceMargin : Seconds(0), now);
   effects.stops = true;
   return effects;
 }
--- a/src/dunlinknot/cluster/demand_forecasts.cpp
+++ b/src/dunlinknot/cluster/demand_forecasts.cpp
@@ -24,7 +24,7 @@
   std::optional<Seconds> target_wait;
   for (const settings::Objective& objective : platform.objectives) {
     if (objective.kind != "wait" || objective.job_class != job_class) continue;
-    target_wait = target_wait ? std::min(*target_wait, objective.within) : objective.within;
+    target_wait = target_wait ? std::min(*target_wait, objective.time_limit) : objective.time_limit;
   }
   return target_wait;
 }
--- a/src/dunlinknot/cluster/failure_detector.cpp
+++ b/src/dunlinknot/cluster/failure_detector.cpp
@@ -84,8 +84,8 @@
   if (!job.failing)
     spdlog::info("job {} fails on every machine: delaying its next start", job.spec().id);
   job.failing = true;
-  job.backoff = job.backoff == Nanos(0) ? to_nanos(op_.backoff_first)
-                                        : std::min(job.backoff * 2, to_nanos(op_.backoff_most));
+  job.backoff = job.backoff == Nanos(0) ? to_nanos(op_.initial_backoff)
+                                        : std::min(job.backoff * 2, to_nanos(op_.max_backoff));
   job.not_before = now + job.backoff;
 }
 
--- a/src/dunlinknot/cluster/heartbeat_reconciler.cpp
+++ b/src/dunlinknot/cluster/heartbeat_reconciler.cpp
@@ -241,7 +241,7 @@
   if (!allocation) return effects;
   if (error) failure_detector_.on_task_error(machine, job, allocations_.jobs(), now);
   const bool early = !ran_for(*allocation, kStableRunTime, now);
-  if (task.cause == ExitCause::no_room || task.cause == ExitCause::busy ||
+  if (task.cause == ExitCause::no_room || task.cause == ExitCause::already_present ||
       task.cause == ExitCause::unknown)
     note_refusal(machine, task, job, now);
   // If a gang was stopped with a grace period, its other tasks are saving their checkpoints too.
--- a/src/dunlinknot/cluster/interruptions.cpp
+++ b/src/dunlinknot/cluster/interruptions.cpp
@@ -57,14 +57,15 @@
   for (size_t i = machine.allocations.size(); i-- > 0;) {
     Allocation& allocation = machine.allocations[i];
     const Job* open_job = allocations_.job(allocation.task.job);
-    if (!open_job || allocation.stopping() || open_job->spec().checkpoint <= Seconds(0)) continue;
-    const Seconds save = open_job->spec().save;
+    if (!open_job || allocation.stopping() || open_job->spec().checkpoint_interval <= Seconds(0))
+      continue;
+    const Seconds save = open_job->spec().checkpoint_duration;
     if (left > save + kSaveMargin) continue;
     if (allocation.gang) {
       // A gang saves a checkpoint as a whole or not at all: all its tasks are stopped at the same
-      // time, well within `gang_peer` of one another.
-      allocations_.stop_gang(allocation.task.job, allocation.attempt, save + platform_.gang_peer,
-                             now);
+      // time, well within `gang_failure_detection_time` of one another.
+      allocations_.stop_gang(allocation.task.job, allocation.attempt,
+                             save + platform_.gang_failure_detection_time, now);
     } else {
       allocations_.stop(machine, allocation, StopReason::interruption, save + kStopGraceMargin,
                         now);
--- a/src/dunlinknot/cluster/replica_backoff.cpp
+++ b/src/dunlinknot/cluster/replica_backoff.cpp
@@ -11,7 +11,7 @@
 
 // The number of early exits in a row after which a replica restarts without a delay.
 constexpr uint32_t kImmediateRestarts = 1;
-constexpr uint32_t kMaxDoublings = 16;  // keeps the shift in range; `backoff_most` limits the delay
+constexpr uint32_t kMaxDoublings = 16;  // keeps the shift in range; `max_backoff` limits the delay
 
 }  // namespace
 
@@ -20,7 +20,7 @@
   if (ends <= kImmediateRestarts) return;
   const uint32_t doublings = std::min(ends - kImmediateRestarts - 1, kMaxDoublings);
   const Nanos pause =
-      std::min(to_nanos(op_.backoff_first) * (1 << doublings), to_nanos(op_.backoff_most));
+      std::min(to_nanos(op_.initial_backoff) * (1 << doublings), to_nanos(op_.max_backoff));
   job.back_off(index, now + pause);
   jobs_.insert(job.spec().id);
   spdlog::info(
--- a/src/dunlinknot/cluster/team_usage.cpp
+++ b/src/dunlinknot/cluster/team_usage.cpp
@@ -22,7 +22,7 @@
   Resources used = usage_[index].used + need;
   if (index < reserved_.size()) used += reserved_[index];
   const auto over = [](double max, double in_use, double needed) {
-    return max > 0 && needed > 0 && in_use > max + Resources::kSlack;
+    return max > 0 && needed > 0 && in_use > max + Resources::kTolerance;
   };
   const settings::Team& limit = teams_[index];
   return !over(limit.cpus_max, used.cpus, need.cpus) && !over(limit.gpus_max, used.gpus, need.gpus);
--- a/src/dunlinknot/jobs/admission.cpp
+++ b/src/dunlinknot/jobs/admission.cpp
@@ -18,7 +18,7 @@
 
 // A limit of 0 means unlimited.
 bool exceeds(double need, double limit) {
-  return limit > 0 && need > limit + Resources::kSlack;
+  return limit > 0 && need > limit + Resources::kTolerance;
 }
 
 bool exceeds_team_limit(const JobSpec& spec, const settings::Team& team) {
--- a/src/dunlinknot/leadership/lease_bounds.cpp
+++ b/src/dunlinknot/leadership/lease_bounds.cpp
@@ -16,7 +16,8 @@
 }  // namespace
 
 Nanos renewal_window(const settings::Platform& platform) {
-  const Seconds remaining = platform.cancel - platform.lease * kMaxClockDrift - kMargin * 2;
+  const Seconds remaining =
+      platform.cancel_timeout - platform.worker_lease * kMaxClockDrift - kMargin * 2;
   return to_nanos(std::max(Seconds(0), remaining / kMaxClockDrift));
 }
 
@@ -25,7 +26,7 @@
 }
 
 Nanos worker_lease_bound(const settings::Platform& platform) {
-  return to_nanos(platform.lease * kMaxClockDrift + kMargin / 2);
+  return to_nanos(platform.worker_lease * kMaxClockDrift + kMargin / 2);
 }
 
 }  // namespace dunlinknot::leadership
--- a/src/dunlinknot/leadership/peers.cpp
+++ b/src/dunlinknot/leadership/peers.cpp
@@ -102,7 +102,7 @@
 }
 
 void Peers::start() {
-  listener_.emplace(loop_, platform_.back);
+  listener_.emplace(loop_, platform_.peer_listen);
   loop_.spawn(listen());
   for (auto& [name, link] : links_) loop_.spawn(dial(link));
 }
@@ -117,7 +117,7 @@
   for (const auto& [name, link] : links_) {
     if (!link.last_answer || link.last_answer->status_sent_at < since) return std::nullopt;
     const Answer& answer = *link.last_answer;
-    const Nanos min_uptime = to_nanos(Seconds(answer.status.up) * kMinClockRate);
+    const Nanos min_uptime = to_nanos(Seconds(answer.status.uptime) * kMinClockRate);
     if (answer.received_at - min_uptime > since || answer.status.cancel_revision > revision)
       return std::nullopt;
     confirmed_until = std::min(confirmed_until, answer.status_sent_at);
@@ -157,13 +157,13 @@
 
 bool Peers::any_peer_reaches_store() const {
   return any_recent_status([](const Status& status) {
-    return status.store_known && status.store_silent < kMaxStoreResponseAge;
+    return status.store_has_responded && status.store_response_age < kMaxStoreResponseAge;
   });
 }
 
 bool Peers::any_peer_receives_heartbeats() const {
   return any_recent_status([](const Status& status) {
-    return status.heartbeats_known && status.heartbeats_silent < kMaxHeartbeatAge;
+    return status.heartbeat_received && status.heartbeat_age < kMaxHeartbeatAge;
   });
 }
 
--- a/src/dunlinknot/node/local_status.cpp
+++ b/src/dunlinknot/node/local_status.cpp
@@ -19,12 +19,13 @@
   status.node = context_.platform.node;
   status.epoch = elector_.known_epoch();
   status.leader = elector_.known_leader().value_or("");
-  status.up = to_millis(now - started_at_);
-  status.store_known = store_.has_responded();
-  if (status.store_known) status.store_silent = to_millis(now - store_.last_response_at());
+  status.uptime = to_millis(now - started_at_);
+  status.store_has_responded = store_.has_responded();
+  if (status.store_has_responded)
+    status.store_response_age = to_millis(now - store_.last_response_at());
   const std::optional<Instant> last_heartbeat = heartbeats_.last_heartbeat();
-  status.heartbeats_known = last_heartbeat.has_value();
-  if (last_heartbeat) status.heartbeats_silent = to_millis(now - *last_heartbeat);
+  status.heartbeat_received = last_heartbeat.has_value();
+  if (last_heartbeat) status.heartbeat_age = to_millis(now - *last_heartbeat);
   status.leading = elector_.leading();
   status.cancel_revision = jobs_.cancel_revision();
   return status;
--- a/src/dunlinknot/preemption/fit.cpp
+++ b/src/dunlinknot/preemption/fit.cpp
@@ -33,8 +33,8 @@
 // Whether the team's usage beyond its guarantee includes the allocation, in at least one resource
 // that the allocation uses: only that part may be taken back.
 bool covers(const Resources& over_guarantee, const Resources& need) {
-  return (need.cpus > 0 && over_guarantee.cpus + Resources::kSlack >= need.cpus) ||
-         (need.gpus > 0 && over_guarantee.gpus + Resources::kSlack >= need.gpus);
+  return (need.cpus > 0 && over_guarantee.cpus + Resources::kTolerance >= need.cpus) ||
+         (need.gpus > 0 && over_guarantee.gpus + Resources::kTolerance >= need.gpus);
 }
 
 // Subtracts the allocation from its team's usage beyond its guarantee; returns false when it must
@@ -91,9 +91,9 @@
 
 uint32_t tasks_that_fit_in(const Resources& room, const Resources& need, uint32_t max_tasks) {
   const auto limit = [&](double available, double per_task) {
-    if (available + Resources::kSlack < per_task) max_tasks = 0;
+    if (available + Resources::kTolerance < per_task) max_tasks = 0;
     if (max_tasks == 0 || per_task <= 0) return;
-    const double fitting_tasks = std::floor((available + Resources::kSlack) / per_task);
+    const double fitting_tasks = std::floor((available + Resources::kTolerance) / per_task);
     if (fitting_tasks < max_tasks) max_tasks = static_cast<uint32_t>(fitting_tasks);
   };
   limit(room.cpus, need.cpus);
@@ -168,7 +168,8 @@
   const double ran = std::max(0.0, to_seconds(now - allocation.running_since).count());
   const double weight =
       std::max({allocation.need.cpus, allocation.need.gpus * kCoresPerGpu, kMinCoreWeight});
-  if (job && job->spec().checkpoint > Seconds(0)) return job->spec().save.count() * weight;
+  if (job && job->spec().checkpoint_interval > Seconds(0))
+    return job->spec().checkpoint_duration.count() * weight;
   return ran * weight;
 }
 
--- a/src/dunlinknot/scheduler/gangs.cpp
+++ b/src/dunlinknot/scheduler/gangs.cpp
@@ -27,7 +27,7 @@
     const bool wait =
         objective.kind == "wait" && objective.job_class == entry.job->spec().job_class;
     if (wait || (objective.kind == "guarantee" && entry.guaranteed))
-      target_wait = std::min(target_wait, objective.within.count());
+      target_wait = std::min(target_wait, objective.time_limit.count());
   }
   return target_wait;
 }
--- a/src/dunlinknot/scheduler/job_queue.cpp
+++ b/src/dunlinknot/scheduler/job_queue.cpp
@@ -28,7 +28,7 @@
   if (!spec.deadline) {
     for (const auto& objective : inputs.platform.objectives) {
       if (objective.kind == "wait" && objective.job_class == spec.job_class)
-        return {objective.within.count() - waiting_seconds(inputs, job), false};
+        return {objective.time_limit.count() - waiting_seconds(inputs, job), false};
     }
     return {kDefaultDueTime.count() - waiting_seconds(inputs, job), false};
   }
@@ -38,7 +38,7 @@
   std::vector<double> deadline_factors{1.0};
   for (const auto& objective : inputs.platform.objectives) {
     if (objective.kind == "deadline" && objective.job_class == spec.job_class)
-      deadline_factors.push_back(objective.times);
+      deadline_factors.push_back(objective.deadline_factor);
   }
   std::sort(deadline_factors.begin(), deadline_factors.end());
   for (const double factor : deadline_factors) {
@@ -56,9 +56,9 @@
   double max_seconds = kMaxWaitForFirstTask.count();
   for (const auto& objective : inputs.platform.objectives) {
     if (objective.kind != "wait" || objective.job_class != spec.job_class ||
-        objective.within <= kTimeToNewCapacity)
+        objective.time_limit <= kTimeToNewCapacity)
       continue;
-    max_seconds = std::min(max_seconds, objective.within.count() / 2);
+    max_seconds = std::min(max_seconds, objective.time_limit.count() / 2);
   }
   return max_seconds;
 }
--- a/src/dunlinknot/scheduler/placement.cpp
+++ b/src/dunlinknot/scheduler/placement.cpp
@@ -27,8 +27,8 @@
   if (needed_per_gpu.cpus <= 0 || needed_per_gpu.memory_gb <= 0) return 0;
   const Resources rest = type.size - spec.need;
   const double usable =
-      std::min(std::floor(rest.cpus / needed_per_gpu.cpus + Resources::kSlack),
-               std::floor(rest.memory_gb / needed_per_gpu.memory_gb + Resources::kSlack));
+      std::min(std::floor(rest.cpus / needed_per_gpu.cpus + Resources::kTolerance),
+               std::floor(rest.memory_gb / needed_per_gpu.memory_gb + Resources::kTolerance));
   return type.size.gpus - std::clamp(usable, 0.0, type.size.gpus);
 }
 
@@ -131,7 +131,7 @@
     // limit, even where a negative amount of it is left.
     const auto limit = [&](double available, double need) {
       if (need <= 0) return;
-      const double fitting_tasks = std::floor((available + Resources::kSlack) / need);
+      const double fitting_tasks = std::floor((available + Resources::kTolerance) / need);
       max_tasks =
           fitting_tasks <= 0 ? 0 : std::min(max_tasks, static_cast<uint32_t>(fitting_tasks));
     };
--- a/src/dunlinknot/scheduler/team_quotas.cpp
+++ b/src/dunlinknot/scheduler/team_quotas.cpp
@@ -17,7 +17,7 @@
   double tasks = std::numeric_limits<uint32_t>::max();
   const auto limit = [&](double max, double in_use, double per_task) {
     if (max <= 0 || per_task <= 0) return;  // 0: no limit
-    tasks = std::min(tasks, std::floor((max - in_use + Resources::kSlack) / per_task));
+    tasks = std::min(tasks, std::floor((max - in_use + Resources::kTolerance) / per_task));
   };
   limit(team.cpus_max, used.cpus, need.cpus);
   limit(team.gpus_max, used.gpus, need.gpus);
@@ -33,7 +33,7 @@
   const auto within = [&](double guaranteed, double total, double needed) {
     if (needed <= 0 || guaranteed <= 0) return true;
     uses_guarantee = true;
-    return total <= guaranteed + Resources::kSlack;
+    return total <= guaranteed + Resources::kTolerance;
   };
   const bool cpus_within = within(guarantee.cpus, sum.cpus, job.cpus);
   const bool gpus_within = within(guarantee.gpus, sum.gpus, job.gpus);
--- a/src/dunlinknot/settings/operator_loader.cpp
+++ b/src/dunlinknot/settings/operator_loader.cpp
@@ -58,7 +58,7 @@
         {"final-cache", integer(0, 1'000'000, &Operator::final_cache)}}},
       {"fleet",
        {{"idle-return", seconds(0, 86'400, &Operator::idle_return)},
-        {"boot-patience", ratio(1, 100, &Operator::boot_patience)},
+        {"boot-patience", ratio(1, 100, &Operator::boot_timeout_factor)},
         {"lost-return", seconds(0, 86'400, &Operator::lost_return)},
         {"refusal-pause", seconds(1, 3600, &Operator::refusal_pause)},
         {"max-machines", integer(1, 100'000, &Operator::max_machines)},
@@ -69,8 +69,8 @@
         {"renew-every", seconds(0.1, 20, &Operator::roles_renew)}}},
       {"scheduler",
        {{"round-pause", seconds(0.01, 10, &Operator::cycle_pause)},
-        {"backoff-first", seconds(0.1, 3600, &Operator::backoff_first)},
-        {"backoff-most", seconds(1, 86'400, &Operator::backoff_most)},
+        {"backoff-first", seconds(0.1, 3600, &Operator::initial_backoff)},
+        {"backoff-most", seconds(1, 86'400, &Operator::max_backoff)},
         {"failing-machines", integer(1, 1000, &Operator::failing_machines)}}},
   };
   return all;
--- a/src/dunlinknot/settings/platform_loader.cpp
+++ b/src/dunlinknot/settings/platform_loader.cpp
@@ -29,7 +29,7 @@
   platform.node = reader.text(root, "node", "node");
   platform.zone = reader.text(root, "zone", "zone");
   platform.listen = reader.endpoint(root, "listen", "listen");
-  platform.back = reader.endpoint(root, "back", "back");
+  platform.peer_listen = reader.endpoint(root, "back", "back");
   reader.for_each_table(root, "seeds", "seeds",
                         [&](const toml::table& table, const std::string& prefix) {
                           Peer peer;
@@ -87,9 +87,9 @@
   Objective objective;
   objective.kind = reader.text(table, "kind", prefix + "kind");
   if (table.contains("class")) objective.job_class = reader.text(table, "class", prefix + "class");
-  objective.within = Seconds(optional_number(reader, table, "within_s", prefix, 0));
+  objective.time_limit = Seconds(optional_number(reader, table, "within_s", prefix, 0));
   objective.share = optional_number(reader, table, "share", prefix, 0);
-  objective.times = optional_number(reader, table, "times", prefix, 1);
+  objective.deadline_factor = optional_number(reader, table, "times", prefix, 1);
   return objective;
 }
 
@@ -97,11 +97,11 @@
   const toml::table& workers = reader.table(params, "workers", "params.workers");
   const std::string prefix = "params.workers.";
   platform.heartbeat_interval = duration(reader, workers, "report_s", prefix, 0.01);
-  platform.lease = duration(reader, workers, "lease_s", prefix, 0.1);
+  platform.worker_lease = duration(reader, workers, "lease_s", prefix, 0.1);
   platform.gang_wait = duration(reader, workers, "gang_wait_s", prefix, 0);
-  platform.gang_peer = duration(reader, workers, "gang_peer_s", prefix, 0);
-  platform.cancel = duration(reader, workers, "cancel_s", prefix, 0.1);
-  if (platform.lease <= platform.heartbeat_interval)
+  platform.gang_failure_detection_time = duration(reader, workers, "gang_peer_s", prefix, 0);
+  platform.cancel_timeout = duration(reader, workers, "cancel_s", prefix, 0.1);
+  if (platform.worker_lease <= platform.heartbeat_interval)
     reader.fail("params.workers.lease_s", "must be greater than params.workers.report_s");
 }
 
--- a/src/dunlinknot/settings/settings.hpp
+++ b/src/dunlinknot/settings/settings.hpp
@@ -39,11 +39,11 @@
 
 // A service-level objective.
 struct Objective {
-  std::string kind;       // "wait", "deadline" or "guarantee"; other kinds are ignored
-  std::string job_class;  // empty: all classes
-  Seconds within{0};      // time limit for the start, for kinds "wait" and "guarantee"
-  double share = 0;       // fraction of the jobs that must meet the objective
-  double times = 1;       // factor applied to a job's deadline, for kind "deadline"
+  std::string kind;            // "wait", "deadline" or "guarantee"; other kinds are ignored
+  std::string job_class;       // empty: all classes
+  Seconds time_limit{0};       // time limit for the start, for kinds "wait" and "guarantee"
+  double share = 0;            // fraction of the jobs that must meet the objective
+  double deadline_factor = 1;  // factor applied to a job's deadline, for kind "deadline"
 };
 
 // The limits of the key-value store. It rejects requests beyond them.
@@ -56,11 +56,11 @@
 
 // The platform's settings.
 struct Platform {
-  std::string node;         // the name of this controller
-  std::string zone;         // the zone in which it runs
-  http::Endpoint listen;    // serves users, workers and the load balancer
-  http::Endpoint back;      // serves the other controllers
-  std::vector<Peer> peers;  // the other controllers
+  std::string node;            // the name of this controller
+  std::string zone;            // the zone in which it runs
+  http::Endpoint listen;       // serves users, workers and the load balancer
+  http::Endpoint peer_listen;  // serves the other controllers
+  std::vector<Peer> peers;     // the other controllers
   http::Endpoint cloud;
   http::Endpoint key_value_store;
   uint32_t nodes = 1;              // number of controllers, including this one
@@ -70,10 +70,12 @@
   std::vector<Objective> objectives;
 
   Seconds heartbeat_interval{0};  // interval between heartbeats of a worker
-  Seconds lease{0};               // a worker without a response for this long kills its tasks
+  Seconds worker_lease{0};        // a worker without a response for this long kills its tasks
   Seconds gang_wait{0};           // a gang's task that has waited this long for the others exits
-  Seconds gang_peer{0};           // maximum time until a gang's tasks detect that one of them ended
-  Seconds cancel{0};  // maximum time from an acknowledged cancellation to the end of all tasks
+  Seconds gang_failure_detection_time{
+      0};  // maximum time until a gang's tasks detect that one of them ended
+  Seconds cancel_timeout{
+      0};  // maximum time from an acknowledged cancellation to the end of all tasks
 
   StoreLimits store_limits;
   // Limits that replace `store_limits` at an unannounced time.
@@ -95,23 +97,23 @@
 // The operators' settings with their defaults. Each comment states the setting's name in the file;
 // docs/operations.md describes the settings.
 struct Operator {
-  Seconds leader_ttl{3.0};        // leadership/ttl
-  uint32_t max_submissions = 64;  // api/max-submissions
-  uint32_t max_polls = 128;       // api/max-polls
-  uint32_t final_cache = 4000;    // api/final-cache
-  Seconds idle_return{10};        // fleet/idle-return
-  double boot_patience = 4.0;     // fleet/boot-patience, a multiple of the type's boot time
-  Seconds lost_return{20};        // fleet/lost-return
-  Seconds refusal_pause{15};      // fleet/refusal-pause
-  uint32_t max_machines = 20000;  // fleet/max-machines
-  uint32_t faults_to_drain = 3;   // fleet/faults-to-drain
-  Seconds cycle_pause{0.1};       // scheduler/round-pause
-  Seconds backoff_first{5};       // scheduler/backoff-first
-  Seconds backoff_most{120};      // scheduler/backoff-most
-  uint32_t failing_machines = 3;  // scheduler/failing-machines
-  bool roles = false;             // duties/on
-  Seconds roles_ttl{4};           // duties/ttl
-  Seconds roles_renew{1};         // duties/renew-every
+  Seconds leader_ttl{3.0};           // leadership/ttl
+  uint32_t max_submissions = 64;     // api/max-submissions
+  uint32_t max_polls = 128;          // api/max-polls
+  uint32_t final_cache = 4000;       // api/final-cache
+  Seconds idle_return{10};           // fleet/idle-return
+  double boot_timeout_factor = 4.0;  // fleet/boot-patience, a multiple of the type's boot time
+  Seconds lost_return{20};           // fleet/lost-return
+  Seconds refusal_pause{15};         // fleet/refusal-pause
+  uint32_t max_machines = 20000;     // fleet/max-machines
+  uint32_t faults_to_drain = 3;      // fleet/faults-to-drain
+  Seconds cycle_pause{0.1};          // scheduler/round-pause
+  Seconds initial_backoff{5};        // scheduler/backoff-first
+  Seconds max_backoff{120};          // scheduler/backoff-most
+  uint32_t failing_machines = 3;     // scheduler/failing-machines
+  bool roles = false;                // duties/on
+  Seconds roles_ttl{4};              // duties/ttl
+  Seconds roles_renew{1};            // duties/renew-every
 };
 
 // Both throw Error if the file cannot be read or a value is missing or invalid.
--- a/src/dunlinknot/wire/messages.cpp
+++ b/src/dunlinknot/wire/messages.cpp
@@ -25,11 +25,11 @@
                                            {TaskState::exited, "ended"}}};
 constexpr Names<ExitCause, 8> kCauses{{{ExitCause::done, "done"},
                                        {ExitCause::stopped, "halted"},
-                                       {ExitCause::peers, "mates_gone"},
-                                       {ExitCause::alone, "incomplete"},
+                                       {ExitCause::gang_task_ended, "mates_gone"},
+                                       {ExitCause::gang_incomplete, "incomplete"},
                                        {ExitCause::error, "error"},
                                        {ExitCause::no_room, "no_room"},
-                                       {ExitCause::busy, "in_use"},
+                                       {ExitCause::already_present, "in_use"},
                                        {ExitCause::unknown, "unknown"}}};
 constexpr Names<Command::Op, 3> kOps{
     {{Command::Op::start, "run"}, {Command::Op::stop, "stop"}, {Command::Op::forget, "forget"}}};
@@ -149,9 +149,9 @@
   if (!amount("reckonS", seconds)) return invalid("reckonS");
   spec.estimate = Seconds(seconds);
   if (!amount("markEveryS", seconds)) return invalid("markEveryS");
-  spec.checkpoint = Seconds(seconds);
+  spec.checkpoint_interval = Seconds(seconds);
   if (!amount("markCostS", seconds)) return invalid("markCostS");
-  spec.save = Seconds(seconds);
+  spec.checkpoint_duration = Seconds(seconds);
   if (!root["dueS"].null()) {
     if (!amount("dueS", seconds)) return invalid("dueS");
     spec.deadline = Seconds(seconds);
@@ -208,8 +208,8 @@
   writer.key("reckonS")
       .amount(spec.estimate.count())
       .key("markEveryS")
-      .amount(spec.checkpoint.count());
-  writer.key("markCostS").amount(spec.save.count());
+      .amount(spec.checkpoint_interval.count());
+  writer.key("markCostS").amount(spec.checkpoint_duration.count());
   writer.key("dueS");
   spec.deadline ? writer.amount(spec.deadline->count()) : writer.null();
 }
--- a/src/dunlinknot/wire/messages.hpp
+++ b/src/dunlinknot/wire/messages.hpp
@@ -20,10 +20,10 @@
 
   // Tolerance of comparisons. Amounts are sums of decimal fractions, and rounding errors must not
   // reject a task that fits exactly.
-  static constexpr double kSlack = 1e-6;
+  static constexpr double kTolerance = 1e-6;
   bool fits_in(const Resources& available) const {
-    return cpus <= available.cpus + kSlack && gpus <= available.gpus + kSlack &&
-           memory_gb <= available.memory_gb + kSlack;
+    return cpus <= available.cpus + kTolerance && gpus <= available.gpus + kTolerance &&
+           memory_gb <= available.memory_gb + kTolerance;
   }
   Resources& operator+=(const Resources& other) {
     cpus += other.cpus, gpus += other.gpus, memory_gb += other.memory_gb;
@@ -64,8 +64,8 @@
   bool spread = false;              // at most half of the tasks, rounded up, in one zone
   bool spot = false;                // may run on spot machines
   Seconds estimate{0};              // estimated run time
-  Seconds checkpoint{0};            // interval between checkpoints; 0: takes no checkpoints
-  Seconds save{0};                  // time needed to save a checkpoint
+  Seconds checkpoint_interval{0};   // interval between checkpoints; 0: takes no checkpoints
+  Seconds checkpoint_duration{0};   // time needed to save a checkpoint
   std::optional<Seconds> deadline;  // time limit for completion, counted from submission
 };
 
@@ -87,11 +87,21 @@
 // State of an attempt on its machine. `waiting`: the task waits until all tasks of its gang are
 // ready. `saving`: the task saves a checkpoint before it stops.
 enum class TaskState : uint8_t { fetching, waiting, running, saving, exited };
-// Why an attempt ended. `peers`: another task of the gang ended. `alone`: the gang was not complete
-// within the gang's waiting time. `no_room`: the machine has too few free resources. `busy`:
-// another attempt of the task is on the machine. With `no_room`, `busy` and `unknown` the worker
-// refused to start the attempt.
-enum class ExitCause : uint8_t { none, done, stopped, peers, alone, error, no_room, busy, unknown };
+// Why an attempt ended. `gang_task_ended`: another task of the gang ended. `gang_incomplete`: the
+// gang was not complete within the gang's waiting time. `no_room`: the machine has too few free
+// resources. `already_present`: another attempt of the task is on the machine. With `no_room`,
+// `already_present` and `unknown` the worker refused to start the attempt.
+enum class ExitCause : uint8_t {
+  none,
+  done,
+  stopped,
+  gang_task_ended,
+  gang_incomplete,
+  error,
+  no_room,
+  already_present,
+  unknown
+};
 
 // Identifies one task of a job.
 struct TaskRef {
--- a/src/dunlinknot/wire/peer.cpp
+++ b/src/dunlinknot/wire/peer.cpp
@@ -61,7 +61,7 @@
 }
 
 // Bits of the flags in a status frame.
-constexpr uint32_t kLeading = 1, kStoreKnown = 2, kHeartbeatsKnown = 4;
+constexpr uint32_t kLeading = 1, kStoreHasResponded = 2, kHeartbeatReceived = 4;
 
 }  // namespace
 
@@ -83,13 +83,13 @@
   status.echo = cursor.get<uint64_t>();
   status.epoch = cursor.get<uint64_t>();
   status.cancel_revision = cursor.get<uint64_t>();
-  status.store_silent = cursor.ms();
-  status.up = cursor.ms();
-  status.heartbeats_silent = cursor.ms();
+  status.store_response_age = cursor.ms();
+  status.uptime = cursor.ms();
+  status.heartbeat_age = cursor.ms();
   const uint32_t flags = cursor.get<uint32_t>();
   status.leading = (flags & kLeading) != 0;
-  status.store_known = (flags & kStoreKnown) != 0;
-  status.heartbeats_known = (flags & kHeartbeatsKnown) != 0;
+  status.store_has_responded = (flags & kStoreHasResponded) != 0;
+  status.heartbeat_received = (flags & kHeartbeatReceived) != 0;
   status.node = cursor.name(kNameBytes);
   status.leader = cursor.name(kNameBytes);
   return status;
@@ -101,11 +101,12 @@
   put<uint64_t>(body, status.echo);
   put<uint64_t>(body, status.epoch);
   put<uint64_t>(body, status.cancel_revision);
-  put_ms(body, status.store_silent);
-  put_ms(body, status.up);
-  put_ms(body, status.heartbeats_silent);
-  put<uint32_t>(body, (status.leading ? kLeading : 0) | (status.store_known ? kStoreKnown : 0) |
-                          (status.heartbeats_known ? kHeartbeatsKnown : 0));
+  put_ms(body, status.store_response_age);
+  put_ms(body, status.uptime);
+  put_ms(body, status.heartbeat_age);
+  put<uint32_t>(body, (status.leading ? kLeading : 0) |
+                          (status.store_has_responded ? kStoreHasResponded : 0) |
+                          (status.heartbeat_received ? kHeartbeatReceived : 0));
   put_name(body, status.node, kNameBytes);
   put_name(body, status.leader, kNameBytes);
   return frame(Kind::status, body);
--- a/src/dunlinknot/wire/peer.hpp
+++ b/src/dunlinknot/wire/peer.hpp
@@ -3,7 +3,7 @@
 //
 //   frame  = magic u32 | version u16 | kind u16 | length u32 | body[length]
 //   status = sequence u64 | echo u64 | epoch u64 | cancel_revision u64
-//            | store_silent_ms u32 | up_ms u32 | heartbeats_silent_ms u32 | flags u32
+//            | store_response_age_ms u32 | uptime_ms u32 | heartbeat_age_ms u32 | flags u32
 //            | node char[32] | leader char[32]
 //   progress = epoch u64 | count u32 | reserved u32 | count * entry
 //   entry  = id char[24] | done u32 | running u32
@@ -43,12 +43,12 @@
   uint64_t epoch = 0;     // the highest epoch that it knows
   // The latest revision of a cancellation that its process has read or written.
   uint64_t cancel_revision = 0;
-  Millis store_silent{0};       // time since the last response of the key-value store
-  Millis up{0};                 // time since the start of its process
-  Millis heartbeats_silent{0};  // time since the last heartbeat of any worker
+  Millis store_response_age{0};  // time since the last response of the key-value store
+  Millis uptime{0};              // time since the start of its process
+  Millis heartbeat_age{0};       // time since the last heartbeat of any worker
   bool leading = false;
-  bool store_known = false;       // the key-value store has responded to this process
-  bool heartbeats_known = false;  // a worker has sent a heartbeat to this process
+  bool store_has_responded = false;  // the key-value store has responded to this process
+  bool heartbeat_received = false;   // a worker has sent a heartbeat to this process
   std::string node;
   std::string leader;  // the leader of `epoch`; empty if unknown
 };
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -16,9 +16,9 @@
 struct TerminationPolicyTest : testing::Test {
   TerminationPolicyTest() {
     platform.heartbeat_interval = Seconds(2);
-    platform.lease = Seconds(30);
+    platform.worker_lease = Seconds(30);
     operator_settings.lost_return = Seconds(20);
-    operator_settings.boot_patience = 4;
+    operator_settings.boot_timeout_factor = 4;
     operator_settings.idle_return = Seconds(10);
     type.boot = Seconds(10);
     scan.now = kTermSince + seconds(100);
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -150,7 +150,7 @@
   EXPECT_FALSE(job.failing);
   detector.on_task_error(add_machine(machines, "vm-3"), &job, jobs, kNow);
   EXPECT_TRUE(job.failing);
-  EXPECT_EQ(job.not_before, kNow + to_nanos(operator_settings.backoff_first));
+  EXPECT_EQ(job.not_before, kNow + to_nanos(operator_settings.initial_backoff));
   job.clear_failing();
   EXPECT_FALSE(job.failing);
 }
@@ -166,7 +166,7 @@
   EXPECT_EQ(service.pending(), 1u) << "the first restart is not delayed";
   backoff.on_replica_end(service, 0, true, kNow);
   EXPECT_EQ(service.pending(), 0u);
-  const Instant due = kNow + to_nanos(operator_settings.backoff_first);
+  const Instant due = kNow + to_nanos(operator_settings.initial_backoff);
   EXPECT_FALSE(backoff.release_due(jobs, due - Millis(1)));
   EXPECT_TRUE(backoff.release_due(jobs, due));
   EXPECT_EQ(service.pending(), 1u);
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -218,7 +218,7 @@
   EXPECT_EQ(allocated(), 0u);
   // The renewal window, the lease and a margin together must be shorter than the time limit of a
   // cancellation.
-  EXPECT_LT(wait + seconds(1), to_nanos(platform.cancel));
+  EXPECT_LT(wait + seconds(1), to_nanos(platform.cancel_timeout));
 }
 
 TEST_F(ClusterTest, RemovedMachineLosesAllocationsAndLateHeartbeatsAreRejected) {
@@ -400,8 +400,8 @@
 
 TEST_F(ClusterTest, TaskWithCheckpointIsSavedBeforeInterruption) {
   JobSpec spec = job("run-000001");
-  spec.checkpoint = Seconds(10);
-  spec.save = Seconds(3);
+  spec.checkpoint_interval = Seconds(10);
+  spec.checkpoint_duration = Seconds(3);
   Job& job = add(spec);
   send(heartbeat());
   const Allocation allocation = durable(job);
@@ -417,14 +417,14 @@
   cluster_state.tick(now);
   const auto calls = cluster_state.drain_stop_calls();
   ASSERT_EQ(calls.size(), 1u);
-  EXPECT_GE(calls[0].commands[0].grace, spec.save);
+  EXPECT_GE(calls[0].commands[0].grace, spec.checkpoint_duration);
 }
 
 TEST_F(ClusterTest, GangOnInterruptedMachineSavesCheckpointAsAWhole) {
   JobSpec spec = job("run-000001", 2);
   spec.gang = true;
-  spec.checkpoint = Seconds(10);
-  spec.save = Seconds(3);
+  spec.checkpoint_interval = Seconds(10);
+  spec.checkpoint_duration = Seconds(3);
   Job& job = add(spec);
   const uint64_t attempt = cluster_state.next_attempt();
   for (const char* machine_id : {"vm-1", "vm-2"}) {
@@ -441,7 +441,7 @@
   cluster_state.tick(now);
   const auto calls = cluster_state.drain_stop_calls();
   ASSERT_EQ(calls.size(), 2u) << "both tasks are stopped at the same time";
-  for (const auto& call : calls) EXPECT_GE(call.commands[0].grace, spec.save);
+  for (const auto& call : calls) EXPECT_GE(call.commands[0].grace, spec.checkpoint_duration);
   // The exit of the first task after saving must not interrupt the saving of the other task.
   status.tasks[0].state = TaskState::exited;
   status.tasks[0].cause = ExitCause::stopped;
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -182,8 +182,8 @@
   ASSERT_TRUE(status);
   EXPECT_EQ(status->epoch, 41u);
   EXPECT_EQ(status->cancel_revision, 431u);
-  EXPECT_EQ(status->heartbeats_silent, Millis(35));
-  EXPECT_TRUE(status->leading && status->store_known && status->heartbeats_known);
+  EXPECT_EQ(status->heartbeat_age, Millis(35));
+  EXPECT_TRUE(status->leading && status->store_has_responded && status->heartbeat_received);
   EXPECT_EQ(peer::write_status(*status), frame);
 }
 
--- a/tests/random_placements_test.cpp
+++ b/tests/random_placements_test.cpp
@@ -84,7 +84,7 @@
       spec.need.cpus = 0.5;
       spec.need.memory_gb = 0.5;
     }
-    if (chance(0.3)) spec.checkpoint = Seconds(5), spec.save = Seconds(1);
+    if (chance(0.3)) spec.checkpoint_interval = Seconds(5), spec.checkpoint_duration = Seconds(1);
     spec.gang = chance(0.25);
     if (spec.gang) spec.tasks = static_cast<uint32_t>(1 + pick(spec.team == "tiny" ? 2 : 5));
     const size_t zone_constraint = pick(10);
--- a/tests/random_scenario.hpp
+++ b/tests/random_scenario.hpp
@@ -44,7 +44,7 @@
   virtual JobSpec random_job(size_t index) {
     JobSpec spec = job("run-0000" + std::to_string(10 + index), static_cast<uint32_t>(1 + pick(6)));
     spec.team = std::vector<std::string>{"red", "blue", "tiny"}[pick(3)];
-    if (chance(0.3)) spec.checkpoint = Seconds(5), spec.save = Seconds(1);
+    if (chance(0.3)) spec.checkpoint_interval = Seconds(5), spec.checkpoint_duration = Seconds(1);
     if (chance(0.25)) {
       spec.gang = true;
       spec.tasks = 2;
--- a/tests/rules.cpp
+++ b/tests/rules.cpp
@@ -44,7 +44,7 @@
   }
   if (job.reported_cancelled_at != Instant::max()) {
     ++late_starts_;
-    if (clock_.now() > job.reported_cancelled_at + to_nanos(platform_.cancel)) {
+    if (clock_.now() > job.reported_cancelled_at + to_nanos(platform_.cancel_timeout)) {
       add_violation("ran_cancelled", task.text() + " started");
     }
   }
@@ -56,8 +56,8 @@
   }
   for (const auto& team : platform_.teams) {
     if (team.name != job.spec.team) continue;
-    if ((team.cpus_max > 0 && used.cpus > team.cpus_max + Resources::kSlack) ||
-        (team.gpus_max > 0 && used.gpus > team.gpus_max + Resources::kSlack)) {
+    if ((team.cpus_max > 0 && used.cpus > team.cpus_max + Resources::kTolerance) ||
+        (team.gpus_max > 0 && used.gpus > team.gpus_max + Resources::kTolerance)) {
       add_violation("quota", "team " + team.name + " with " + task.text());
     }
   }
@@ -81,7 +81,7 @@
   for (const Running& running : running_) {
     JobState& job = jobs_[running.task.job];
     if (job.overrun_reported || job.reported_cancelled_at == Instant::max()) continue;
-    if (clock_.now() <= job.reported_cancelled_at + to_nanos(platform_.cancel)) continue;
+    if (clock_.now() <= job.reported_cancelled_at + to_nanos(platform_.cancel_timeout)) continue;
     job.overrun_reported = true;
     add_violation("ran_cancelled", running.task.text() + " is still on " + running.machine.id);
   }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -102,7 +102,7 @@
   rules.started(machine_a, task_0, 1);
   rules.cancel_requested("run-000001");
   rules.cancel_answered("run-000001", 200, "cancelled", clock.now());
-  advance(to_nanos(platform.cancel));
+  advance(to_nanos(platform.cancel_timeout));
   rules.scan();
   EXPECT_TRUE(rules.violations().empty());
   advance(Millis(1));
@@ -118,7 +118,7 @@
   EXPECT_EQ(rules.late_starts(), 1u);
   rules.ended("vm-1", task_0, 1, false);
   EXPECT_TRUE(rules.violations().empty());
-  advance(to_nanos(platform.cancel) + Millis(1));
+  advance(to_nanos(platform.cancel_timeout) + Millis(1));
   rules.started(machine_a, task_1, 2);
   expect_violation("ran_cancelled");
 }
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -139,7 +139,7 @@
       spec.gang = true;
       spec.tasks = 1 + pick(4);
     }
-    if (chance(0.2)) spec.checkpoint = Seconds(5), spec.save = Seconds(1);
+    if (chance(0.2)) spec.checkpoint_interval = Seconds(5), spec.checkpoint_duration = Seconds(1);
     if (!spec.gang && chance(0.15)) {
       spec.service = true;
       spec.estimate = Seconds(0);
--- a/tests/scripted_worker.cpp
+++ b/tests/scripted_worker.cpp
@@ -101,7 +101,7 @@
       for (const auto& [other_key, other] : tasks) {
         if (other_key.first == task && other.state != TaskState::exited) {
           running.state = TaskState::exited;
-          running.cause = ExitCause::busy;
+          running.cause = ExitCause::already_present;
         }
       }
       if (running.state == TaskState::fetching && fetch == Nanos(0)) begin(running);
@@ -109,11 +109,12 @@
     } else if (verb == "stop" && it != tasks.end() && it->second.state != TaskState::exited) {
       const double grace = *command["windDownS"].amount();
       const auto spec = specs ? specs->find(task.job) : std::map<std::string, JobSpec>::iterator{};
-      const bool saves = specs && spec != specs->end() && spec->second.checkpoint > Seconds(0) &&
-                         grace >= spec->second.save.count();
+      const bool saves = specs && spec != specs->end() &&
+                         spec->second.checkpoint_interval > Seconds(0) &&
+                         grace >= spec->second.checkpoint_duration.count();
       if (it->second.state == TaskState::running && saves) {
         it->second.state = TaskState::saving;
-        it->second.ends = loop_.now() + to_nanos(spec->second.save);
+        it->second.ends = loop_.now() + to_nanos(spec->second.checkpoint_duration);
       } else if (it->second.state != TaskState::saving || grace == 0) {
         end(it->second, ExitCause::stopped);
       }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -87,7 +87,7 @@
   const TemporaryFile file(kValidFile);
   const Platform platform = load_platform(file.path());
   EXPECT_EQ(platform.peers.size(), 1u);
-  EXPECT_EQ(platform.lease, Seconds(14));
+  EXPECT_EQ(platform.worker_lease, Seconds(14));
   EXPECT_EQ(platform.teams[0].cpus_max, 16);
   EXPECT_EQ(platform.store_limits.value_bytes, 8192u);
   EXPECT_FALSE(platform.next_store_limits);
--- a/tests/site.cpp
+++ b/tests/site.cpp
@@ -86,7 +86,7 @@
   platform.node = "dunlin-" + std::to_string(index);
   platform.zone = "a";
   platform.listen = *http::Endpoint::parse("127.0.0.1:1000");
-  platform.back = *http::Endpoint::parse("127.0.0.1:1001");
+  platform.peer_listen = *http::Endpoint::parse("127.0.0.1:1001");
   for (size_t i = 0; i < count; ++i) {
     if (i == index) continue;
     platform.peers.push_back({"dunlin-" + std::to_string(i), "a",
@@ -98,10 +98,10 @@
   platform.zones = {"a", "b"};
   platform.teams = {{"red", 8, 64, 0, 0}, {"blue", 8, 64, 0, 0}, {"tiny", 0, 4, 0, 0}};
   platform.heartbeat_interval = Seconds(1.5);
-  platform.lease = Seconds(14);
+  platform.worker_lease = Seconds(14);
   platform.gang_wait = Seconds(40);
-  platform.gang_peer = Seconds(6);
-  platform.cancel = Seconds(39);
+  platform.gang_failure_detection_time = Seconds(6);
+  platform.cancel_timeout = Seconds(39);
   platform.store_limits.rps = 1000;
   platform.store_limits.write_rps = 1000;
   platform.store_limits.value_bytes = size_t{8} * 1024;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -192,10 +192,10 @@
   status.echo = 6;
   status.epoch = 0x1122334455667788;
   status.cancel_revision = 4'300'000'000;
-  status.store_silent = Millis(1500);
-  status.up = Millis(99);
+  status.store_response_age = Millis(1500);
+  status.uptime = Millis(99);
   status.leading = true;
-  status.store_known = true;
+  status.store_has_responded = true;
   status.node = "dunlin-1";
   status.leader = "dunlin-2";
   const std::string frame = peer::write_status(status);
@@ -210,7 +210,7 @@
   EXPECT_EQ(back->cancel_revision, status.cancel_revision);
   EXPECT_EQ(back->leader, "dunlin-2");
   EXPECT_TRUE(back->leading);
-  EXPECT_FALSE(back->heartbeats_known);
+  EXPECT_FALSE(back->heartbeat_received);
 
   std::string malformed = frame;
   malformed[4] = 9;  // an unsupported version
