--- a/src/dunlinknot/settings/settings.hpp
+++ b/src/dunlinknot/settings/settings.hpp
@@ -71,9 +71,9 @@
 
   Seconds heartbeat_interval{0};  // interval between heartbeats of a worker
   Seconds lease{0};               // a worker without a response for this long kills its tasks
-  Seconds gang_wait{0};           // a gang's task that has waited this long for the others exits
-  Seconds gang_peer{0};           // maximum time until a gang's tasks detect that one of them ended
-  Seconds cancel{0};  // maximum time from an acknowledged cancellation to the end of all tasks
+  Seconds gang_wait{0};           // a gang's task that waits this long for the others exits
+  Seconds gang_peer{0};           // maximum time to detect that one of a gang's tasks ended
+  Seconds cancel{0};              // from an acknowledged cancellation to the end of all tasks
 
   StoreLimits store_limits;
   // Limits that replace `store_limits` at an unannounced time.
