--- a/src/dunlinknot/cluster/allocation_store/job_watcher.hpp
+++ b/src/dunlinknot/cluster/allocation_store/job_watcher.hpp
@@ -9,7 +9,7 @@
 
 // Watches the records of jobs: submissions add a record, cancellations delete it. Each response to
 // the watch, with or without changes, proves that all cancellations up to the time of the request
-// are known here (safety 2: cancelled tasks end in time).
+// are known here (safety 2: the tasks of a cancelled job end within `cancel_s`).
 class JobWatcher {
  public:
   JobWatcher(const StoreAccess& access, const JobRecords& jobs, const StateLoader& loader)
--- a/src/dunlinknot/cluster/allocation_store/machine_record_writer.cpp
+++ b/src/dunlinknot/cluster/allocation_store/machine_record_writer.cpp
@@ -108,8 +108,8 @@
     machine.dirty = false;
     return true;
   }
-  // Safety 3, no task of a closed job starts: the write of a new allocation fails if its job was
-  // cancelled or has ended.
+  // Safety 3, completions and cancellations are durable before they are acknowledged: the write of
+  // a new allocation fails if its job was cancelled or has ended, so that none of its tasks starts.
   std::set<std::string> added_jobs = newly_allocated_jobs(cluster, machine);
   for (const std::string& id : batch.jobs) added_jobs.erase(id);
   const size_t room = compares_left(batch);
--- a/src/dunlinknot/cluster/allocation_store/machine_record_writer.hpp
+++ b/src/dunlinknot/cluster/allocation_store/machine_record_writer.hpp
@@ -12,7 +12,7 @@
 // Writes the records of machines whose allocations changed, several per transaction. An allocation
 // is durable before its `run` is sent (safety 1: no task runs twice). A transaction compares
 // `epoch`, the records that it writes, and the records of the jobs to which it adds allocations
-// (safety 3: no task of a closed job starts).
+// (safety 3: completions and cancellations are durable, so no task of a closed job starts).
 class MachineRecordWriter {
  public:
   MachineRecordWriter(const StoreAccess& access, const JobRecords& jobs, RecordCleaner& cleaner)
--- a/src/dunlinknot/cluster/allocation_table.cpp
+++ b/src/dunlinknot/cluster/allocation_table.cpp
@@ -236,7 +236,8 @@
     if (allocation->need.gpus <= 0 && machine.free().gpus > 0)
       room -= spare_per_gpu * machine.free().gpus;
     if (!allocation->need.fits_in(room)) continue;
-    // Safety 4, limits are never exceeded: from here on the task counts towards its team's limit.
+    // Safety 4, team limits are counted over allocations: from here on the task counts towards its
+    // team's limit.
     if (!usage_.allows(allocation->team, allocation->need)) continue;
     usage_.add(allocation->team, allocation->need);
     allocation->queued = false;
--- a/src/dunlinknot/cluster/cluster.cpp
+++ b/src/dunlinknot/cluster/cluster.cpp
@@ -126,9 +126,10 @@
     obsolete_records_.push_back({wire::done_key(id, chunk), mod_revision});
   jobs.erase(it);
   effects.schedule = true;
-  // Safety 3: no task of a closed job starts, and all tasks of a cancelled job are stopped on all
-  // machines. Allocations for which this leader sent no `run` end immediately; the others are kept
-  // until their tasks have ended.
+  // Safety 3, completions and cancellations are durable before they are acknowledged: no task of a
+  // closed job starts, and all tasks of a cancelled job are stopped on all machines. Allocations
+  // for which this leader sent no `run` end immediately; the others are kept until their tasks have
+  // ended.
   for (Machine* machine : std::vector(holders(id))) {
     for (size_t i = machine->allocations.size(); i-- > 0;) {
       Allocation& allocation = machine->allocations[i];
--- a/src/dunlinknot/cluster/decisions.cpp
+++ b/src/dunlinknot/cluster/decisions.cpp
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-// Safety 4: a job's allocations never violate its placement constraints. As tasks run only where
-// the job has allocations, its tasks do not violate them either.
+// Safety 4: zones and constraints are counted over allocations, and no allocation may violate them.
+// As tasks run only where the job has allocations, its tasks do not violate them either.
 bool Cluster::may_allocate(const Machine& machine, Job& job, uint32_t index) {
   const bool allowed = pool_allowed(job.spec(), machine.type, machine.zone, machine.spot) &&
                        constraints_of(job).tasks_allowed(machine.zone) > 0;
--- a/src/dunlinknot/cluster/failure_detector.cpp
+++ b/src/dunlinknot/cluster/failure_detector.cpp
@@ -66,8 +66,8 @@
   machine.task_errors = {};
 }
 
-// Safety 6: a machine on which tasks fail that complete on other machines is drained; a job that
-// fails on every machine backs off.
+// Safety 6: a failure is attributed to the machine when other machines complete the task, and to
+// the job when it fails on all of them. The machine is drained, the job backs off.
 void FailureDetector::on_task_error(Machine& machine, Job* job, const JobTable& jobs,
                                     Instant now) const {
   ++machine.task_errors.consecutive;
--- a/src/dunlinknot/cluster/placement_constraints.hpp
+++ b/src/dunlinknot/cluster/placement_constraints.hpp
@@ -1,6 +1,6 @@
 // The placement constraints of a job: allowed machine types, zone, spot machines, and the
 // distribution of its tasks over zones. Every decision that places a task, or plans to, must check
-// them (safety 4: constraints are never violated).
+// them (safety 4: zones and constraints are counted over allocations).
 #pragma once
 #include <cstdint>
 #include <functional>
--- a/src/dunlinknot/cluster/records.cpp
+++ b/src/dunlinknot/cluster/records.cpp
@@ -48,7 +48,7 @@
     runnable_.push_back(machine.id);
     return;
   }
-  // Safety 4: a gang starts only once all its allocations are durable.
+  // Safety 4: a gang's runs are sent only once all its allocations are durable.
   const std::string& id = allocation.task.job;
   Job* open_job = job(id);
   if (!open_job || open_job->gang_attempt != allocation.attempt) return;
--- a/src/dunlinknot/cluster/worker_commands.cpp
+++ b/src/dunlinknot/cluster/worker_commands.cpp
@@ -15,8 +15,8 @@
                                           bool may_start) const {
   std::vector<Command> commands;
   // Stops come first: every response that renews a lease contains all stops that are due (safety 2:
-  // cancelled tasks end in time), and the tasks to be started use the resources that the stops
-  // free.
+  // the tasks of a cancelled job end within `cancel_s`), and the tasks to be started use the
+  // resources that the stops free.
   add_stops(machine, heartbeat, commands);
   add_forgets(heartbeat, commands);
   if (may_start && !machine.draining && !machine.terminating)
@@ -39,7 +39,7 @@
     return false;
   const Job* open_job = allocations_.job(allocation.task.job);
   if (!open_job) return false;
-  // Safety 4: a gang starts as a whole.
+  // Safety 4: a gang's runs are sent only once all its allocations are durable.
   return !allocation.gang ||
          (open_job->gang_may_start && open_job->gang_attempt == allocation.attempt);
 }
@@ -60,8 +60,8 @@
   for (const TaskStatus& task : heartbeat.tasks) {
     if (commands.size() >= kMaxCommands) break;
     if (task.state != TaskState::exited) continue;
-    // Safety 3, completed tasks never run again: `forget` is sent only after the completion is
-    // durable.
+    // Safety 3: `forget` is sent only after the completion is durable, so that completed tasks
+    // never run again.
     const Job* open_job = allocations_.job(task.task.job);
     const bool keep = task.cause == ExitCause::done && open_job && !open_job->spec().service &&
                       task.task.index < open_job->spec().tasks &&
--- a/src/dunlinknot/scheduler/preemption.cpp
+++ b/src/dunlinknot/scheduler/preemption.cpp
@@ -45,7 +45,7 @@
 void PreemptionStage::preempt(const QueueEntry& entry, const JobNominations& nominations,
                               uint32_t unplaced, PlacementConstraints& constraints) {
   const Job& job = *entry.job;
-  if (job.failing) return;  // safety 6: a failing job does not preempt
+  if (job.failing) return;  // a job that fails everywhere must not stop others
   // A nominated task may preempt again once no victim is allocated on its machine.
   std::vector<uint64_t> to_renew;
   for (const uint64_t id : nominations.active()) {
@@ -143,8 +143,8 @@
     const Allocation& allocation = chosen.machine->allocations[index];
     if (allocation.stopping()) continue;
     chosen.capacity.add_victims(allocation.need);
-    // The team's limit counts the victim until it has ended (safety 4: allocations never exceed a
-    // team's limit).
+    // The team's limit counts the victim until it has ended (safety 4: team limits are counted over
+    // allocations).
     if (allocation.team >= 0) state_.quotas.count_victim(allocation.team, allocation.need);
   }
   chosen.capacity.add_hold(kUnassignedNomination, spec.need, spec.priority);
--- a/src/dunlinknot/scheduler/scheduler.cpp
+++ b/src/dunlinknot/scheduler/scheduler.cpp
@@ -8,17 +8,17 @@
 std::string_view text(WaitCause cause) {
   switch (cause) {
     case WaitCause::team_limit:
-      return "its team's limit is used up";
+      return "room under its team's limit";
     case WaitCause::queued_on_machine:
-      return "queued on a machine until a task there ends";
+      return "a task to end on the machine where it is queued";
     case WaitCause::machine_upcoming:
       return "a machine to be launched or to boot";
     case WaitCause::preemption:
-      return "victims that are being stopped for it";
+      return "its victims to stop";
     case WaitCause::room_reserved:
       return "tasks to end on machines where room is reserved for it";
     case WaitCause::no_room:
-      return "no allowed machine has room and none can be launched";
+      return "room on an allowed machine, as none can be launched";
   }
   return "";
 }
--- a/src/dunlinknot/scheduler/scheduler.hpp
+++ b/src/dunlinknot/scheduler/scheduler.hpp
@@ -84,12 +84,12 @@
 
 // What a job without started tasks waits for.
 enum class WaitCause : uint8_t {
-  team_limit,         // the team's limit is used up or reserved for this job
+  team_limit,         // room under the team's limit
   queued_on_machine,  // the end of a task on the machine where it is queued
-  machine_upcoming,   // a machine that boots or was requested
-  preemption,         // victims that are being stopped
+  machine_upcoming,   // a machine to boot or to be launched
+  preemption,         // the end of its victims
   room_reserved,      // the end of tasks on machines where room is reserved for it
-  no_room,            // no allowed machine has room, and none can be launched
+  no_room,            // room on an allowed machine; none can be launched
 };
 // The cause as text for log lines.
 std::string_view text(WaitCause cause);
--- a/src/dunlinknot/scheduler/team_quotas.hpp
+++ b/src/dunlinknot/scheduler/team_quotas.hpp
@@ -13,8 +13,8 @@
  public:
   explicit TeamQuotas(const Cluster& cluster);
 
-  // The team's current usage, which includes victims until they have ended (safety 4: allocations
-  // never exceed a team's limit).
+  // The team's current usage, which includes victims until they have ended (safety 4: team
+  // limits are counted over allocations).
   const Resources& used(int team) const { return used_[static_cast<size_t>(team)]; }
   // How many more tasks of the job its team's limit allows.
   uint32_t tasks_allowed(const Job& job) const;
