--- a/src/dunlinknot/cluster/heartbeat_reconciler.cpp
+++ b/src/dunlinknot/cluster/heartbeat_reconciler.cpp
@@ -193,7 +193,7 @@
   write_queue_.mark_dirty(machine, false);
   if (!stays) allocations_.stop(machine, added, StopReason::orphan, Seconds(0), now);
   if (job) effects |= allocations_.end_conflicts_with_orphan(*job, task.task, now);
-  // Ending conflicting allocations may have moved it.
+  // Ending conflicting allocations may have moved the added one.
   return *machine.find(task.task, task.attempt);
 }
 
--- a/src/dunlinknot/cluster/interruptions.cpp
+++ b/src/dunlinknot/cluster/interruptions.cpp
@@ -53,22 +53,22 @@
 // machine is taken back.
 void Interruptions::save_checkpoints(Machine& machine, Instant now) const {
   if (!machine.interruption_at) return;
-  const Seconds left = to_seconds(*machine.interruption_at - now);
+  const Seconds time_left = to_seconds(*machine.interruption_at - now);
   for (size_t i = machine.allocations.size(); i-- > 0;) {
     Allocation& allocation = machine.allocations[i];
     const Job* open_job = allocations_.job(allocation.task.job);
     if (!open_job || allocation.stopping() || open_job->spec().checkpoint_interval <= Seconds(0))
       continue;
-    const Seconds save = open_job->spec().checkpoint_duration;
-    if (left > save + kSaveMargin) continue;
+    const Seconds save_duration = open_job->spec().checkpoint_duration;
+    if (time_left > save_duration + kSaveMargin) continue;
     if (allocation.gang) {
       // A gang saves a checkpoint as a whole or not at all: all its tasks are stopped at the same
       // time, well within `gang_failure_detection_time` of one another.
       allocations_.stop_gang(allocation.task.job, allocation.attempt,
-                             save + platform_.gang_failure_detection_time, now);
+                             save_duration + platform_.gang_failure_detection_time, now);
     } else {
-      allocations_.stop(machine, allocation, StopReason::interruption, save + kStopGraceMargin,
-                        now);
+      allocations_.stop(machine, allocation, StopReason::interruption,
+                        save_duration + kStopGraceMargin, now);
     }
   }
 }
--- a/src/dunlinknot/cluster/placement_constraints.cpp
+++ b/src/dunlinknot/cluster/placement_constraints.cpp
@@ -37,13 +37,13 @@
 }
 
 uint32_t PlacementConstraints::tasks_allowed(std::string_view zone) const {
-  const auto here = tasks_by_zone_.find(zone);
-  const bool any_here = here != tasks_by_zone_.end();
+  const auto entry = tasks_by_zone_.find(zone);
+  const bool any_here = entry != tasks_by_zone_.end();
   const bool any_elsewhere = tasks_by_zone_.size() > (any_here ? 1 : 0);
   if (spec_->one_zone && any_elsewhere) return 0;
   if (!spec_->spread) return std::numeric_limits<uint32_t>::max();
   const uint32_t max_tasks = max_tasks_per_zone(*spec_);
-  const uint32_t used = any_here ? here->second : 0;
+  const uint32_t used = any_here ? entry->second : 0;
   return used < max_tasks ? max_tasks - used : 0;
 }
 
--- a/src/dunlinknot/cluster/replica_restarts.hpp
+++ b/src/dunlinknot/cluster/replica_restarts.hpp
@@ -9,7 +9,7 @@
 // Counted since the leader's term began. The node logs the counts periodically.
 struct ReplicaRestarts {
   uint64_t machine_lost = 0;  // the machine's lease expired without a heartbeat, or it was deleted
-  // Stopped because the machine is about to be interrupted, or because a constraint was violated.
+  // Stopped because the machine is about to be interrupted, or as an orphan that cannot be adopted.
   uint64_t moved = 0;
   uint64_t preempted = 0;
   uint64_t ended = 0;  // exited by itself: with an error, or reported as done
--- a/src/dunlinknot/preemption/fit.cpp
+++ b/src/dunlinknot/preemption/fit.cpp
@@ -64,7 +64,7 @@
     // Gangs are never victims, and queued tasks take no room.
     if (allocation.gang || allocation.queued) continue;
     const bool is_victim = on_list(victims, allocation);
-    // Stops for another reason, at a time that is not known: not counted on.
+    // The task is being stopped for another reason, so it is unknown when its room becomes free.
     if (allocation.stopping() && !is_victim) continue;
     const bool allowed = allocation.priority < preemptor.priority || is_victim ||
                          try_reclaim(allocation, preemptor, over_guarantee);
@@ -165,12 +165,12 @@
   // A replica loses only the time until its replacement runs, no matter how long it has run.
   if (allocation.service)
     return kReplicaMoveDowntime.count() * std::max(allocation.need.cpus, kMinCoreWeight);
-  const double ran = std::max(0.0, to_seconds(now - allocation.running_since).count());
+  const double elapsed_seconds = std::max(0.0, to_seconds(now - allocation.running_since).count());
   const double weight =
       std::max({allocation.need.cpus, allocation.need.gpus * kCoresPerGpu, kMinCoreWeight});
   if (job && job->spec().checkpoint_interval > Seconds(0))
     return job->spec().checkpoint_duration.count() * weight;
-  return ran * weight;
+  return elapsed_seconds * weight;
 }
 
 std::optional<VictimSet> simulate(const MachineCapacity& capacity, const Nominations& nominations,
--- a/src/dunlinknot/scheduler/array_placement.cpp
+++ b/src/dunlinknot/scheduler/array_placement.cpp
@@ -17,13 +17,14 @@
   uint32_t placed = 0;
   for (const auto& [cost, candidate] : ranked_candidates(state, job, Readiness::ready)) {
     if (placed == max_tasks || cost > max_cost) break;
-    // The machine's fetches share its rate: another image would halve the rate for the gang's
-    // image.
+    // The machine's fetches share its rate: fetching another image would halve the rate of
+    // the gang's fetch.
     if (candidate->gang_fetching && !candidate->machine->has_image(spec.image)) continue;
     uint32_t max_here = std::min(max_tasks - placed, constraints.tasks_allowed(candidate->zone()));
     if (spec.service) {
-      const uint32_t there = tasks_on(job, *candidate->machine);
-      max_here = std::min(max_here, max_on_machine > there ? max_on_machine - there : 0);
+      const uint32_t replicas_there = tasks_on(job, *candidate->machine);
+      max_here =
+          std::min(max_here, max_on_machine > replicas_there ? max_on_machine - replicas_there : 0);
     }
     const uint32_t tasks = max_here > 0 ? tasks_that_fit(state, job, *candidate, max_here) : 0;
     if (tasks == 0) continue;
--- a/src/dunlinknot/scheduler/arrays.cpp
+++ b/src/dunlinknot/scheduler/arrays.cpp
@@ -54,13 +54,14 @@
   // Tasks with a nomination wait for its room. The others use upcoming machines first, then request
   // new ones.
   const uint32_t without_nomination = unplaced - static_cast<uint32_t>(nominations.active().size());
-  uint32_t left = without_nomination;
+  uint32_t tasks_left = without_nomination;
   PlacementConstraints expected = constraints;
-  if (left > 0) left -= reserve_upcoming_for_array(state_, entry, left, expected);
-  if (left > 0) left -= scale_out_.request_for_array(entry, left, expected);
-  WaitCause cause = left < without_nomination ? WaitCause::machine_upcoming : WaitCause::no_room;
+  if (tasks_left > 0) tasks_left -= reserve_upcoming_for_array(state_, entry, tasks_left, expected);
+  if (tasks_left > 0) tasks_left -= scale_out_.request_for_array(entry, tasks_left, expected);
+  WaitCause cause =
+      tasks_left < without_nomination ? WaitCause::machine_upcoming : WaitCause::no_room;
   if (!nominations.active().empty()) cause = WaitCause::preemption;
-  preemption_.preempt(entry, nominations, left, constraints);
+  preemption_.preempt(entry, nominations, tasks_left, constraints);
   return cause;
 }
 
--- a/src/dunlinknot/scheduler/gang_placement.cpp
+++ b/src/dunlinknot/scheduler/gang_placement.cpp
@@ -35,19 +35,19 @@
                                      const std::vector<RankedCandidate>& ranked,
                                      const std::string& zone, PlacementConstraints constraints) {
   GangRoom room;
-  uint32_t left = job.spec().tasks;
+  uint32_t tasks_left = job.spec().tasks;
   for (const auto& [cost, candidate] : ranked) {
-    if (left == 0) break;
+    if (tasks_left == 0) break;
     if (!zone.empty() && candidate->zone() != zone) continue;
-    const uint32_t max_here = std::min(left, constraints.tasks_allowed(candidate->zone()));
+    const uint32_t max_here = std::min(tasks_left, constraints.tasks_allowed(candidate->zone()));
     const uint32_t count = max_here > 0 ? tasks_that_fit(state, job, *candidate, max_here) : 0;
     if (count == 0) continue;
     constraints.add(candidate->zone(), count);
     room.shares.push_back({candidate, count});
     room.cost = std::max(room.cost, cost);
-    left -= count;
+    tasks_left -= count;
   }
-  if (left > 0) return std::nullopt;
+  if (tasks_left > 0) return std::nullopt;
   return room;
 }
 
--- a/src/dunlinknot/scheduler/gang_reservation.cpp
+++ b/src/dunlinknot/scheduler/gang_reservation.cpp
@@ -29,10 +29,11 @@
 // Seconds until the task ends, by the estimate in its job.
 double seconds_until_end(const Allocation& allocation, Instant now) {
   if (allocation.service) return std::numeric_limits<double>::max();
-  const double run = std::max(1.0, allocation.estimate.count());
-  if (allocation.running_since == Instant{}) return run * kNotStartedFactor;
-  const double ran = to_seconds(now - allocation.running_since).count();
-  return ran < run ? run - ran : run / kOverrunDivisor;
+  const double estimated_seconds = std::max(1.0, allocation.estimate.count());
+  if (allocation.running_since == Instant{}) return estimated_seconds * kNotStartedFactor;
+  const double elapsed_seconds = to_seconds(now - allocation.running_since).count();
+  return elapsed_seconds < estimated_seconds ? estimated_seconds - elapsed_seconds
+                                             : estimated_seconds / kOverrunDivisor;
 }
 
 // The array tasks on the machine in the order in which they are expected to end.
--- a/src/dunlinknot/scheduler/headroom.cpp
+++ b/src/dunlinknot/scheduler/headroom.cpp
@@ -25,9 +25,11 @@
 
 // Expected number of tasks of a class that arrive before new capacity could be ready for them.
 struct ExpectedTasks {
-  uint32_t upper_estimate = 0;  // mean plus the allowance for variation
-  uint32_t mean = 0;            // share of the mean for machines with accelerators
-  uint32_t sustained_mean = 0;  // the same by the last 60 s, if that is less
+  uint32_t upper_estimate = 0;  // mean plus kStandardDeviations times the deviation
+  // kAcceleratorHeadroomShare of the mean, the limit for machines with accelerators.
+  uint32_t mean = 0;
+  // The same, from the arrivals of the last 60 s only if they give a lower mean.
+  uint32_t sustained_mean = 0;
 };
 
 ExpectedTasks expected_tasks(const cluster::DemandForecast& forecast, WallTime wall) {
--- a/src/dunlinknot/scheduler/job_queue.cpp
+++ b/src/dunlinknot/scheduler/job_queue.cpp
@@ -66,12 +66,13 @@
 // A job is overdue when none of its tasks has started within the bound, or when it is late by more
 // than the maximum lateness.
 bool is_overdue(const CycleInputs& inputs, const Job& job) {
-  const double age = waiting_seconds(inputs, job);
+  const double waited_seconds = waiting_seconds(inputs, job);
   if (job.done_count() == 0 && job.live_count() == job.queued_tasks)
-    return age > max_wait_seconds(inputs, job.spec());
+    return waited_seconds > max_wait_seconds(inputs, job.spec());
   if (job.spec().service) return false;
-  const double due = job.spec().deadline ? job.spec().deadline->count() : kDefaultDueTime.count();
-  return age > due + kMaxLateness.count();
+  const double due_seconds =
+      job.spec().deadline ? job.spec().deadline->count() : kDefaultDueTime.count();
+  return waited_seconds > due_seconds + kMaxLateness.count();
 }
 
 }  // namespace
--- a/src/dunlinknot/scheduler/placement.cpp
+++ b/src/dunlinknot/scheduler/placement.cpp
@@ -25,11 +25,11 @@
 double stranded_gpus(const Cluster& cluster, const JobSpec& spec, const MachineType& type) {
   const Resources& needed_per_gpu = cluster.resources_per_gpu();
   if (needed_per_gpu.cpus <= 0 || needed_per_gpu.memory_gb <= 0) return 0;
-  const Resources rest = type.size - spec.need;
-  const double usable =
-      std::min(std::floor(rest.cpus / needed_per_gpu.cpus + Resources::kTolerance),
-               std::floor(rest.memory_gb / needed_per_gpu.memory_gb + Resources::kTolerance));
-  return type.size.gpus - std::clamp(usable, 0.0, type.size.gpus);
+  const Resources remaining = type.size - spec.need;
+  const double usable_gpus =
+      std::min(std::floor(remaining.cpus / needed_per_gpu.cpus + Resources::kTolerance),
+               std::floor(remaining.memory_gb / needed_per_gpu.memory_gb + Resources::kTolerance));
+  return type.size.gpus - std::clamp(usable_gpus, 0.0, type.size.gpus);
 }
 
 double fetch_cost(const JobSpec& spec, const CandidateMachine& candidate) {
@@ -110,8 +110,9 @@
                                  const CandidateMachine& candidate) {
   if (!candidate.record_room) return std::numeric_limits<uint32_t>::max();
   const Cluster::RecordCost cost = cluster.record_cost(job);
-  const size_t left = *candidate.record_room - std::min(*candidate.record_room, cost.group_bytes);
-  return static_cast<uint32_t>(left / cost.task_bytes);
+  const size_t bytes_left =
+      *candidate.record_room - std::min(*candidate.record_room, cost.group_bytes);
+  return static_cast<uint32_t>(bytes_left / cost.task_bytes);
 }
 
 void reserve_record_space(const Cluster& cluster, const Job& job, CandidateMachine& candidate,
@@ -180,9 +181,10 @@
                                 double ready_in_seconds) {
   const JobSpec& spec = entry.job->spec();
   if (spec.service) return 1;  // its replicas do not end
-  const double run = std::max(1.0, spec.estimate.count());
-  const double span = std::max(run, entry.due - ready_in_seconds - fetch_seconds(spec, type));
-  return std::max(1.0, std::floor(span / run));
+  const double run_seconds = std::max(1.0, spec.estimate.count());
+  const double available_seconds =
+      std::max(run_seconds, entry.due - ready_in_seconds - fetch_seconds(spec, type));
+  return std::max(1.0, std::floor(available_seconds / run_seconds));
 }
 
 }  // namespace dunlinknot::scheduler
