--- a/src/dunlinknot/cluster/allocation_store/progress_writer.cpp
+++ b/src/dunlinknot/cluster/allocation_store/progress_writer.cpp
@@ -90,8 +90,8 @@
   if (batch.chunks.empty()) return;
   last_open_job_ = batch.chunks.back().job;
   const double rate = access_.store.write_burst() * kOpenJobsBudgetShare;
-  const Seconds pause(static_cast<double>(batch.chunks.size()) / rate);
-  next_open_ = access_.context.loop.now() + to_nanos(pause);
+  const Seconds write_delay(static_cast<double>(batch.chunks.size()) / rate);
+  next_open_ = access_.context.loop.now() + to_nanos(write_delay);
 }
 
 // Applies a batch that is durable.
@@ -179,8 +179,8 @@
     co_await context.loop.sleep(StoreAccess::kRetryDelay);
     co_return true;
   }
-  const bool reread_all = co_await reread(term, std::move(batch), std::move(result));
-  if (!reread_all) co_return false;
+  const bool term_continues = co_await reread(term, std::move(batch), std::move(result));
+  if (!term_continues) co_return false;
   co_await context.loop.sleep(kRereadDelay);
   co_return true;
 }
--- a/src/dunlinknot/cluster/allocation_store/record_cleaner.cpp
+++ b/src/dunlinknot/cluster/allocation_store/record_cleaner.cpp
@@ -52,7 +52,7 @@
   co_return false;
 }
 
-// Queues the records of a transaction that was not applied or had an unknown outcome again.
+// Queues again the records of a transaction that was not applied or had an unknown outcome.
 Task<void> RecordCleaner::requeue(uint64_t term, Batch batch, kv::TransactionResult result) {
   for (ObsoleteRecord& record : batch.records) {
     if (!result.compare_failed(record.key)) {
--- a/src/dunlinknot/cluster/failure_detector.cpp
+++ b/src/dunlinknot/cluster/failure_detector.cpp
@@ -38,7 +38,7 @@
 }
 
 // If an incarnation lasts longer than a lease since the last suspicion, our responses must have
-// renewed that lease. Without this rule (found by random scenarios), machines that had been
+// renewed that lease. Without this rule (found by random scenario tests), machines that had been
 // unreachable for a while never became reachable: they were sent no `run` that they could execute,
 // there were too many of them to be deleted, and the only job that fitted them waited forever.
 void FailureDetector::on_heartbeat(Machine& machine, Instant now) const {
--- a/src/dunlinknot/cluster/record_write_queue.cpp
+++ b/src/dunlinknot/cluster/record_write_queue.cpp
@@ -36,9 +36,9 @@
   };
   const bool urgent =
       std::any_of(machine.allocations.begin(), machine.allocations.end(), is_urgent);
-  bool& waits = urgent ? machine.urgent : machine.write_queued;
-  if (waits) return;
-  waits = true;
+  bool& is_queued = urgent ? machine.urgent : machine.write_queued;
+  if (is_queued) return;
+  is_queued = true;
   (urgent ? urgent_ : ordinary_).push_front(machine.id);
 }
 
--- a/src/dunlinknot/cluster/records.cpp
+++ b/src/dunlinknot/cluster/records.cpp
@@ -42,7 +42,7 @@
   }
 }
 
-// Adds the machines to which a `run` is sendable now that the allocation is durable to `runnable_`.
+// Adds to `runnable_` the machines to which a `run` is sendable now that the allocation is durable.
 void Cluster::allow_run(const Machine& machine, const Allocation& allocation) {
   if (!allocation.gang) {
     runnable_.push_back(machine.id);
--- a/src/dunlinknot/scheduler/gang_placement.cpp
+++ b/src/dunlinknot/scheduler/gang_placement.cpp
@@ -14,8 +14,8 @@
 
 // Shares of machines with room for all of the gang's tasks.
 struct GangRoom {
-  double cost =
-      0;  // of the most expensive share, since the slowest task determines the gang's start
+  // The cost of the most expensive share, since the slowest task determines the gang's start.
+  double cost = 0;
   std::vector<CandidateShare> shares;
 };
 
--- a/src/dunlinknot/scheduler/gangs.cpp
+++ b/src/dunlinknot/scheduler/gangs.cpp
@@ -66,9 +66,9 @@
   const Job& job = *entry.job;
   const JobSpec& spec = job.spec();
   if (state_.quotas.tasks_allowed(job) < spec.tasks) {
-    // The team's limit is used up by jobs behind this gang in the queue. The remaining quota is
-    // reserved for the gang: otherwise smaller tasks would take it piece by piece and the gang
-    // would never start.
+    // The team's limit does not allow all of the gang's tasks now. The remaining quota is reserved
+    // for the gang: otherwise jobs behind it in the queue would take the quota piece by piece and
+    // the gang would never start.
     state_.quotas.charge(job, spec.tasks);
     state_.plan.reserved_quota[static_cast<size_t>(job.team())] += spec.need * spec.tasks;
     return WaitCause::team_limit;
