--- a/src/dunlinknot/scheduler/placement.cpp
+++ b/src/dunlinknot/scheduler/placement.cpp
@@ -61,19 +61,19 @@
 // nominations; empty: no restriction.
 std::optional<Resources> room_after_reservations(const Cluster& cluster, const JobSpec& spec,
                                                  const CandidateMachine& candidate) {
-  std::optional<Resources> rest;
+  std::optional<Resources> unreserved;
   const Resources& free = candidate.capacity.free();
   const ReservedRoom& reserved = candidate.reserved;
   // For each free accelerator, single tasks that need none leave the cpus and memory that its next
   // task will need. Otherwise machines launched for their accelerators would fill up with tasks
   // that can run anywhere and are soon preempted for a guarantee.
   if (!spec.gang && spec.need.gpus <= 0 && free.gpus > 0 && reserved.owner != spec.job_class)
-    rest = free - cluster.resources_per_gpu() * free.gpus;
+    unreserved = free - cluster.resources_per_gpu() * free.gpus;
   const bool reserved_for_other =
       reserved.has_owner() && reserved.owner != spec.job_class && reserved.owner != spec.id;
   if (reserved_for_other && spec.priority <= reserved.priority)
-    rest = rest.value_or(free) - reserved.room;
-  return rest;
+    unreserved = unreserved.value_or(free) - reserved.room;
+  return unreserved;
 }
 
 }  // namespace
@@ -127,7 +127,7 @@
                         uint32_t max_tasks) {
   const JobSpec& spec = job.spec();
   max_tasks = std::min(max_tasks, tasks_allowed_by_record(state.cluster(), job, candidate));
-  if (const auto rest = room_after_reservations(state.cluster(), spec, candidate)) {
+  if (const auto unreserved = room_after_reservations(state.cluster(), spec, candidate)) {
     // Unlike in preemption::tasks_that_fit_in, a resource that the task does not need sets no
     // limit, even where a negative amount of it is left.
     const auto limit = [&](double available, double need) {
@@ -136,9 +136,9 @@
       max_tasks =
           fitting_tasks <= 0 ? 0 : std::min(max_tasks, static_cast<uint32_t>(fitting_tasks));
     };
-    limit(rest->cpus, spec.need.cpus);
-    limit(rest->gpus, spec.need.gpus);
-    limit(rest->memory_gb, spec.need.memory_gb);
+    limit(unreserved->cpus, spec.need.cpus);
+    limit(unreserved->gpus, spec.need.gpus);
+    limit(unreserved->memory_gb, spec.need.memory_gb);
     if (max_tasks == 0) return 0;
   }
   return candidate.capacity.count(spec.need, spec.priority, max_tasks);
