--- a/src/dunlinknot/cluster/failure_detector.cpp
+++ b/src/dunlinknot/cluster/failure_detector.cpp
@@ -38,7 +38,7 @@
 }
 
 // If an incarnation lasts longer than a lease since the last suspicion, our responses must have
-// renewed that lease. Without this rule (found by random scenarios), machines that had been
+// renewed that lease. Without this rule (found by random scenario tests), machines that had been
 // unreachable for a while never became reachable: they were sent no `run` that they could execute,
 // there were too many of them to be deleted, and the only job that fitted them waited forever.
 void FailureDetector::on_heartbeat(Machine& machine, Instant now) const {
@@ -66,8 +66,8 @@
   machine.task_errors = {};
 }
 
-// Safety 6: a machine on which tasks fail that complete on other machines is drained; a job that
-// fails on every machine backs off.
+// Safety 6: a failure is attributed to the machine when other machines complete the task, and to
+// the job when it fails on all of them. The machine is drained, the job backs off.
 void FailureDetector::on_task_error(Machine& machine, Job* job, const JobTable& jobs,
                                     Instant now) const {
   ++machine.task_errors.consecutive;
--- a/src/dunlinknot/cluster/records.cpp
+++ b/src/dunlinknot/cluster/records.cpp
@@ -42,13 +42,13 @@
   }
 }
 
-// Adds the machines to which a `run` is sendable now that the allocation is durable to `runnable_`.
+// Adds to `runnable_` the machines to which a `run` is sendable now that the allocation is durable.
 void Cluster::allow_run(const Machine& machine, const Allocation& allocation) {
   if (!allocation.gang) {
     runnable_.push_back(machine.id);
     return;
   }
-  // Safety 4: a gang starts only once all its allocations are durable.
+  // Safety 4: a gang's runs are sent only once all its allocations are durable.
   const std::string& id = allocation.task.job;
   Job* open_job = job(id);
   if (!open_job || open_job->gang_attempt != allocation.attempt) return;
--- a/src/dunlinknot/scheduler/placement.cpp
+++ b/src/dunlinknot/scheduler/placement.cpp
@@ -25,11 +25,11 @@
 double stranded_gpus(const Cluster& cluster, const JobSpec& spec, const MachineType& type) {
   const Resources& needed_per_gpu = cluster.resources_per_gpu();
   if (needed_per_gpu.cpus <= 0 || needed_per_gpu.memory_gb <= 0) return 0;
-  const Resources rest = type.size - spec.need;
-  const double usable =
-      std::min(std::floor(rest.cpus / needed_per_gpu.cpus + Resources::kTolerance),
-               std::floor(rest.memory_gb / needed_per_gpu.memory_gb + Resources::kTolerance));
-  return type.size.gpus - std::clamp(usable, 0.0, type.size.gpus);
+  const Resources remaining = type.size - spec.need;
+  const double usable_gpus =
+      std::min(std::floor(remaining.cpus / needed_per_gpu.cpus + Resources::kTolerance),
+               std::floor(remaining.memory_gb / needed_per_gpu.memory_gb + Resources::kTolerance));
+  return type.size.gpus - std::clamp(usable_gpus, 0.0, type.size.gpus);
 }
 
 double fetch_cost(const JobSpec& spec, const CandidateMachine& candidate) {
@@ -61,19 +61,19 @@
 // nominations; empty: no restriction.
 std::optional<Resources> room_after_reservations(const Cluster& cluster, const JobSpec& spec,
                                                  const CandidateMachine& candidate) {
-  std::optional<Resources> rest;
+  std::optional<Resources> unreserved;
   const Resources& free = candidate.capacity.free();
   const ReservedRoom& reserved = candidate.reserved;
   // For each free accelerator, single tasks that need none leave the cpus and memory that its next
   // task will need. Otherwise machines launched for their accelerators would fill up with tasks
   // that can run anywhere and are soon preempted for a guarantee.
   if (!spec.gang && spec.need.gpus <= 0 && free.gpus > 0 && reserved.owner != spec.job_class)
-    rest = free - cluster.resources_per_gpu() * free.gpus;
+    unreserved = free - cluster.resources_per_gpu() * free.gpus;
   const bool reserved_for_other =
       reserved.has_owner() && reserved.owner != spec.job_class && reserved.owner != spec.id;
   if (reserved_for_other && spec.priority <= reserved.priority)
-    rest = rest.value_or(free) - reserved.room;
-  return rest;
+    unreserved = unreserved.value_or(free) - reserved.room;
+  return unreserved;
 }
 
 }  // namespace
@@ -110,8 +110,9 @@
                                  const CandidateMachine& candidate) {
   if (!candidate.record_room) return std::numeric_limits<uint32_t>::max();
   const Cluster::RecordCost cost = cluster.record_cost(job);
-  const size_t left = *candidate.record_room - std::min(*candidate.record_room, cost.group_bytes);
-  return static_cast<uint32_t>(left / cost.task_bytes);
+  const size_t bytes_left =
+      *candidate.record_room - std::min(*candidate.record_room, cost.group_bytes);
+  return static_cast<uint32_t>(bytes_left / cost.task_bytes);
 }
 
 void reserve_record_space(const Cluster& cluster, const Job& job, CandidateMachine& candidate,
@@ -126,7 +127,7 @@
                         uint32_t max_tasks) {
   const JobSpec& spec = job.spec();
   max_tasks = std::min(max_tasks, tasks_allowed_by_record(state.cluster(), job, candidate));
-  if (const auto rest = room_after_reservations(state.cluster(), spec, candidate)) {
+  if (const auto unreserved = room_after_reservations(state.cluster(), spec, candidate)) {
     // Unlike in preemption::tasks_that_fit_in, a resource that the task does not need sets no
     // limit, even where a negative amount of it is left.
     const auto limit = [&](double available, double need) {
@@ -135,9 +136,9 @@
       max_tasks =
           fitting_tasks <= 0 ? 0 : std::min(max_tasks, static_cast<uint32_t>(fitting_tasks));
     };
-    limit(rest->cpus, spec.need.cpus);
-    limit(rest->gpus, spec.need.gpus);
-    limit(rest->memory_gb, spec.need.memory_gb);
+    limit(unreserved->cpus, spec.need.cpus);
+    limit(unreserved->gpus, spec.need.gpus);
+    limit(unreserved->memory_gb, spec.need.memory_gb);
     if (max_tasks == 0) return 0;
   }
   return candidate.capacity.count(spec.need, spec.priority, max_tasks);
@@ -180,9 +181,10 @@
                                 double ready_in_seconds) {
   const JobSpec& spec = entry.job->spec();
   if (spec.service) return 1;  // its replicas do not end
-  const double run = std::max(1.0, spec.estimate.count());
-  const double span = std::max(run, entry.due - ready_in_seconds - fetch_seconds(spec, type));
-  return std::max(1.0, std::floor(span / run));
+  const double run_seconds = std::max(1.0, spec.estimate.count());
+  const double available_seconds =
+      std::max(run_seconds, entry.due - ready_in_seconds - fetch_seconds(spec, type));
+  return std::max(1.0, std::floor(available_seconds / run_seconds));
 }
 
 }  // namespace dunlinknot::scheduler
