--- a/src/dunlinknot/jobs/job_lookup.hpp
+++ b/src/dunlinknot/jobs/job_lookup.hpp
@@ -47,7 +47,7 @@
 
   FinalCache& final_cache() { return final_cache_; }
   // The highest revision of a durable cancellation that this node has read or written. It has not
-  // confirmed any later cancellation to its users.
+  // acknowledged any later cancellation to its users.
   uint64_t cancel_revision() const { return cancel_revision_; }
 
  private:
--- a/src/dunlinknot/jobs/request_handler.cpp
+++ b/src/dunlinknot/jobs/request_handler.cpp
@@ -41,8 +41,8 @@
 }
 
 // Safety 3: the job's record is deleted and its terminal state is stored in one transaction before
-// the cancellation is confirmed to the user. From then on, every transaction that allocates a task
-// of the job fails its compare.
+// the cancellation is acknowledged to the user. From then on, every transaction that allocates a
+// task of the job fails its compare.
 kv::Transaction cancellation_transaction(const std::string& id, const LookupResult& job) {
   kv::Transaction transaction;
   transaction.compares.push_back({wire::job_key(id), job.mod_revision});
@@ -159,8 +159,8 @@
     if (result.outcome == Outcome::not_executed) break;
     if (result.outcome == Outcome::ok && result.applied)
       lookup_.record_final(id, {true, found.tasks}, result.revision);
-    // Whether the transaction was applied, failed its compares or got no answer: the next lookup
-    // determines the response.
+    // The transaction was applied, failed its compares or was not answered. In each case the next
+    // lookup determines the response.
   }
   co_return unavailable();
 }
--- a/src/dunlinknot/leadership/elector.hpp
+++ b/src/dunlinknot/leadership/elector.hpp
@@ -1,7 +1,7 @@
 // Leader election on the key-value store. The key `leader` is bound to a short lease; acquiring it
 // also increments `epoch`, whose value is the fencing token sent to workers. Every transaction of a
-// leader compares the mod revision of `epoch`, so transactions of a former leader that are still in
-// flight fail.
+// leader compares the mod revision of `epoch`, so transactions of a previous leader that are still
+// in flight fail.
 #pragma once
 #include <algorithm>
 #include <optional>
@@ -71,8 +71,8 @@
   // returned the cancellations recently enough.
   bool may_start() const;
   // Whether the workers' leases may be renewed. `confirmed_until`: the time up to which all other
-  // nodes have confirmed that they accepted no cancellation unknown to this node; empty when any of
-  // them has not.
+  // nodes have confirmed that they acknowledged no cancellation unknown to this node; empty when
+  // any of them has not.
   bool may_renew(std::optional<Instant> confirmed_until) const;
 
  private:
--- a/src/dunlinknot/leadership/peers.hpp
+++ b/src/dunlinknot/leadership/peers.hpp
@@ -40,9 +40,9 @@
   // socket cannot be opened.
   void start();
 
-  // The time up to which every peer is known to have accepted no cancellation after `revision`.
-  // Empty when a peer may have accepted one. A peer process that started after `since` cannot
-  // confirm this, because its previous process may have accepted one.
+  // The time up to which every peer is known to have acknowledged no cancellation after
+  // `revision`. Empty when a peer may have acknowledged one. A peer process that started after
+  // `since` cannot confirm this, because its previous process may have acknowledged one.
   std::optional<Instant> no_unknown_cancellation_until(Instant since, uint64_t revision) const;
   // Notifies the leader, or all peers while the leader is unknown, that a job was cancelled. Only
   // an optimization: the message may be lost or delayed.
--- a/src/dunlinknot/node/daemon.cpp
+++ b/src/dunlinknot/node/daemon.cpp
@@ -62,9 +62,9 @@
   loop_.spawn(counter_log_.run());
 }
 
-// Notifies the leader of a cancellation confirmed by any node, so that it stops the job's tasks at
-// once. This only reduces latency: a leader that the key-value store does not serve would otherwise
-// learn of the cancellation too late to save work in progress.
+// Notifies the leader of a cancellation acknowledged by any node, so that it stops the job's tasks
+// at once. This only reduces latency: a leader that cannot reach the key-value store would
+// otherwise learn of the cancellation too late to save work in progress.
 void Daemon::on_user_cancellation(const std::string& id) {
   if (elector_.leading()) {
     on_peer_cancellation(id);
--- a/src/dunlinknot/node/daemon.hpp
+++ b/src/dunlinknot/node/daemon.hpp
@@ -45,7 +45,7 @@
   // Serves one HTTP request. Called by the HTTP server and by tests.
   Task<http::Response> handle(http::Request request) { return router_.handle(std::move(request)); }
 
-  // A peer confirmed a cancellation to its user. If this node leads, it stops the job's tasks at
+  // A peer acknowledged a cancellation to its user. If this node leads, it stops the job's tasks at
   // once.
   void on_peer_cancellation(const std::string& id) override;
 
--- a/src/dunlinknot/node/renewal_policy.cpp
+++ b/src/dunlinknot/node/renewal_policy.cpp
@@ -12,7 +12,8 @@
 
 bool RenewalPolicy::may_renew() const {
   if (elector_.may_renew(std::nullopt)) return true;
-  // This node has confirmed a cancellation to a user that is not applied to the cluster state yet.
+  // This node has acknowledged a cancellation to a user that is not applied to the cluster state
+  // yet.
   const uint64_t revision = allocation_store_.jobs_revision();
   if (jobs_.cancel_revision() > revision) return false;
   return elector_.may_renew(
--- a/src/dunlinknot/node/renewal_policy.hpp
+++ b/src/dunlinknot/node/renewal_policy.hpp
@@ -10,9 +10,9 @@
 namespace dunlinknot::node {
 
 // A leader renews leases for a bounded window after the last time it was proven to know every
-// cancellation. While the key-value store is unavailable to all nodes, no node can confirm a
-// cancellation. Statements by all peers and this node that they confirmed none are then equivalent
-// to reading the store.
+// cancellation. While the key-value store is unavailable to all nodes, no node can acknowledge a
+// cancellation. When all peers and this node confirm that they acknowledged none, that is then
+// equivalent to reading the store.
 class RenewalPolicy final : public workers::LeaseRenewalPolicy {
  public:
   // The referenced objects must outlive the policy.
