--- a/src/dunlinknot/autoscaler/scale_out.cpp
+++ b/src/dunlinknot/autoscaler/scale_out.cpp
@@ -187,8 +187,8 @@
   if (machines.size() < launch.count) back_off(offer, now);
 }
 
-// The copy of the request that was answered was not carried out, so the scheduler may choose
-// another offer. If an earlier copy may still be carried out, the request stays open under its name
+// The copy of the request that was answered was not executed, so the scheduler may choose
+// another offer. If an earlier copy may still be executed, the request stays open under its name
 // and is sent again when the scheduler requests the same offer.
 void ScaleOut::apply_refusal(const Launch& launch, LaunchOutcome outcome) {
   Launch* current = find_launch(launch.request);
--- a/src/dunlinknot/autoscaler/scale_out.hpp
+++ b/src/dunlinknot/autoscaler/scale_out.hpp
@@ -57,7 +57,7 @@
     std::string job;                // the job that requested the capacity first
     uint32_t unanswered_sends = 0;  // requests sent that got no definite answer
     bool recorded = false;  // the intent is durable; always true with singleton roles disabled
-    // An earlier copy of the request may still be carried out. The refusal of a later copy does not
+    // An earlier copy of the request may still be executed. The refusal of a later copy does not
     // rule that out, so the name stays open.
     bool outcome_uncertain = false;
     bool suspended = false;  // not sent for now: the cloud refused a copy of the request
@@ -76,7 +76,7 @@
   cloud::Client& cloud_;
   roles::SingletonRoles* roles_;
   uint64_t request_count_ = 0;  // number of request names used in this term
-  // Whether the whole machine list was read in this term. Every machine that a former leader
+  // Whether the whole machine list was read in this term. Every machine that a previous leader
   // launched is in the list or in an open intent. Before both are read, those machines would be
   // launched a second time.
   bool list_read_ = false;
--- a/src/dunlinknot/cloud/client.cpp
+++ b/src/dunlinknot/cloud/client.cpp
@@ -19,7 +19,7 @@
 constexpr int kStatusThrottled = 429;
 constexpr int kStatusUnavailable = 503;
 
-// Whether the cloud answered that it did not carry the request out.
+// Whether the cloud answered that it did not execute the request.
 bool is_refusal(const http::Reply& reply) {
   return reply.status == kStatusThrottled || reply.status == kStatusUnavailable;
 }
@@ -75,13 +75,13 @@
     answering_ = false;
   }
   if (reply.outcome != Outcome::ok) {
-    // Only an answer from the cloud itself proves that the request was not carried out.
+    // Only an answer from the cloud itself proves that the request was not executed.
     const bool refused = reply.outcome == Outcome::not_executed && answering_;
     result.outcome = refused ? LaunchOutcome::refused : LaunchOutcome::unknown;
     co_return result;
   }
   if (reply.status != kStatusOk) {
-    spdlog::error("cloud: launch {} rejected with HTTP status {}; treating it as not carried out",
+    spdlog::error("cloud: launch {} rejected with HTTP status {}; treating it as not executed",
                   request.name, reply.status);
     result.outcome = LaunchOutcome::refused;
     co_return result;
--- a/src/dunlinknot/cloud/client.hpp
+++ b/src/dunlinknot/cloud/client.hpp
@@ -27,9 +27,9 @@
 // The outcome of one copy of a launch request. Does not apply to other copies under the same name.
 enum class LaunchOutcome : uint8_t {
   launched,     // `machines` were launched, possibly fewer than requested
-  no_capacity,  // certainly not carried out: the cloud has no capacity of that kind
-  refused,      // certainly not carried out: throttled, or an invalid request
-  unknown,      // may have been or may still be carried out, or the cloud failed
+  no_capacity,  // certainly not executed: the cloud has no capacity of that kind
+  refused,      // certainly not executed: throttled, or an invalid request
+  unknown,      // may have been or may still be executed, or the cloud failed
 };
 
 // The result of a launch request.
--- a/src/dunlinknot/jobs/responses.hpp
+++ b/src/dunlinknot/jobs/responses.hpp
@@ -17,7 +17,7 @@
                                bool with_counts);
 // An error response (4xx) with the reason.
 http::Response error_response(int status, std::string_view reason);
-// 503: the request was not carried out, or its outcome is unknown.
+// 503: the request was not executed, or its outcome is unknown.
 http::Response retry_response(int retry_after_s);
 
 }  // namespace dunlinknot::jobs
