--- a/src/dunlinknot/autoscaler/scale_in.cpp
+++ b/src/dunlinknot/autoscaler/scale_in.cpp
@@ -37,8 +37,8 @@
       leader.cluster.mark_terminating(intent.machine);
       resumed_.insert(intent.machine);
     }
-    // An unreadable intent shows only its machine, not the decision: the machine gets no more work
-    // and is not terminated.
+    // An unreadable intent identifies its machine but not the decision: the machine gets no more
+    // work and is not terminated.
     for (const roles::UnreadableIntent& intent : open.unreadable) {
       const std::string_view machine = roles::machine_of_scale_in_key(intent.key);
       if (!machine.empty()) leader.cluster.mark_terminating(std::string(machine));
--- a/src/dunlinknot/autoscaler/termination_policy.cpp
+++ b/src/dunlinknot/autoscaler/termination_policy.cpp
@@ -75,12 +75,12 @@
 }
 
 // Some machines take several times their type's boot time to boot. Some never come up and incur
-// cost until they are terminated. The termination ends any allocations that a former leader made
+// cost until they are terminated. The termination ends any allocations that a previous leader made
 // there.
 std::optional<TerminationReason> TerminationPolicy::without_heartbeat(
     const Machine& machine, const MachineType& type, const TerminationScan& scan) const {
   // A new leader has not received any heartbeats yet. A machine that is up, or was up under a
-  // former leader, gets the same timeout as a lost machine.
+  // previous leader, gets the same timeout as a lost machine.
   const Instant heartbeat_deadline = scan.term_since + lost_timeout_;
   const bool was_up = machine.listed_running || !machine.allocations.empty();
   if (was_up) {
--- a/src/dunlinknot/roles/intent_log.cpp
+++ b/src/dunlinknot/roles/intent_log.cpp
@@ -34,8 +34,8 @@
 }
 
 Task<std::optional<OpenIntents>> IntentLog::load(uint64_t term) {
-  // A leader that does not know the open intents could decide the same again, so this retries until
-  // the term ends.
+  // A leader that does not know the open intents could make the same decision again, so this
+  // retries until the term ends.
   const ListRetry retry{kRetryDelay, std::nullopt, [this, term] { return context_.in_term(term); }};
   const auto pages = co_await list_all(context_.loop, store_, std::string(kIntentPrefix), retry);
   if (!pages) co_return std::nullopt;
@@ -121,7 +121,7 @@
 }
 
 // Reads the entries back after a transaction whose outcome is unknown. A stored intent counts as
-// durable, whichever attempt wrote it; this includes a termination decided by a former holder.
+// durable, whichever attempt wrote it; this includes a termination decided by a previous holder.
 Task<bool> IntentLog::read_back(uint64_t term, std::vector<Entry> entries) {
   bool all_found = true;
   for (const Entry& entry : entries) {
--- a/src/dunlinknot/roles/intent_log.hpp
+++ b/src/dunlinknot/roles/intent_log.hpp
@@ -3,8 +3,8 @@
 // until the outcome of the request is known.
 //
 // A successor reads the open intents and repeats the same requests under the same names before it
-// makes decisions of its own. So a request that a former holder sends late is always a duplicate of
-// one that is sent anyway (docs/singleton_roles.md).
+// makes decisions of its own. So a request that a previous holder sends late is always a duplicate
+// of one that is sent anyway (docs/singleton_roles.md).
 #pragma once
 #include <deque>
 #include <map>
@@ -79,7 +79,7 @@
   kv::Client& store_;
   RoleHolder& holder_;
   std::map<std::string, uint64_t> mod_revisions_;  // of the open intents, by key
-  std::deque<SettledIntent> settled_;              // whose records are still to be removed
+  std::deque<SettledIntent> settled_;              // intents whose records are still to be removed
   AutoResetEvent has_settled_;
 };
 
--- a/src/dunlinknot/roles/role_holder.hpp
+++ b/src/dunlinknot/roles/role_holder.hpp
@@ -1,8 +1,8 @@
 // Acquires, renews and releases the singleton roles for the leader.
 //
-// Only the leader acquires roles. It does not wait for the expiry of the former holder's lease: the
-// acquiring transaction compares the epoch and changes the role's key, so later transactions of the
-// former holder fail (docs/singleton_roles.md).
+// Only the leader acquires roles. It does not wait for the expiry of the previous holder's lease:
+// the acquiring transaction compares the epoch and changes the role's key, so later transactions of
+// the previous holder fail (docs/singleton_roles.md).
 #pragma once
 #include <array>
 #include <optional>
