--- a/src/dunlinknot/jobs/request_handler.hpp
+++ b/src/dunlinknot/jobs/request_handler.hpp
@@ -18,7 +18,7 @@
 
 // Every node serves users directly from the key-value store, which is the source of truth for which
 // jobs are accepted, cancelled or done. Every function responds before the users' timeout, with 503
-// and a Retry-After if nothing can be confirmed by then. Runs on the event loop.
+// and a Retry-After if the outcome is not known by then. Runs on the event loop.
 class RequestHandler {
  public:
   // `seed`: for the random Retry-After values. `on_cancelled`: see JobLookup. The referenced
--- a/src/dunlinknot/node/leader_loop.cpp
+++ b/src/dunlinknot/node/leader_loop.cpp
@@ -38,7 +38,7 @@
       autoscaler_(autoscaler) {}
 
 Task<void> LeaderLoop::run(uint64_t term) {
-  // Since when heartbeats could have been answered without interruption.
+  // Start of the current period in which this node may answer heartbeats.
   Instant answering_since = context_.loop.now();
   Instant next_tick = answering_since;
   while (context_.in_term(term)) {
--- a/src/dunlinknot/node/local_status.hpp
+++ b/src/dunlinknot/node/local_status.hpp
@@ -1,5 +1,5 @@
-// The status that this node reports to its peers: whether it leads, whether the key-value store and
-// the workers reach it, and the progress of open jobs.
+// The status that this node reports to its peers: whether it leads, whether the key-value store
+// answers it and heartbeats reach it, and the progress of open jobs.
 #pragma once
 #include "dunlinknot/cluster/leader_context.hpp"
 #include "dunlinknot/jobs/request_handler.hpp"
--- a/src/dunlinknot/runtime/event_loop.cpp
+++ b/src/dunlinknot/runtime/event_loop.cpp
@@ -115,8 +115,8 @@
 
 void EventLoop::unwatch_fd(int fd) {
   if (destroying_) return;  // closing the socket also removes it from epoll
-  // A socket that outlives destroy_coroutines() no longer has an entry in fds_ (found by the
-  // handover run under the address sanitizer).
+  // A socket that outlives destroy_coroutines() no longer has an entry in fds_. The access beyond
+  // the end of fds_ was found by a failover run under the address sanitizer.
   if (static_cast<size_t>(fd) >= fds_.size()) return;
   FdSlots& slots = fds_[static_cast<size_t>(fd)];
   if (slots.reader) wake(*slots.reader, true);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -123,7 +123,7 @@
     subcommand->callback([&arguments, command] { arguments.command = command; });
   };
   add_command("serve", "Runs this controller until it is killed", Arguments::Command::serve);
-  add_command("check-config", "Checks the settings and says what is wrong with them",
+  add_command("check-config", "Checks the settings and reports the first error",
               Arguments::Command::check_config);
   add_command("duties", "Prints who holds the singleton roles and what is open; changes nothing",
               Arguments::Command::duties);
