--- a/src/dunlinknot/kv/client.cpp
+++ b/src/dunlinknot/kv/client.cpp
@@ -47,11 +47,11 @@
   return document ? document->root() : View();
 }
 
-// Logs a response that cannot be parsed. It does not show whether the request was executed.
+// Logs a response with an unexpected status or a body that cannot be parsed. It does not show
+// whether the request was executed.
 Outcome unreadable_response(const char* request, int status) {
   spdlog::info(
-      "key-value store: cannot parse the response to {} (status {}); the outcome is treated as "
-      "unknown",
+      "key-value store: unexpected response to {} (status {}); the outcome is treated as unknown",
       request, status);
   return Outcome::unknown;
 }
--- a/src/dunlinknot/node/leader_loop.cpp
+++ b/src/dunlinknot/node/leader_loop.cpp
@@ -52,7 +52,7 @@
       // a network partition.
       if (!renewal_policy_.may_renew()) answering_since = now;
       if (partitioned_from_workers(answering_since, now)) {
-        elector_.resign("no heartbeat reaches this node while its peers receive heartbeats");
+        elector_.resign("no heartbeat reaches this node while a peer receives heartbeats");
         co_return;
       }
     }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -125,7 +125,8 @@
   add_command("serve", "Runs this controller until it is killed", Arguments::Command::serve);
   add_command("check-config", "Checks the settings and reports the first error",
               Arguments::Command::check_config);
-  add_command("duties", "Prints who holds the singleton roles and what is open; changes nothing",
+  add_command("duties",
+              "Prints the holders of the singleton roles and the open intents; changes nothing",
               Arguments::Command::duties);
   try {
     app.parse(argc, argv);
