--- a/src/dunlinknot/jobs/admission.cpp
+++ b/src/dunlinknot/jobs/admission.cpp
@@ -60,7 +60,7 @@
   return std::nullopt;
 }
 
-// Whether the record is within the key-value store's present and announced value limits.
+// Whether the record is within the key-value store's current and announced value limits.
 bool Admission::fits_in_store(const std::string& record) const {
   const auto document = wire::Document::parse(record);
   return document && wire::json_size(document->root()) <= store_.limits().value_bytes();
--- a/src/dunlinknot/node/connection_limit.cpp
+++ b/src/dunlinknot/node/connection_limit.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Reserved for stop calls and for calls to the cloud and the allocation store.
+// Reserved for stop calls and for calls to the cloud and the key-value store that serve no user
+// request.
 constexpr size_t kOtherCallConnections = 64;
 
 }  // namespace
--- a/src/dunlinknot/node/failover.cpp
+++ b/src/dunlinknot/node/failover.cpp
@@ -1,5 +1,5 @@
-// Loads the state of a new leader before it responds to workers, and ends the work of a deposed
-// one.
+// Loads the cluster state when this node is elected, before it responds to workers, and ends the
+// leader's work when the term is over.
 #include "dunlinknot/node/failover.hpp"
 
 #include <spdlog/spdlog.h>
--- a/src/dunlinknot/node/readiness.hpp
+++ b/src/dunlinknot/node/readiness.hpp
@@ -14,10 +14,11 @@
   Readiness(EventLoop& loop, kv::Client& store, const leadership::Peers& peers,
             const jobs::RequestHandler& jobs);
 
-  // Whether this node should receive requests. False while the machine types are unknown, and while
-  // the key-value store answers a peer but not this node. True while the store answers no node:
-  // another node would not do better, and a node that was removed from the load balancer takes a
-  // while to be added again. May suspend to probe the store.
+  // Whether this node should receive requests. False until the machine types are known and the
+  // key-value store has answered this node once, and while the store answers a peer but not this
+  // node. Otherwise true, also while the store answers no node: another node would not do better,
+  // and a node that was removed from the load balancer takes a while to be added again. May suspend
+  // to probe the store.
   Task<bool> check();
 
  private:
--- a/src/dunlinknot/node/renewal_policy.cpp
+++ b/src/dunlinknot/node/renewal_policy.cpp
@@ -12,8 +12,8 @@
 
 bool RenewalPolicy::may_renew() const {
   if (elector_.may_renew(std::nullopt)) return true;
-  // This node has acknowledged a cancellation to a user that is not applied to the cluster state
-  // yet.
+  // No lease is renewed while a cancellation that this node has acknowledged to a user is not yet
+  // applied to the cluster state.
   const uint64_t revision = allocation_store_.jobs_revision();
   if (jobs_.cancel_revision() > revision) return false;
   return elector_.may_renew(
--- a/src/dunlinknot/settings/platform_loader.cpp
+++ b/src/dunlinknot/settings/platform_loader.cpp
@@ -120,7 +120,7 @@
   return limits;
 }
 
-// A limit that `next` does not contain keeps its present value.
+// A limit that `next` does not contain keeps its current value.
 StoreLimits read_next_store_limits(const TomlReader& reader, const toml::table& next,
                                    const StoreLimits& present) {
   // Enough for a machine record with a few jobs and for a job record with the longest names.
--- a/src/dunlinknot/settings/settings.hpp
+++ b/src/dunlinknot/settings/settings.hpp
@@ -80,7 +80,7 @@
   StoreLimits store_limits;
   // Limits that replace `store_limits` at an unannounced time.
   std::optional<StoreLimits> next_store_limits;
-  // The lower of the present and the next limit.
+  // The lower of the current and the next limit.
   double lowest_store_write_rps() const {
     const double present = store_limits.write_rps;
     return next_store_limits ? std::min(present, next_store_limits->write_rps) : present;
