--- a/src/dunlinknot/http/client.cpp
+++ b/src/dunlinknot/http/client.cpp
@@ -30,7 +30,8 @@
   while (state == Parser::Result::need_more) {
     const ssize_t count = co_await socket.read_some(buffer.data(), buffer.size(), call.deadline);
     if (count <= 0) {
-      // No response was received. At the deadline the peer may still be executing the request.
+      // No complete response was received. At the deadline the peer may still be executing the
+      // request.
       if (count < 0 && loop_.now() >= call.deadline) attempt.closed_without_response = false;
       co_return attempt;
     }
--- a/src/dunlinknot/http/message.cpp
+++ b/src/dunlinknot/http/message.cpp
@@ -264,7 +264,7 @@
 }
 
 Parser::Step Parser::read_chunk_size() {
-  // Chunk size and extensions; our peers send no extensions.
+  // Limit for the chunk size with its extensions; no peer of this program sends extensions.
   constexpr size_t kMaxChunkHeaderBytes = 256;
   const auto line = take_line();
   if (!line) return unread() > kMaxChunkHeaderBytes ? fail(kBadRequest) : Result::need_more;
