--- a/src/dunlinknot/node/leader_loop.cpp
+++ b/src/dunlinknot/node/leader_loop.cpp
@@ -38,7 +38,7 @@
       autoscaler_(autoscaler) {}
 
 Task<void> LeaderLoop::run(uint64_t term) {
-  // Since when heartbeats could have been answered without interruption.
+  // Start of the current period in which this node may answer heartbeats.
   Instant answering_since = context_.loop.now();
   Instant next_tick = answering_since;
   while (context_.in_term(term)) {
@@ -52,7 +52,7 @@
       // a network partition.
       if (!renewal_policy_.may_renew()) answering_since = now;
       if (partitioned_from_workers(answering_since, now)) {
-        elector_.resign("no heartbeat reaches this node while its peers receive heartbeats");
+        elector_.resign("no heartbeat reaches this node while a peer receives heartbeats");
         co_return;
       }
     }
