--- a/tests/ci/report_test.sh
+++ b/tests/ci/report_test.sh
@@ -26,7 +26,7 @@
 EOF
 "$program" "$directory/history.csv" --output "$directory/page" >/dev/null
 readonly page=$directory/page/index.html
-grep -q '2 acts at the cloud (1 with effect)' "$page" ||
+grep -q '2 cloud operations (1 with effect)' "$page" ||
   fail "wrong count of operations at the cloud"
 grep -q '<td>killed</td><td>1</td><td>1.250</td><td>1.250</td>' "$page" ||
   fail "wrong time without a holder after a fault"
--- a/tools/report.cpp
+++ b/tools/report.cpp
@@ -172,7 +172,7 @@
   for (const Vacancy& vacancy : vacancies) by_fault[vacancy.fault].push_back(vacancy.length);
   for (auto& [fault, lengths] : by_fault) {
     std::sort(lengths.begin(), lengths.end());
-    ctemplate::TemplateDictionary* row = page.AddSectionDictionary("GAP");
+    ctemplate::TemplateDictionary* row = page.AddSectionDictionary("VACANCY");
     row->SetValue("FAULT", fault);
     row->SetIntValue("COUNT", static_cast<long>(lengths.size()));
     row->SetValue("MEDIAN", seconds_text(lengths[lengths.size() / 2]));
@@ -182,33 +182,33 @@
 
 void fill_grants(ctemplate::TemplateDictionary& page, const std::vector<RoleGrant>& grants) {
   for (const RoleGrant& grant : grants) {
-    ctemplate::TemplateDictionary* row = page.AddSectionDictionary("HOLDING");
+    ctemplate::TemplateDictionary* row = page.AddSectionDictionary("GRANT");
     row->SetIntValue("TOKEN", static_cast<long>(grant.token));
     row->SetValue("NODE", grant.node);
     row->SetValue("BEGIN", seconds_text(grant.begin));
     row->SetValue("LENGTH", seconds_text(grant.end - grant.begin));
-    row->SetIntValue("ACTS", static_cast<long>(grant.operations));
+    row->SetIntValue("OPERATIONS", static_cast<long>(grant.operations));
     row->SetIntValue("CHANGED", static_cast<long>(grant.changed));
   }
 }
 
 constexpr const char* kPage = R"({{%AUTOESCAPE context="HTML"}}<!DOCTYPE html>
-<html lang="en"><head><meta charset="utf-8"><title>Handovers of the duties</title>
+<html lang="en"><head><meta charset="utf-8"><title>Handovers of the singleton roles</title>
 <style>body{font-family:sans-serif;margin:2em}table{border-collapse:collapse}
 td,th{border:1px solid #999;padding:2px 8px;text-align:right}.bad{color:#b00}</style></head><body>
-<h1>Handovers of the duties</h1>
-<p>{{EVENTS}} events, {{HOLDINGS}} holdings, {{ACTS}} acts at the cloud ({{CHANGED}} with effect).</p>
+<h1>Handovers of the singleton roles</h1>
+<p>{{EVENTS}} events, {{GRANTS}} grants, {{OPERATIONS}} cloud operations ({{CHANGED}} with effect).</p>
 <p>Violations: {{VIOLATIONS}}</p>
 {{#VIOLATION}}<p class="bad">{{WHAT}}</p>
-{{/VIOLATION}}<h2>Holders</h2><img src="holders.svg" alt="Which controller held the duties when">
+{{/VIOLATION}}<h2>Holders</h2><img src="holders.svg" alt="Holder of the role over time">
 <h2>Times without a holder</h2><img src="gaps.svg" alt="Time without a holder after each fault">
-<table><tr><th>fault</th><th>times</th><th>median, s</th><th>worst, s</th></tr>
-{{#GAP}}<tr><td>{{FAULT}}</td><td>{{COUNT}}</td><td>{{MEDIAN}}</td><td>{{WORST}}</td></tr>
-{{/GAP}}</table>
-<h2>Acts under each token</h2>
-<table><tr><th>token</th><th>holder</th><th>from, s</th><th>for, s</th><th>acts</th><th>with effect</th></tr>
-{{#HOLDING}}<tr><td>{{TOKEN}}</td><td>{{NODE}}</td><td>{{BEGIN}}</td><td>{{LENGTH}}</td><td>{{ACTS}}</td><td>{{CHANGED}}</td></tr>
-{{/HOLDING}}</table>
+<table><tr><th>fault</th><th>count</th><th>median, s</th><th>worst, s</th></tr>
+{{#VACANCY}}<tr><td>{{FAULT}}</td><td>{{COUNT}}</td><td>{{MEDIAN}}</td><td>{{WORST}}</td></tr>
+{{/VACANCY}}</table>
+<h2>Operations under each fencing token</h2>
+<table><tr><th>token</th><th>holder</th><th>from, s</th><th>for, s</th><th>operations</th><th>with effect</th></tr>
+{{#GRANT}}<tr><td>{{TOKEN}}</td><td>{{NODE}}</td><td>{{BEGIN}}</td><td>{{LENGTH}}</td><td>{{OPERATIONS}}</td><td>{{CHANGED}}</td></tr>
+{{/GRANT}}</table>
 </body></html>
 )";
 
@@ -229,8 +229,8 @@
     page.AddSectionDictionary("VIOLATION")->SetValue("WHAT", event.name);
   }
   page.SetIntValue("EVENTS", static_cast<long>(events.size()));
-  page.SetIntValue("HOLDINGS", static_cast<long>(grants.size()));
-  page.SetIntValue("ACTS", operations);
+  page.SetIntValue("GRANTS", static_cast<long>(grants.size()));
+  page.SetIntValue("OPERATIONS", operations);
   page.SetIntValue("CHANGED", changed);
   page.SetIntValue("VIOLATIONS", violations);
   fill_vacancies(page, vacancies);
