--- a/benchmarks/cost_driver.cpp
+++ b/benchmarks/cost_driver.cpp
@@ -115,8 +115,8 @@
     std::cout << "machines " << site_.workers.size() << ", tasks started " << site_.starts
               << ", heartbeats " << counts_.heartbeats << " (" << counts_.heartbeat_bytes
               << " bytes), submissions " << counts_.submissions << ", polls " << counts_.polls
-              << ", probes " << counts_.ready_probes << ", state requests " << site_.store.requests
-              << "\n";
+              << ", probes " << counts_.ready_probes << ", key-value store requests "
+              << site_.store.requests << "\n";
   }
 
  private:
@@ -205,11 +205,11 @@
   try {
     dunlinknot::test::Load load;
     CLI::App app{"Drives one controller at a given cluster size, for callgrind"};
-    app.add_option("--machines", load.machines, "Machines of the cluster");
+    app.add_option("--machines", load.machines, "Number of machines");
     app.add_option("--seconds", load.seconds, "Simulated seconds");
-    app.add_option("--jobs-per-second", load.jobs_per_second, "Jobs, for each 600 machines");
+    app.add_option("--jobs-per-second", load.jobs_per_second, "Jobs submitted, per 600 machines");
     app.add_option("--take-overs", load.failovers, "Restarts of the controller");
-    app.add_option("--polls-per-second", load.polls_per_second, "Users' questions");
+    app.add_option("--polls-per-second", load.polls_per_second, "Status requests of users");
     CLI11_PARSE(app, argc, argv);
     dunlinknot::test::Driver driver(load);
     driver.run();
--- a/tools/handover_run.cpp
+++ b/tools/handover_run.cpp
@@ -533,13 +533,13 @@
     print_vacancies("all", all);
     const auto held = std::count_if(cloud_.machines.begin(), cloud_.machines.end(),
                                     [](const auto& entry) { return !entry.second.removed; });
-    std::cout << "acts at the cloud " << cloud_operations_ << ", of them with effect "
+    std::cout << "cloud operations " << cloud_operations_ << ", with effect "
               << effective_operations_
-              << "\nby fenced holders: of what is decided still, with effect "
-              << fenced_with_effect_ << "; without effect " << fenced_without_effect_
+              << "\nof fenced holders: with effect under an intent that is still open "
+              << fenced_with_effect_ << ", without effect " << fenced_without_effect_
               << "\nmachines launched " << cloud_.machines.size() << ", held at the end " << held
               << "\njobs accepted " << accepted_.size()
-              << ", all settled: " << (settled_ ? "yes" : "no") << "\nstate service requests "
+              << ", all settled: " << (settled_ ? "yes" : "no") << "\nkey-value store requests "
               << store_.requests << "\nviolations " << violations_.size() << "\n";
     for (size_t i = 0; i < violations_.size() && i < 20; ++i) {
       std::cout << "  " << violations_[i] << "\n";
@@ -583,11 +583,12 @@
     CLI::App app{"Forces handovers between real controllers on loopback and checks the history"};
     app.add_option("--program", options.program, "The controller's program");
     app.add_option("--directory", options.directory, "For settings, logs, history")->required();
-    app.add_option("--controllers", options.controllers, "Processes")->check(CLI::Range(2, 9));
+    app.add_option("--controllers", options.controllers, "Number of controllers")
+        ->check(CLI::Range(2, 9));
     app.add_option("--handovers", options.handovers, "Handovers to force");
-    app.add_option("--seed", options.seed, "Of the faults that are drawn");
-    app.add_flag("--calm-cloud", options.calm_cloud, "No late requests and no lost answers");
-    app.add_flag("!--no-duties", options.roles, "Without duties: the checks have to find faults");
+    app.add_option("--seed", options.seed, "Seed of the random faults");
+    app.add_flag("--calm-cloud", options.calm_cloud, "No late requests, no lost responses");
+    app.add_flag("!--no-duties", options.roles, "Disable the roles; violations are expected");
     CLI11_PARSE(app, argc, argv);
     std::signal(SIGPIPE, SIG_IGN);
     spdlog::set_level(spdlog::level::err);
