--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -50,7 +50,7 @@
 
 TEST_F(TerminationPolicyTest, IdleMachineIsTerminatedUnlessSchedulerKeepsIt) {
   machine.idle_since = scan.now - seconds(10);
-  EXPECT_EQ(reason(), std::nullopt) << "idle for exactly the setting";
+  EXPECT_EQ(reason(), std::nullopt) << "idle for exactly the idle-return time";
   machine.idle_since -= Nanos(1);
   EXPECT_EQ(reason(), TerminationReason::idle);
   scan.has_waiting_tasks = true;
--- a/tests/concurrent_faults_test.cpp
+++ b/tests/concurrent_faults_test.cpp
@@ -105,8 +105,8 @@
 }
 
 TEST_F(RunningJobFaults, RestartedPeerCannotConfirmAbsenceOfCancellations) {
-  // No follower reports the cancellation afterwards: the one that confirmed it is restarted and has
-  // lost its record of it.
+  // The follower that confirmed the cancellation is restarted and loses its record of it, so no
+  // follower can report the cancellation to the leader.
   site.nodes[first_leader]->refused_by_store = true;
   site.run_for(Millis(100));
   ASSERT_EQ(site.cancel(long_job.id, follower).status, 200);
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -78,7 +78,8 @@
 
 // A site whose key-value store switches to the lower limits when the test calls apply_lower_limits.
 struct LowerLimits : testing::Test {
-  // Jobs with one task each that must fit into a machine record under the lower limit.
+  // Minimum number of jobs, with one task each, that fit into a machine record under the lower
+  // limit.
   static constexpr size_t kMinJobsPerRecord = 12;
   Site site{3};
   void SetUp() override {
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -315,8 +315,8 @@
 }
 
 TEST_F(PreemptionTest, VictimThatWasNeverSentIsWithdrawnImmediately) {
-  // An allocation that had not been sent to its worker used to count as being stopped forever, and
-  // blocked its machine.
+  // An allocation that had not been sent to its worker used to be treated as stopping forever,
+  // which blocked its machine.
   Machine& machine = *cluster.find_machine("vm-1");
   Job& low_priority_job = add("run-000001", Priority::low, 8);
   const Allocation allocation = *cluster.allocate(
--- a/tests/random_placements_test.cpp
+++ b/tests/random_placements_test.cpp
@@ -42,8 +42,8 @@
                            {"crate/a/ordinary", 1}};
     for (int i = 0; i < 2; ++i) site.loop.spawn(lose_machine(random_duration(12, 70)));
   }
-  // Takes one running machine away, with an interruption notice of 8 s in 60 % of the cases. The
-  // cloud's capacity grows by the lost machine.
+  // The cloud takes back one running machine, with an interruption notice of 8 s in 60 % of the
+  // cases. Its capacity then includes the lost machine again.
   Task<void> lose_machine(Nanos start_delay) {
     co_await site.loop.sleep(start_delay);
     std::vector<ScriptedWorker*> running;
--- a/tests/random_scenario.hpp
+++ b/tests/random_scenario.hpp
@@ -56,8 +56,8 @@
   }
 
   // A user that submits a job after `start_delay`, repeats the request until it is accepted and
-  // then polls without end. `cancel_delay` counts from the acceptance; without it the job is not
-  // cancelled.
+  // then polls until the scenario ends. `cancel_delay` counts from the acceptance; without it the
+  // job is not cancelled.
   Task<void> simulate_user(JobSpec spec, Nanos start_delay, std::optional<Nanos> cancel_delay) {
     co_await site.loop.sleep(start_delay);
     wire::Writer writer;
--- a/tests/role_history.hpp
+++ b/tests/role_history.hpp
@@ -22,7 +22,7 @@
   struct Counts {
     uint64_t operations = 0;
     uint64_t changed = 0;  // launched or terminated a machine
-    // Changed and fenced, while the current holder has the same intent open.
+    // Fenced operations that changed something under an intent that the current holder has open.
     uint64_t fenced_repeats = 0;
     uint64_t fenced_without_effect = 0;
   };
--- a/tests/scenario_machines_test.cpp
+++ b/tests/scenario_machines_test.cpp
@@ -217,8 +217,8 @@
 }
 
 TEST(Machines, LateDuplicateHeartbeatsChangeNothing) {
-  // The heartbeats are of a deleted machine, are delivered from seconds to well over a lease late,
-  // and also after a failover.
+  // Copies of one heartbeat of a deleted machine are delivered from seconds to well over a lease
+  // late, before and after a failover.
   Site site(3);
   site.run_for(seconds(2));
   site.submit(job("run-000001", 4));
--- a/tests/scheduler_property_test.cpp
+++ b/tests/scheduler_property_test.cpp
@@ -257,7 +257,7 @@
       const auto it = simulated.tasks.find(command.task);
       if (it == simulated.tasks.end() || it->second.attempt != command.attempt) return;
       it->second.stopped = true;
-      // Some tasks take time to stop, and other tasks of the job move on meanwhile.
+      // Stopping takes up to 3.5 s, so that other tasks of the job change state meanwhile.
       it->second.ends = std::min(it->second.ends, clock_.now() + Millis(700 * pick(6)));
     } else if (command.op == Command::Op::start && !simulated.tasks.contains(command.task)) {
       if (chance(0.05)) return;  // the response was lost; the command is sent again
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -183,12 +183,12 @@
 }
 
 TEST_F(SchedulerTest, TasksWithoutAcceleratorsLeaveRoomForFreeAccelerators) {
-  Machine& rig = machine("vm-1", "a", "rig");
+  Machine& gpu_machine = machine("vm-1", "a", "rig");
   JobSpec gpu = job("run-000009", 1);
   gpu.need = {3, 1, 4};
   Job& gpu_job = add(gpu);  // determines the cpus and memory needed per accelerator
-  run(gpu_job, rig);
-  // Each task needs 2 cpus each; of the 5 free ones, 3 are needed for the free accelerator
+  run(gpu_job, gpu_machine);
+  // Each task needs 2 cpus. Of the 5 free cpus, 3 are reserved for the free accelerator.
   add(job("run-000001", 10));
   EXPECT_EQ(task_count_by_machine(plan()), (std::map<std::string, uint32_t>{{"vm-1", 1}}));
 }
@@ -295,7 +295,7 @@
   EXPECT_TRUE(result_plan.placements.empty()) << "nothing is placed on it yet";
   now += seconds(10);
   EXPECT_EQ(plan().capacity_requests.size(), 1u)
-      << "a delayed heartbeat of a deleted machine does not count for long";
+      << "it may be a delayed heartbeat of a deleted machine, so it counts for less than 10 s";
 }
 
 TEST_F(SchedulerTest, DemandForecastCountsEachArrivalOnce) {
@@ -314,7 +314,7 @@
 }
 
 TEST_F(SchedulerTest, LateJobIsPlacedAfterJobThatCanBeOnTime) {
-  // Under overload, ordering by due time alone made every job end too late.
+  // Under overload, ordering by due time alone made every job miss its deadline.
   platform.teams[0].cpus = 0;  // no guarantee affects the order
   machine("vm-1");
   JobSpec spec = job("run-000001", 4);
--- a/tests/scripted_store.hpp
+++ b/tests/scripted_store.hpp
@@ -72,7 +72,7 @@
   uint64_t next_lease_ = 1;
   std::map<uint64_t, Lease> leases_;
   std::deque<Event> events_;
-  uint64_t compacted_revision_ = 0;  // events up to this revision are no longer kept
+  uint64_t compacted_revision_ = 0;  // events up to this revision have been discarded
   double available_writes_ = 0;
   Instant available_writes_at_{};
 };
--- a/tests/site.hpp
+++ b/tests/site.hpp
@@ -86,8 +86,8 @@
   std::function<void(ScriptedWorker&)> on_worker;  // called for each new worker
   // Called with each call of a controller before it is sent.
   std::function<void(Node&, const http::Call&)> on_send;
-  // Called with each request to a controller and each response; the cost driver measures the
-  // encoding with them.
+  // Called with each request to a controller and each response. The cost driver uses them to pass
+  // every message through the HTTP serializer and parser.
   std::function<http::Request(http::Request)> on_request;
   std::function<void(const http::Response&)> on_response;
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -108,7 +108,7 @@
   for (size_t size = 0; size < valid.size(); ++size)
     EXPECT_FALSE(Document::parse(valid.substr(0, size))) << size;
   EXPECT_FALSE(Document::parse(valid + "x"));
-  // A list that declares four thousand million elements, and lists nested 5000 levels deep.
+  // A list that declares 4,294,967,295 elements, and lists nested 5000 levels deep.
   EXPECT_FALSE(Document::parse(std::string("\xdd\xff\xff\xff\xff", 5)));
   EXPECT_FALSE(Document::parse(std::string(5000, '\x91')));
 }
