--- a/tests/role_history.cpp
+++ b/tests/role_history.cpp
@@ -54,8 +54,8 @@
   }
 }
 
-// While the launch of a machine type in a zone is decided and not answered, a second launch of the
-// same kind would be for the same demand.
+// While a launch has an open intent and the cloud has not executed it, a launch of the same type in
+// the same zone, both spot or both not, would be for the same demand.
 void RoleHistory::check_launch(const std::string& request) {
   std::optional<roles::ScaleOutIntent> own_intent;
   std::vector<roles::ScaleOutIntent> other_intents;
@@ -80,8 +80,8 @@
   }
 }
 
-// No task may be started on a machine between the decision to terminate it and its termination. So
-// a reachable machine must not be terminated while it has tasks.
+// No task may be started on a machine between the decision to terminate it and its termination, so
+// a reachable machine must not be terminated while it has unfinished tasks.
 void RoleHistory::check_scale_in(const std::string& machine) {
   const auto worker = site_.workers.find(machine);
   if (worker == site_.workers.end()) return;
@@ -92,8 +92,8 @@
   }
   for (const auto& [key, task] : target.tasks) {
     if (task.state == TaskState::exited) continue;
-    violations_.push_back("machine " + machine + " was terminated while it had the task " +
-                          key.first.text());
+    violations_.push_back("machine " + machine +
+                          " was terminated while it had the unfinished task " + key.first.text());
   }
 }
 
--- a/tests/scenario_leadership_test.cpp
+++ b/tests/scenario_leadership_test.cpp
@@ -103,8 +103,8 @@
   EXPECT_TRUE(elector.may_renew(std::nullopt));
   site.run_for(seconds(3));
   EXPECT_FALSE(elector.may_renew(std::nullopt));
-  // Once the peers have confirmed that they accepted no cancellation, the renewal window counts from
-  // the time up to which they confirmed it.
+  // Once the peers have confirmed that they accepted no cancellation, the renewal window counts
+  // from the time up to which they confirmed it.
   EXPECT_TRUE(elector.may_renew(site.clock.now() - seconds(1)));
 }
 
--- a/tests/scripted_worker.cpp
+++ b/tests/scripted_worker.cpp
@@ -84,10 +84,10 @@
   lease_renewed_at_ = loop_.now();
 }
 
-void ScriptedWorker::execute_commands(View orders) {
+void ScriptedWorker::execute_commands(View commands) {
   advance();
-  for (size_t i = 0; i < orders.size(); ++i) {
-    const View command = orders.at(i);
+  for (size_t i = 0; i < commands.size(); ++i) {
+    const View command = commands.at(i);
     const TaskRef task = *TaskRef::parse(*command["piece"].text());
     const uint64_t attempt = *command["try"].count();
     const auto key = std::pair(task, attempt);
--- a/tests/scripted_worker.hpp
+++ b/tests/scripted_worker.hpp
@@ -35,7 +35,7 @@
   Task<http::Reply> serve_command(http::Call call);
   // The next heartbeat, with the next sequence number.
   Heartbeat heartbeat();
-  void execute_commands(wire::View orders);
+  void execute_commands(wire::View commands);
   void lose_lease();
 
   bool powered_on = true;
--- a/tools/handover_run.cpp
+++ b/tools/handover_run.cpp
@@ -368,7 +368,7 @@
     const ScriptedWorker& worker = *workers_.at(machine);
     for (const auto& [key, task] : worker.tasks) {
       if (task.state == TaskState::exited) continue;
-      report_violation("machine " + machine + " was deleted while it had the unfinished task " +
+      report_violation("machine " + machine + " was terminated while it had the unfinished task " +
                        key.first.text());
     }
   }
