--- a/tests/role_handover_test.cpp
+++ b/tests/role_handover_test.cpp
@@ -333,7 +333,7 @@
   void expect_all_settled() {
     for (const auto& violation : scenario_.history.violations()) ADD_FAILURE() << violation;
     EXPECT_EQ(scenario_.site.duplicate_starts, 0u);
-    for (const auto& broken : scenario_.site.rules.violations()) ADD_FAILURE() << broken;
+    for (const auto& violation : scenario_.site.rules.violations()) ADD_FAILURE() << violation;
     for (const std::string& id : accepted_)
       EXPECT_EQ(scenario_.site.job_state(id, 0), "done") << id;
     EXPECT_EQ(scenario_.history.running_machine_count(), 0u)
